--- a/src/trefoilpaddle/coordination/chain/admission.py
+++ b/src/trefoilpaddle/coordination/chain/admission.py
@@ -6,7 +6,7 @@
 from ...state.chain.chain_work import ChainWork
 from .cell_dispatch import CellDispatch
 
-SHARE_BY_PRIORITY: Final = (1.0, 0.8, 0.5)
+WAIT_SHARE_BY_PRIORITY: Final = (1.0, 0.8, 0.5)
 """Part of its time to wait that a chain may use up, by its priority.
 
 When too much comes, what is less urgent is refused while there is still time for
@@ -41,7 +41,7 @@
         """Count pieces that will come."""
         self.pieces[service] += n_pieces
 
-    def keep(self, service: str, n_pieces: int) -> None:
+    def release(self, service: str, n_pieces: int) -> None:
         """Count pieces as come, or as not coming any more."""
         self.pieces[service] -= n_pieces
 
@@ -81,7 +81,7 @@
     return max(done_s, default=0.0)
 
 
-def least_s(work: ChainWork, dispatch: CellDispatch) -> float:
+def unloaded_duration_s(work: ChainWork, dispatch: CellDispatch) -> float:
     """Return the seconds that all stages take where nothing else waits."""
     done_s: list[float] = []
     for number, plan in enumerate(work.stages):
@@ -93,7 +93,7 @@
     return max(done_s, default=0.0)
 
 
-def allowed_s(
+def admission_limit_s(
     work: ChainWork, left_s: float, unhindered_s: float, urgent_wait_s: float
 ) -> float:
     """Return the forecast up to which a chain is let in.
@@ -113,6 +113,6 @@
     urgent_wait_s : float
         Seconds for which more urgent chains of its services can wait.
     """
-    rank = min(work.priority, len(SHARE_BY_PRIORITY) - 1)
+    rank = min(work.priority, len(WAIT_SHARE_BY_PRIORITY) - 1)
     may_wait_s = min(max(0.0, left_s - unhindered_s), urgent_wait_s)
-    return min(left_s, unhindered_s + SHARE_BY_PRIORITY[rank] * may_wait_s)
+    return min(left_s, unhindered_s + WAIT_SHARE_BY_PRIORITY[rank] * may_wait_s)
--- a/src/trefoilpaddle/coordination/chain/answer_bound.py
+++ b/src/trefoilpaddle/coordination/chain/answer_deadline.py
@@ -23,7 +23,7 @@
         self.reason = reason
 
 
-class AnswerBound:
+class AnswerDeadline:
     """When one request must be answered, and what ends its wait then.
 
     A request waits in many places: for admission, in a queue, at a scheduler
@@ -48,9 +48,9 @@
         self._ends_s = ends_s
         self._timeout = asyncio.timeout(None)
         self._is_open = False
-        delivery.on_change = self.renew
+        delivery.on_change = self.refresh
 
-    def renew(self) -> None:
+    def refresh(self) -> None:
         """Take the time of the answer anew: something that it hangs on has changed.
 
         A request that a worker finishes for a caller that has left outlives it.
@@ -75,7 +75,7 @@
         try:
             async with self._timeout:
                 self._is_open = True
-                self.renew()
+                self.refresh()
                 try:
                     yield
                 finally:
--- a/src/trefoilpaddle/coordination/chain/patience.py
+++ b/src/trefoilpaddle/coordination/chain/attempt_timeouts.py
@@ -5,24 +5,24 @@
 
 from .job import Job
 
-GAP_S: Final = 1.5
+EVENT_TIMEOUT_S: Final = 1.5
 """A stream with no event for this long is taken as dead.
 
 Five times the longest pause for which an answer is still on time; callers
 themselves give up after two seconds.
 """
 
-FIRST_EVENT_S: Final = 3.0
+FIRST_EVENT_TIMEOUT_S: Final = 3.0
 """A stream that has not begun after this long is taken as dead.
 
 An engine that is merely full begins sooner: what it can queue is read in less.
 """
 
-PATIENCE_RATIO: Final = 2.5
+RESPONSE_TIMEOUT_RATIO: Final = 2.5
 """Target latencies after which an idempotent call is tried at another worker."""
 
 
-def patience_s(job: Job, *, n_sent: int) -> float:
+def response_timeout_s(job: Job, *, n_sent: int) -> float:
     """Return how long the next worker may take before another is tried.
 
     Parameters
@@ -37,11 +37,11 @@
     if not job.may_repeat or is_last:
         return left_s
     if job.route.is_stream:
-        return min(left_s, FIRST_EVENT_S)
-    return min(left_s, PATIENCE_RATIO * job.route.target_latency_s)
+        return min(left_s, FIRST_EVENT_TIMEOUT_S)
+    return min(left_s, RESPONSE_TIMEOUT_RATIO * job.route.target_latency_s)
 
 
-def gap_s(job: Job, *, n_sent: int) -> float:
+def event_timeout_s(job: Job, *, n_sent: int) -> float:
     """Return how long a stream that has begun may pause.
 
     One that can go on nowhere else is waited for: broken off it is lost for
@@ -58,4 +58,4 @@
     is_last = n_sent >= job.route.max_attempts
     if is_last or not job.route.is_resumable:
         return left_s
-    return min(left_s, GAP_S)
+    return min(left_s, EVENT_TIMEOUT_S)
--- a/src/trefoilpaddle/coordination/chain/attempts.py
+++ b/src/trefoilpaddle/coordination/chain/attempts.py
@@ -107,7 +107,7 @@
         self._n_unsent = 0
         self._is_left = False
 
-    def leave(self) -> None:
+    def stop_retrying(self) -> None:
         """Send it to no other worker: its caller has left."""
         self._is_left = True
 
@@ -138,7 +138,7 @@
                 case CallFault() as fault:
                     self._learn(fault, worker)
                     if self._job.may_repeat:
-                        await self._guard.settled(worker)
+                        await self._guard.wait_for_exit_check(worker)
                     if not self._may_go_on(REASON_OF[fault], worker):
                         return self._end(REASON_OF[fault])
 
@@ -150,7 +150,7 @@
         if self._guard.is_suspect(self._job.fingerprint):
             # Not where its prompt is known, but where it has the fewest beside it.
             need = replace(need, prompt=None)
-        apart = self._guard.workers_apart()
+        apart = self._guard.isolating_workers()
         if apart:
             worker = self._choice.choose(service, need, without=tried | apart)
             if worker is not None:
@@ -161,7 +161,7 @@
         """Take what a fault says of the worker and of the request."""
         self._tried.add(worker.worker_id)
         if fault is CallFault.INPUTS_GONE:
-            self._inputs.lose()
+            self._inputs.mark_lost()
         if fault.has_not_run:
             self._n_unsent += 1
         else:
--- a/src/trefoilpaddle/coordination/chain/call_notes.py
+++ b/src/trefoilpaddle/coordination/chain/call_log.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallNote:
+class CallSummary:
     """How a call of pieces ended.
 
     Parameters
@@ -35,7 +35,7 @@
     reason: Reason = Reason.NONE
 
 
-class CallNotes:
+class CallLog:
     """Writes what concerns one worker to the journal.
 
     Parameters
@@ -52,7 +52,7 @@
         self._worker = worker
         self._journal = journal
 
-    def call(self, note: CallNote, *, kept_bytes: float, ratio: float) -> None:
+    def call(self, note: CallSummary, *, kept_bytes: float, ratio: float) -> None:
         """Log a call, with what the worker keeps and how slow it is believed."""
         faults = " ".join(f"{fault}={n}" for fault, n in note.faults.items())
         self._journal.record(
--- a/src/trefoilpaddle/coordination/chain/cell_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/cell_dispatch.py
@@ -16,19 +16,19 @@
 from .target_calls import TargetCalls
 from .worker_caller import WorkerCaller
 
-FAR_S: Final = 0.05
+CROSS_DOMAIN_WAIT_S: Final = 0.05
 """Wait that is borne to stay near; the calls before and behind stay in step."""
 
-FAR_S_PER_BYTE: Final = 9e-8
+CROSS_DOMAIN_WAIT_S_PER_BYTE: Final = 9e-8
 """The same for each byte of results, which are paid for where they cross.
 
 A large result of 1.5 MB weighs half a call.
 """
 
 
-def far_s(n_bytes: float) -> float:
+def cross_domain_wait_s(n_bytes: float) -> float:
     """Return the wait that is borne so that results of that size do not cross."""
-    return FAR_S + FAR_S_PER_BYTE * n_bytes
+    return CROSS_DOMAIN_WAIT_S + CROSS_DOMAIN_WAIT_S_PER_BYTE * n_bytes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -52,7 +52,7 @@
     failure_domains: frozenset[str]
     table: RouteTable
 
-    def holds(
+    def is_current(
         self,
         workers: Sequence[Worker],
         failure_domains: frozenset[str],
@@ -205,11 +205,11 @@
         for dispatch in self._by_service.values():
             dispatch.resume()
 
-    def move(self) -> None:
+    def redirect_pieces(self) -> None:
         """Give up all pieces that wait or come; calls that were sent still end."""
         self._is_moved = True
         for dispatch in self._by_service.values():
-            dispatch.move()
+            dispatch.redirect_pieces()
 
     def take_over(self, handover: CellHandover) -> None:
         """Go on from what the scheduler before knew of the workers."""
@@ -222,20 +222,22 @@
             if caller is not None:
                 caller.known.take_over(taken, now_s)
 
-    def adopt(self, made: PieceMade, n_bytes: float) -> None:
+    def adopt_result(self, made: PieceMade, n_bytes: float) -> None:
         """Count a result of a chain that came from the scheduler before."""
         caller = self._caller_of(made)
         if caller is not None:
             caller.known.memory.keep(made.handle, n_bytes, time.monotonic())
 
-    def note_freed(self, worker_id: str, born_ms: int, handles: Sequence[str]) -> None:
+    def record_freed(
+        self, worker_id: str, born_ms: int, handles: Sequence[str]
+    ) -> None:
         """Count results as gone that the scheduler before has freed."""
         caller = self._callers.get(worker_id)
         if caller is None or caller.worker.born_ms != born_ms:
             return
         for handle in handles:
             caller.known.memory.free(handle)
-        self._dispatch(caller.worker.service).wake()
+        self._dispatch(caller.worker.service).trigger()
 
     def failure_domain_of(self, worker_id: str) -> str:
         """Return where a worker of this cell stands; empty if it is gone."""
@@ -265,7 +267,7 @@
             if self._is_stopped:
                 dispatch.stop()
             if self._is_moved:
-                dispatch.move()
+                dispatch.redirect_pieces()
             self._by_service[service] = dispatch
         return dispatch
 
@@ -273,7 +275,9 @@
         """Return the callers of the workers of a service that may get work."""
         workers = self._workers.usable(service)
         known = self._usable.get(service)
-        if known is None or not known.holds(workers, self.failure_domains, self.table):
+        if known is None or not known.is_current(
+            workers, self.failure_domains, self.table
+        ):
             near = [w for w in workers if w.failure_domain in self.failure_domains]
             callers = (self._caller(worker) for worker in near or workers)
             known = UsableCallers(
@@ -299,7 +303,7 @@
             calls=self._calls,
             workers=self._workers,
             journal=self._journal,
-            on_free=dispatch.wake,
+            on_free=dispatch.trigger,
             on_freed=self._note_own_freed,
             on_return=dispatch.submit,
             guard=self._guard,
@@ -316,9 +320,9 @@
             self._callers.pop(worker.worker_id, None)
         dispatch = self._by_service.get(worker.service)
         if dispatch is not None:
-            dispatch.wake()
+            dispatch.trigger()
 
     def _on_end(self, worker: Worker) -> None:
         caller = self._callers.get(worker.worker_id)
         if caller is not None:
-            caller.end()
+            caller.mark_exited()
--- a/src/trefoilpaddle/coordination/chain/cell_map.py
+++ b/src/trefoilpaddle/coordination/chain/cell_map.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CellsCut:
+class CellPartition:
     """The cells, and what they were cut by.
 
     Parameters
@@ -51,9 +51,9 @@
         self._region_of = region_of
         self._links = links
         self._stage_services: frozenset[str] = frozenset()
-        self._cut: CellsCut | None = None
+        self._cut: CellPartition | None = None
 
-    def put_in_force(self, table: RouteTable) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Take for stage workers those that `table` has make pieces."""
         self._stage_services = frozenset(
             name
@@ -74,7 +74,7 @@
         if self._cut is None or self._cut.seen != seen:
             listed = [w for name in of_services for w in self._workers.listed(name)]
             cells = cells_of(listed, self._region_of, self._n_borne)
-            self._cut = CellsCut(seen=seen, cells=cells)
+            self._cut = CellPartition(seen=seen, cells=cells)
         return self._cut.cells
 
     def of(self, services: set[str]) -> Sequence[Cell]:
--- a/src/trefoilpaddle/coordination/chain/cell_schedulers.py
+++ b/src/trefoilpaddle/coordination/chain/cell_schedulers.py
@@ -29,9 +29,9 @@
 from .chain_scheduler import ChainScheduler
 from .chain_wire import (
     cell_from_wire,
-    end_to_wire,
     handover_from_wire,
     handover_to_wire,
+    outcome_to_wire,
     work_from_wire,
 )
 
@@ -41,7 +41,7 @@
 Three times the longest deadline that callers are known to set.
 """
 
-SETTLED_S: Final = 1.0
+MIN_TENURE_S: Final = 1.0
 """Time after a cell was taken over in which it is not handed on for its rank.
 
 The gateway that handed it over may be known as live a moment longer, and would go
@@ -98,7 +98,7 @@
         process.server.answer(TakeCell, self._take)
         process.message_listeners.append(self._on_message)
 
-    def put_in_force(self, table: RouteTable) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Take workers for what `table` says of them."""
         for scheduler in self._by_cell.values():
             scheduler.dispatch.table = table
@@ -109,7 +109,7 @@
         # One that stops does not begin anew what it has handed over: chains would
         # go with it, and the workers be called from two sides.
         may_begin_anew = not self._is_stopping()
-        if scheduler is None or (scheduler.is_over() and may_begin_anew):
+        if scheduler is None or (scheduler.is_superseded() and may_begin_anew):
             scheduler = self._begin(cell, "from its first chain")
         scheduler.dispatch.failure_domains = cell.failure_domains
         self._cells[cell.name] = cell
@@ -124,7 +124,7 @@
             if not scheduler.successor and scheduler.began_s <= began_s
         ]
 
-    def cut(self, cells: Sequence[Cell]) -> None:
+    def update_cells(self, cells: Sequence[Cell]) -> None:
         """Go on with the cells that are scheduled here as they are cut now.
 
         A gateway to which no chain comes any more learns of a change no other way,
@@ -206,7 +206,7 @@
         self._note(cell, successor, "handed over", len(handover.workers))
         return True
 
-    def give_up(self) -> None:
+    def abandon_cells(self) -> None:
         """Send nothing more for cells that nobody took over: this process ends.
 
         Their chains go back to the gateways that sent them. Scheduled on, they
@@ -243,7 +243,7 @@
 
     async def _answer(self, question: RunChain, peer: Hello) -> ChainAnswer:
         work = work_from_wire(question)
-        return end_to_wire(await self.run(cell_from_wire(question), work))
+        return outcome_to_wire(await self.run(cell_from_wire(question), work))
 
     def _on_message(self, connection: Connection, message: Message) -> None:
         match message:
@@ -252,7 +252,7 @@
             case ResultsFreed():
                 scheduler = self._by_cell.get(message.cell)
                 if scheduler is not None:
-                    scheduler.dispatch.note_freed(
+                    scheduler.dispatch.record_freed(
                         message.worker_id, message.born_ms, message.handles
                     )
             case _:
--- a/src/trefoilpaddle/coordination/chain/chain_execution.py
+++ b/src/trefoilpaddle/coordination/chain/chain_execution.py
@@ -19,7 +19,7 @@
 from ...state.chain.repeat_budget import RepeatBudgets
 from ...state.journal import Decision, Event, Figure, Journal
 from .admission import Reservations
-from .cell_dispatch import CellDispatch, far_s
+from .cell_dispatch import CellDispatch, cross_domain_wait_s
 
 MAX_TRIES: Final = 3
 """Most times that one piece is sent to a worker; the third is the second repeat."""
@@ -99,7 +99,7 @@
         self._is_moved = False
         self._progress = ChainProgress(work=work)
         for each in work.made:
-            dispatch.adopt(each.made, work.stages[each.stage].result_bytes)
+            dispatch.adopt_result(each.made, work.stages[each.stage].result_bytes)
         self._reserved = {
             number
             for number in range(len(work.stages))
@@ -149,7 +149,7 @@
         """Count a stage's pieces as come, or as not coming any more, once."""
         if number in self._reserved:
             self._reserved.remove(number)
-            self._reservations.keep(
+            self._reservations.release(
                 self._work.stages[number].service, self._work.n_pieces[number]
             )
 
@@ -301,7 +301,7 @@
                 due_s=self._due_of(number),
                 deadline_s=self._work.deadline_s,
                 near=near,
-                far_s=far_s(n_bytes),
+                far_s=cross_domain_wait_s(n_bytes),
                 queued_s=time.monotonic(),
                 avoided=avoided,
                 on_fetched=functools.partial(self._note_fetched, number, piece),
--- a/src/trefoilpaddle/coordination/chain/chain_inputs.py
+++ b/src/trefoilpaddle/coordination/chain/chain_inputs.py
@@ -53,13 +53,13 @@
             self._made = end if isinstance(end, ChainMade) else None
         return None if self._made is None else self._made.handles
 
-    def read(self) -> None:
+    def mark_read(self) -> None:
         """Free them: a worker has read all of them."""
         if self._n_runs == 1 and self._made is not None:
             self._on_first_read(time.monotonic() - self._began_s)
-        self.lose()
+        self.mark_lost()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Take them for gone, and free what is left of them."""
         if self._made is not None and self._made.handles:
             self._made = None
--- a/src/trefoilpaddle/coordination/chain/chain_router.py
+++ b/src/trefoilpaddle/coordination/chain/chain_router.py
@@ -22,14 +22,14 @@
 from ...state.chain.workers import WorkerTable
 from ...transport.link import Link
 from .cell_map import CellMap
-from .cell_schedulers import SETTLED_S, CellSchedulers
-from .chain_wire import end_from_wire, work_to_wire
-from .scheduler_links import Place, SchedulerLinks, is_live
+from .cell_schedulers import MIN_TENURE_S, CellSchedulers
+from .chain_wire import outcome_from_wire, work_to_wire
+from .scheduler_links import SchedulerEndpoint, SchedulerLinks, is_live
 
 ASK_SLACK_S: Final = 0.1
 """Added to a chain's deadline; the scheduler itself gives up at it."""
 
-LOOK_S: Final = 0.25
+LIVENESS_CHECK_PERIOD_S: Final = 0.25
 """Time between looks whether a scheduler is heard; half a heartbeat."""
 
 N_CELLS_TRIED: Final = 2
@@ -42,7 +42,7 @@
 SETTLE_LOOK_S: Final = 0.02
 """Time between looks whether all gateways are known; soon after a start they are."""
 
-WATCH_S: Final = 0.25
+RANK_CHECK_PERIOD_S: Final = 0.25
 """Time between looks whether another gateway goes before this one."""
 
 HANDOVER_S: Final = 1.0
@@ -100,11 +100,11 @@
         self._cells = CellMap(workers=workers, region_of=region_of, links=links)
         self._refused: dict[str, tuple[float, float]] = {}
 
-    def put_in_force(self, table: RouteTable) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Take for stage workers those that `table` has make pieces."""
-        self._cells.put_in_force(table)
+        self._cells.activate(table)
 
-    async def run(self, work: ChainWork, place: Place) -> ChainEnd:
+    async def run(self, work: ChainWork, place: SchedulerEndpoint) -> ChainEnd:
         """Run a chain at one place."""
         if place.link is None:
             return await self._schedulers.run(place.cell, work)
@@ -120,21 +120,21 @@
             asking.cancel()
         match asking.result():
             case Ok(ChainAnswer() as answer):
-                return end_from_wire(answer)
+                return outcome_from_wire(answer)
             case Err(error):
                 logging.info("scheduler %s: %s", error.peer, error.detail)
                 return ChainFailed(reason=Reason.PEER_SILENT, is_begun=error.is_sent)
             case _:
                 return ChainFailed(reason=Reason.INTERNAL, is_begun=True)
 
-    def free(self, place: Place, request_id: str) -> None:
+    def free(self, place: SchedulerEndpoint, request_id: str) -> None:
         """Free what a chain has made, and end it if it still runs."""
         if place.link is None:
             self._schedulers.free(place.cell.name, request_id)
             return
         place.link.send(FreeChain(cell=place.cell.name, request_id=request_id))
 
-    def places(self, services: set[str], near: str) -> list[Place]:
+    def endpoints(self, services: set[str], near: str) -> list[SchedulerEndpoint]:
         """Return where a chain should be tried, best first.
 
         The cell of `near` comes first, as results that cross failure domains
@@ -149,34 +149,36 @@
             return has_refused, finish_s * has_refused, is_far, random.random()
 
         ranked = sorted(self._cells.of(services), key=rank)
-        return [self.links.place(cell) for cell in ranked[:N_CELLS_TRIED]]
+        return [self.links.endpoint(cell) for cell in ranked[:N_CELLS_TRIED]]
 
-    async def connected_places(self, services: set[str], near: str) -> list[Place]:
+    async def connected_endpoints(
+        self, services: set[str], near: str
+    ) -> list[SchedulerEndpoint]:
         """Return the same, once new links to schedulers are connected."""
         while not self._is_settled():  # noqa: ASYNC110
             await asyncio.sleep(SETTLE_LOOK_S)
         for cell in self._cells.of(services):
             await self.links.connect(cell)
-        return self.places(services, near)
+        return self.endpoints(services, near)
 
     def may_repeat(self, services: set[str]) -> bool:
         """Take a repeat of each service; return False if one has none left."""
         now_s = time.monotonic()
         return all(self._budgets.of(service).spend(now_s) for service in services)
 
-    def note_refusal(self, place: Place, finish_s: float) -> None:
+    def record_refusal(self, place: SchedulerEndpoint, finish_s: float) -> None:
         """Remember that a cell was full."""
         self._refused[place.cell.name] = (time.monotonic(), finish_s)
 
     async def watch(self) -> None:
         """Keep links to schedulers, and hand cells over, until cancelled."""
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(RANK_CHECK_PERIOD_S)
             try:
                 cells = self._cells.all()
-                self.links.keep(cells)
-                self._schedulers.cut(cells)
-                for cell in self._schedulers.active(for_s=SETTLED_S):
+                self.links.keep_links(cells)
+                self._schedulers.update_cells(cells)
+                for cell in self._schedulers.active(for_s=MIN_TENURE_S):
                     await self._hand_over(cell)
             except Exception:
                 # A fault here would end all handovers, and nothing would show it.
@@ -197,9 +199,9 @@
             await asyncio.gather(*(self._hand_over_now(cell) for cell in cells))
             await asyncio.sleep(HANDOVER_RETRY_S)
 
-    def give_up_all(self) -> None:
+    def abandon_cells(self) -> None:
         """Schedule no cell any more: this gateway's requests are answered."""
-        self._schedulers.give_up()
+        self._schedulers.abandon_cells()
 
     async def _hand_over_now(self, cell: Cell) -> None:
         """Hand a cell over, once the link to its next scheduler is connected."""
@@ -212,7 +214,7 @@
 
     async def _hand_over(self, cell: Cell) -> None:
         """Hand a cell over to the gateway that goes before this one, if any does."""
-        place = self.links.place(cell)
+        place = self.links.endpoint(cell)
         if place.link is None or place.link.peer is None:
             return
         successor = place.link.peer.process_id
@@ -228,5 +230,5 @@
     while not asking.done():
         if not is_live(link):
             return False
-        await asyncio.wait({asking}, timeout=LOOK_S)
+        await asyncio.wait({asking}, timeout=LIVENESS_CHECK_PERIOD_S)
     return True
--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -23,7 +23,7 @@
 from ...state.chain.refused_chains import RefusedChains
 from ...state.chain.repeat_budget import RepeatBudgets
 from ...state.journal import Decision, Event, Figure, Journal
-from .admission import Reservations, allowed_s, forecast_s, least_s
+from .admission import Reservations, admission_limit_s, forecast_s, unloaded_duration_s
 from .cell_dispatch import CellDispatch
 from .chain_execution import ChainExecution
 from .overdue_queue import OverdueQueue
@@ -37,7 +37,7 @@
 KEEP_EXECUTIONS_S: Final = 30.0
 """A chain that nobody has freed by then is forgotten; its results ran out long ago."""
 
-LATE_SHARE: Final = 0.2
+OVERDUE_WAIT_SHARE: Final = 0.2
 """Part of its time to wait up to which a chain that is late is let in.
 
 Less than the least urgent chain on time may use up, so that it yields to all.
@@ -101,7 +101,7 @@
         self._waits = BearableWaits()
         self._overdue = OverdueQueue(
             has_capacity=self._has_capacity_for_late,
-            least_s=lambda work: least_s(work, self.dispatch),
+            least_s=lambda work: unloaded_duration_s(work, self.dispatch),
         )
         self._executions: dict[str, ChainExecution] = {}
         self._handed_s = 0.0
@@ -133,10 +133,10 @@
         """
         self.successor = successor
         self._handed_s = time.monotonic()
-        self._overdue.move()
-        self.dispatch.move()
+        self._overdue.release_all()
+        self.dispatch.redirect_pieces()
 
-    def is_over(self) -> bool:
+    def is_superseded(self) -> bool:
         """Return True if another gateway has long scheduled the cell."""
         is_old = time.monotonic() - self._handed_s > HANDED_S
         return bool(self.successor) and is_old
@@ -156,7 +156,7 @@
             self._note(Event.REFUSED, reason, work, finish_s, limit_s, "too late")
             return ChainFailed(reason=reason, is_begun=False, finish_s=finish_s)
         is_late = work.must_be_on_time and finish_s > limit_s
-        if is_late and first_due_s is not None and self._overdue.takes(work):
+        if is_late and first_due_s is not None and self._overdue.may_wait(work):
             self._note(Event.QUEUED, Reason.NONE, work, finish_s, limit_s, detail)
             is_late = not await self._overdue.wait(work)
             if self.successor:
@@ -183,7 +183,7 @@
         Not of one of which the scheduler before has made a part.
         """
         left_s = work.deadline_s - now_s
-        return not work.made and least_s(work, self.dispatch) > left_s
+        return not work.made and unloaded_duration_s(work, self.dispatch) > left_s
 
     async def _execute(self, work: ChainWork) -> ChainEnd:
         execution = ChainExecution(
@@ -218,7 +218,7 @@
         finish_s = forecast_s(work, self.dispatch, self._reservations)
         services = frozenset(plan.service for plan in work.stages)
         wait_s = self._waits.of_more_urgent(ALL_PRIORITIES, services, now_s)
-        limit_s = least_s(work, self.dispatch) + LATE_SHARE * min(
+        limit_s = unloaded_duration_s(work, self.dispatch) + OVERDUE_WAIT_SHARE * min(
             wait_s, MAX_LATE_WAIT_S
         )
         return finish_s is not None and finish_s <= limit_s
@@ -232,11 +232,11 @@
         be done by then, it is late whatever is done: it is let in where little
         waits, and takes no place from one that can be on time.
         """
-        unhindered_s = least_s(work, self.dispatch)
+        unhindered_s = unloaded_duration_s(work, self.dispatch)
         left_s = work.due_s - now_s
         services = frozenset(plan.service for plan in work.stages)
         urgent_wait_s = self._waits.of_more_urgent(work.priority, services, now_s)
-        limit_s = allowed_s(work, left_s, unhindered_s, urgent_wait_s)
+        limit_s = admission_limit_s(work, left_s, unhindered_s, urgent_wait_s)
         if first_due_s is None:
             self._waits.note(
                 work.route,
@@ -247,7 +247,7 @@
             )
         if first_due_s is None:
             return limit_s + A_LITTLE_LATE_S
-        spare_s = LATE_SHARE * max(0.0, work.due_s - now_s - unhindered_s)
+        spare_s = OVERDUE_WAIT_SHARE * max(0.0, work.due_s - now_s - unhindered_s)
         return max(first_due_s - now_s, unhindered_s + spare_s)
 
     def _note(
--- a/src/trefoilpaddle/coordination/chain/chain_wire.py
+++ b/src/trefoilpaddle/coordination/chain/chain_wire.py
@@ -78,7 +78,7 @@
     return Cell(name=question.cell, failure_domains=frozenset(question.failure_domains))
 
 
-def end_to_wire(end: ChainEnd) -> wire.ChainAnswer:
+def outcome_to_wire(end: ChainEnd) -> wire.ChainAnswer:
     """Return an end as it is sent."""
     match end:
         case ChainMade():
@@ -102,7 +102,7 @@
             )
 
 
-def end_from_wire(answer: wire.ChainAnswer) -> ChainEnd:
+def outcome_from_wire(answer: wire.ChainAnswer) -> ChainEnd:
     """Return the end that was sent."""
     if answer.is_made:
         return ChainMade(
--- a/src/trefoilpaddle/coordination/chain/crash_guard.py
+++ b/src/trefoilpaddle/coordination/chain/crash_guard.py
@@ -21,7 +21,7 @@
 from .crash_relay import CrashRelay
 from .target_calls import TargetCalls
 from .watched_runs import WatchedCall, WatchedRun
-from .worker_ends import PENDING_S, Evidence, WorkerEnds
+from .worker_exits import PENDING_S, Evidence, WorkerExits
 
 APART_RETRY_S: Final = 1.0
 """When to come back with a request that runs apart; most runs are over by then."""
@@ -79,12 +79,12 @@
         self._apart = ApartRuns()
         self._n_open: Counter[str] = Counter()
         self._rate = EndRate()
-        self._ends = WorkerEnds(
+        self._ends = WorkerExits(
             workers=workers, calls=calls, journal=journal, on_ended=self._on_ended
         )
-        relay.on_crash = self.hear_crash
+        relay.on_crash = self.receive_crash
         relay.on_clear = self.clear
-        relay.on_run = self.hear_run
+        relay.on_run = self.receive_run
 
     def refusal(self, fingerprint: str) -> Refused | None:
         """Return why a request may not be sent to a worker now, or None."""
@@ -98,17 +98,17 @@
 
     def refusal_of_any(self, fingerprints: Iterable[str]) -> Refused | None:
         """Return why the first of several may not be sent now, or None."""
-        if self.is_quiet:
+        if self.has_no_crashes:
             return None
         refusals = map(self.refusal, fingerprints)
         return next((each for each in refusals if each is not None), None)
 
     @property
-    def is_quiet(self) -> bool:
+    def has_no_crashes(self) -> bool:
         """True while no request is known to have crashed a worker."""
         return not len(self._book)
 
-    def standing(self, fingerprint: str) -> Standing:
+    def status(self, fingerprint: str) -> Standing:
         """Return what may be done with a request now."""
         return self._book.standing(fingerprint)
 
@@ -120,7 +120,7 @@
         """Return True if a request is to run apart from others."""
         return self._book.standing(fingerprint) is Standing.SUSPECT
 
-    def workers_apart(self) -> frozenset[str]:
+    def isolating_workers(self) -> frozenset[str]:
         """Return the workers at which suspects run; others go elsewhere."""
         return self._apart.workers()
 
@@ -151,7 +151,7 @@
             # Only once it is known whether the worker is gone is the next run judged
             # by this one.
             close = partial(self._close, fingerprint, apart)
-            self._ends.call_settled(worker, close)
+            self._ends.call_after_check(worker, close)
 
     @contextmanager
     def running_call(
@@ -167,16 +167,16 @@
                 },
             )
 
-    async def settled(self, worker: Worker) -> None:
+    async def wait_for_exit_check(self, worker: Worker) -> None:
         """Wait until it is known whether a worker whose answer broke is gone."""
-        await self._ends.settled(worker)
+        await self._ends.wait_for_check(worker)
 
-    def known(self) -> Iterator[tuple[str, tuple[Crash, ...]]]:
+    def crashes_by_request(self) -> Iterator[tuple[str, tuple[Crash, ...]]]:
         """Yield each request that workers have ended under, with their ends."""
         for fingerprint in self._book.fingerprints():
             yield fingerprint, self._book.crashes(fingerprint)
 
-    def lift(self, fingerprint: str) -> bool:
+    def unblock(self, fingerprint: str) -> bool:
         """Let a request run again at all gateways; False if nothing is known of it."""
         is_known = bool(self._book.crashes(fingerprint))
         if is_known:
@@ -187,7 +187,7 @@
         """Count a request as one that crashes no workers."""
         is_known = bool(self._book.crashes(fingerprint))
         if self._book.clear(fingerprint):
-            self._relay.tell_clear(fingerprint)
+            self._relay.announce_clear(fingerprint)
         if is_known:
             self._note(Event.REQUEST_CLEARED, fingerprint)
 
@@ -208,7 +208,7 @@
             case RunEnd.REFUSED:
                 self._ends.confirm(worker, Evidence.REFUSES)
             case RunEnd.BROKEN | RunEnd.SILENT | RunEnd.LEFT:
-                self._ends.note(
+                self._ends.record(
                     OpenEndedRun(
                         worker=worker,
                         fingerprint=fingerprint,
@@ -228,17 +228,17 @@
             )
             self._take(run.fingerprint, crash)
 
-    def hear_crash(self, fingerprint: str, crash: Crash) -> None:
+    def receive_crash(self, fingerprint: str, crash: Crash) -> None:
         """Take in what a peer has seen, and what ran at that worker from here."""
         if self._book.is_cleared(fingerprint, crash):
             # Its peer was out of touch when the request was cleared.
-            self._relay.tell_clear(fingerprint)
+            self._relay.announce_clear(fingerprint)
             return
         self._take(fingerprint, crash)
         worker = self._workers.get(crash.worker_id)
         is_recent = time.monotonic() - crash.ended_s < PENDING_S
         if worker is not None and worker.born_ms == crash.born_ms and is_recent:
-            self._ends.confirm(worker, Evidence.TOLD)
+            self._ends.confirm(worker, Evidence.REPORTED)
 
     def _take(self, fingerprint: str, crash: Crash) -> None:
         if not self._rate.takes(crash.worker_id, crash.ended_s):
@@ -246,18 +246,18 @@
         before = self._book.standing(fingerprint)
         if not self._book.note(fingerprint, crash):
             return
-        self._relay.tell_crash(fingerprint)
+        self._relay.announce_crash(fingerprint)
         standing = self._book.standing(fingerprint)
         if standing is not before and standing in NOTED:
             self._note(NOTED[standing], fingerprint)
 
-    def hear_run(self, run: ApartRun) -> bool:
+    def receive_run(self, run: ApartRun) -> bool:
         """Take in where a peer runs a suspect; return True if it was news."""
         return self._apart.hear(run)
 
     def _tell_apart(self, run: ApartRun) -> None:
         self._apart.hear(run)
-        self._relay.tell_run(run)
+        self._relay.announce_run(run)
 
     def _note(self, event: Event, fingerprint: str) -> None:
         now_s = time.monotonic()
--- a/src/trefoilpaddle/coordination/chain/crash_relay.py
+++ b/src/trefoilpaddle/coordination/chain/crash_relay.py
@@ -80,17 +80,17 @@
         self.on_run: Callable[[ApartRun], bool] = _ignore_run
         process.message_listeners.append(self._on_message)
 
-    def tell_crash(self, fingerprint: str) -> None:
+    def announce_crash(self, fingerprint: str) -> None:
         """Pass on the crashes of a request."""
         self._crashed[fingerprint] = None
         self._is_due.set()
 
-    def tell_clear(self, fingerprint: str) -> None:
+    def announce_clear(self, fingerprint: str) -> None:
         """Pass on that a request is cleared."""
         self._cleared[fingerprint] = None
         self._is_due.set()
 
-    def tell_run(self, run: ApartRun) -> None:
+    def announce_run(self, run: ApartRun) -> None:
         """Pass on that a run is kept apart, or has ended."""
         self._runs[run.run_id] = run
         self._is_due.set()
@@ -180,7 +180,7 @@
             self.on_clear(fingerprint)
         for run in message.runs:
             if is_fingerprint(run.fingerprint) and self.on_run(_run_from_wire(run)):
-                self.tell_run(_run_from_wire(run))
+                self.announce_run(_run_from_wire(run))
 
 
 def _crash_from_wire(crash: WorkerCrash, now_s: float) -> Crash:
--- a/src/trefoilpaddle/coordination/chain/dispatch_look.py
+++ b/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
@@ -8,7 +8,7 @@
 from .worker_caller import WorkerCaller
 
 
-class DispatchLook:
+class DispatchSnapshot:
     """The times of all workers at one moment, and those that are free still.
 
     Within a dispatch only a call that it sends changes a worker's times. Looked at
@@ -86,11 +86,11 @@
         """True while a free worker was not taken."""
         return bool(self._free)
 
-    def soonest_s(self) -> float:
+    def shortest_call_s(self) -> float:
         """Return the shortest call of one piece at any worker."""
         return min(self._call_s)
 
-    def soonest_free_s(self) -> float:
+    def shortest_free_call_s(self) -> float:
         """Return the shortest call of one piece at a worker that is free still."""
         return min(group[0][0] for group in self._free.values())
 
@@ -117,7 +117,7 @@
             del self._free[domain]
         return self._callers[at]
 
-    def n_passed(self, caller: WorkerCaller) -> int:
+    def n_skipped(self, caller: WorkerCaller) -> int:
         """Return how many of the first pieces other workers have done sooner.
 
         A worker that has become slow is free most of the time, as it is given
@@ -135,7 +135,7 @@
         pace_per_s = sum(self._paces_per_s[at + 1 :], self._paces_before_per_s[at])
         return int(gain_s * pace_per_s)
 
-    def note_started(self, caller: WorkerCaller) -> None:
+    def refresh(self, caller: WorkerCaller) -> None:
         """Look again at a worker that was sent a call."""
         at = self._positions[id(caller)]
         self._busy_s[at] = caller.known.busy_s(self._now_s)
--- a/src/trefoilpaddle/coordination/chain/fleet.py
+++ b/src/trefoilpaddle/coordination/chain/fleet.py
@@ -32,7 +32,7 @@
 SETTLE_AT_MOST_S: Final = 0.8
 """Time after its start from which a gateway goes by what it knows."""
 
-LEAST_GATEWAYS: Final = 4
+MIN_SHARING_GATEWAYS: Final = 4
 """Budgets are split among so many gateways at least.
 
 A gateway that has just started, or that is cut off, sees itself alone; it must
@@ -58,7 +58,7 @@
         self._watch = PeerWatch(
             process=process, membership=self.membership, is_wanted=_never
         )
-        self._most = LEAST_GATEWAYS
+        self._most = MIN_SHARING_GATEWAYS
         self._began_s = time.monotonic()
 
     def is_settled(self) -> bool:
--- a/src/trefoilpaddle/coordination/chain/overdue_queue.py
+++ b/src/trefoilpaddle/coordination/chain/overdue_queue.py
@@ -16,14 +16,14 @@
 WAIT_SHARE: Final = 0.4
 """Part of the time to its deadline that a chain waits."""
 
-LEAST_WAIT_S: Final = 4.0
+MIN_WAIT_S: Final = 4.0
 """Who cannot wait for so long does not wait at all.
 
 A load that comes suddenly often lasts for some seconds. Shorter waits mostly end
 before it does, and then the caller has waited for nothing.
 """
 
-USUAL_WAIT_S: Final = 5.0
+DEFAULT_WAIT_S: Final = 5.0
 """Who can wait for so long does, also where it is more than that part."""
 
 WORK_RATIO: Final = 2.0
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Waiting:
+class WaitingChain:
     """One chain that waits.
 
     Parameters
@@ -82,17 +82,17 @@
     ) -> None:
         self._has_capacity = has_capacity
         self._least_s = least_s
-        self._waiting: list[Waiting] = []
+        self._waiting: list[WaitingChain] = []
         self._looking: asyncio.Task[None] | None = None
 
-    def takes(self, work: ChainWork) -> bool:
+    def may_wait(self, work: ChainWork) -> bool:
         """Return True if a chain may wait: it has long, and not too many do."""
-        has_long = self._wait_s(work) >= LEAST_WAIT_S
+        has_long = self._wait_s(work) >= MIN_WAIT_S
         return has_long and len(self._waiting) < MAX_WAITING
 
     async def wait(self, work: ChainWork) -> bool:
         """Wait until there is capacity; return False if there was none in time."""
-        waiting = Waiting(work=work, until_s=time.monotonic() + self._wait_s(work))
+        waiting = WaitingChain(work=work, until_s=time.monotonic() + self._wait_s(work))
         self._waiting.append(waiting)
         self._waiting.sort(key=lambda each: (each.work.priority, each.until_s))
         if self._looking is None or self._looking.done():
@@ -103,7 +103,7 @@
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
 
-    def move(self) -> None:
+    def release_all(self) -> None:
         """Let all go on: another gateway schedules their cell now."""
         for waiting in list(self._waiting):
             self._settle(waiting, is_let_in=True)
@@ -128,7 +128,7 @@
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
-    def _settle(self, waiting: Waiting, *, is_let_in: bool) -> None:
+    def _settle(self, waiting: WaitingChain, *, is_let_in: bool) -> None:
         self._waiting.remove(waiting)
         if not waiting.let_in.done():
             waiting.let_in.set_result(is_let_in)
@@ -137,4 +137,4 @@
         """Return how long a chain may wait from now, and still be made in time."""
         left_s = work.deadline_s - time.monotonic()
         most_s = left_s - WORK_RATIO * self._least_s(work)
-        return min(most_s, max(WAIT_SHARE * left_s, USUAL_WAIT_S))
+        return min(most_s, max(WAIT_SHARE * left_s, DEFAULT_WAIT_S))
--- a/src/trefoilpaddle/coordination/chain/planned_stop.py
+++ b/src/trefoilpaddle/coordination/chain/planned_stop.py
@@ -10,7 +10,7 @@
 from ...protocol.reasons import Reason
 from ...state.chain.delivery import Delivery
 from ...state.chain.routes import Route
-from .answer_bound import AnswerBound
+from .answer_deadline import AnswerDeadline
 
 TAKE_STREAMS_S: Final = 2.8
 """Streams are taken so long after the order.
@@ -61,7 +61,7 @@
         self._grace_s = grace_s
         self._ordered = asyncio.Event()
         self._ordered_s = math.inf
-        self._bounds: set[AnswerBound] = set()
+        self._bounds: set[AnswerDeadline] = set()
         self.is_closing = False
 
     @property
@@ -81,7 +81,7 @@
         self._ordered_s = time.monotonic()
         self._ordered.set()
         for bound in self._bounds:
-            bound.renew()
+            bound.refresh()
 
     @property
     def since_s(self) -> float:
@@ -106,14 +106,14 @@
         """Return how long answers may still go out."""
         return max(0.0, self.left_s() - CLOSE_S)
 
-    def takes(self, route: Route) -> bool:
+    def accepts(self, route: Route) -> bool:
         """Return True if a request of `route` can still be answered whole."""
         if time.monotonic() >= self.send_until_s:
             return False
         return not route.is_stream or self.since_s < TAKE_STREAMS_S
 
     @contextlib.asynccontextmanager
-    async def bounding(
+    async def answer_deadline(
         self, delivery: Delivery, deadline_s: float
     ) -> AsyncIterator[None]:
         """End what runs in the context while its request can still be answered.
@@ -123,7 +123,7 @@
         AnswerDueError
             When the request must be answered now.
         """
-        bound = AnswerBound(
+        bound = AnswerDeadline(
             delivery=delivery, ends_s=lambda: self._ends_s(delivery, deadline_s)
         )
         self._bounds.add(bound)
--- a/src/trefoilpaddle/coordination/chain/request_notes.py
+++ b/src/trefoilpaddle/coordination/chain/request_log.py
@@ -10,7 +10,7 @@
 from .planned_stop import PlannedStop
 
 
-class RequestNotes:
+class RequestLog:
     """Writes the end of one request to the journal.
 
     Parameters
@@ -40,7 +40,7 @@
         self._table = table
         self._route = route
 
-    def end(self, outcome: Outcome) -> None:
+    def record_outcome(self, outcome: Outcome) -> None:
         """Log how the request ended."""
         match outcome:
             case Answered():
@@ -55,7 +55,7 @@
             case Failed():
                 self._note(Event.REQUEST_FAILED, reason=outcome.reason)
 
-    def cut(self, delivery: Delivery, stop: PlannedStop) -> None:
+    def record_undelivered(self, delivery: Delivery, stop: PlannedStop) -> None:
         """Log that nobody takes the answer: the caller left, or this process goes."""
         if not stop.is_closing:
             self._note(Event.CALLER_LEFT)
--- a/src/trefoilpaddle/coordination/chain/request_path.py
+++ b/src/trefoilpaddle/coordination/chain/request_path.py
@@ -18,7 +18,7 @@
 from ...state.chain.routes import Account, Route, RouteTable
 from ...state.chain.workers import WorkerTable
 from ...state.journal import Journal
-from .answer_bound import AnswerDueError
+from .answer_deadline import AnswerDueError
 from .attempts import Attempts
 from .caller_sink import CallerSink
 from .chain_inputs import ChainInputs
@@ -26,7 +26,7 @@
 from .crash_guard import CrashGuard
 from .job import Job
 from .planned_stop import PlannedStop
-from .request_notes import RequestNotes
+from .request_log import RequestLog
 from .running_chain import running_chain
 from .target_calls import TargetCalls
 from .worker_choice import Need, WorkerChoice
@@ -121,7 +121,7 @@
         self._stop = stop
         self.table = RouteTable()
 
-    def put_in_force(self, table: RouteTable) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Serve by `table` from now on; requests under way keep theirs."""
         self.table = table
 
@@ -133,15 +133,15 @@
         table = self.table
         route = table.match(request.host, request.path)
         delivery = Delivery()
-        notes = RequestNotes(
+        notes = RequestLog(
             journal=self._journal, request=request, table=table, route=route
         )
         try:
             outcome = await self._serve(request, table, route, delivery, sink)
         except asyncio.CancelledError:
-            notes.cut(delivery, self._stop)
+            notes.record_undelivered(delivery, self._stop)
             raise
-        notes.end(outcome)
+        notes.record_outcome(outcome)
         return outcome
 
     async def _serve(
@@ -158,7 +158,7 @@
             )
         if route is None:
             return Refused(reason=Reason.NO_ENTRY)
-        if not self._stop.takes(route):
+        if not self._stop.accepts(route):
             return Refused(reason=Reason.STOPPING, retry_after_s=ELSEWHERE_S)
         account = self._account(table, route, request)
         if account is None:
@@ -179,7 +179,7 @@
         if refusal is not None:
             return refusal
         try:
-            async with self._stop.bounding(delivery, deadline_s + LAST_S):
+            async with self._stop.answer_deadline(delivery, deadline_s + LAST_S):
                 return await self._run(job, delivery, sink)
         except AnswerDueError as due:
             is_stop = due.reason is Reason.STOPPING
@@ -262,7 +262,7 @@
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
-            attempts.leave()
+            attempts.stop_retrying()
             raise
 
     def _finished(self, running: "asyncio.Task[Outcome]") -> None:
--- a/src/trefoilpaddle/coordination/chain/result_freeing.py
+++ b/src/trefoilpaddle/coordination/chain/result_freeing.py
@@ -7,7 +7,7 @@
 from ...state.chain.workers import Worker, WorkerTable
 from .target_calls import TargetCalls
 
-GATHER_S: Final = 0.05
+BATCH_WINDOW_S: Final = 0.05
 """Time in which results that are read join one call to their maker.
 
 A fifth of a call; where memory binds unseen, it is taken for no longer than that.
@@ -67,9 +67,9 @@
     def free(self, handle: str) -> None:
         """Free a result, together with others that come meanwhile."""
         self._handles.append(handle)
-        self.look()
+        self.flush()
 
-    def look(self) -> None:
+    def flush(self) -> None:
         """Free what was gathered at once where memory is short, else in a moment."""
         is_sending = self._task is not None and not self._task.done()
         if is_sending or not self._handles:
@@ -78,7 +78,7 @@
             self._begin()
         elif self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(GATHER_S, self._begin)
+            self._timer = loop.call_later(BATCH_WINDOW_S, self._begin)
 
     def _begin(self) -> None:
         if self._timer is not None:
--- a/src/trefoilpaddle/coordination/chain/running_chain.py
+++ b/src/trefoilpaddle/coordination/chain/running_chain.py
@@ -14,7 +14,7 @@
     ChainWork,
 )
 from .chain_router import ChainRouter
-from .scheduler_links import Place
+from .scheduler_links import SchedulerEndpoint
 
 MAX_MOVES: Final = 4
 """Times that a chain follows its cell to another gateway.
@@ -55,7 +55,7 @@
         self._router = router
         self._work = work
         self._has_run = False
-        self._place: Place | None = None
+        self._place: SchedulerEndpoint | None = None
 
     async def run(self) -> ChainEnd:
         """Run it where it can be on time; return its last end.
@@ -85,16 +85,16 @@
         if not services:
             return ChainMade(handles=())
         end: ChainEnd = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
-        for place in await self._router.connected_places(services, work.near):
+        for place in await self._router.connected_endpoints(services, work.near):
             end = await self._follow(work, place)
             if not isinstance(end, ChainFailed) or end.is_begun:
                 return end
             if self._place is not None:
-                self._router.note_refusal(self._place, end.finish_s)
+                self._router.record_refusal(self._place, end.finish_s)
             self._place = None
         return end
 
-    async def _follow(self, work: ChainWork, place: Place) -> ChainEnd:
+    async def _follow(self, work: ChainWork, place: SchedulerEndpoint) -> ChainEnd:
         """Run it at a place, and where its cell goes meanwhile; return its end."""
         for _ in range(MAX_MOVES):
             self._place = place
@@ -104,10 +104,10 @@
             # What was admitted before is not judged again.
             must_be_on_time = work.must_be_on_time and not end.is_admitted
             work = replace(work, made=end.made, must_be_on_time=must_be_on_time)
-            moved = self._router.links.place_of(place.cell, end.successor)
+            moved = self._router.links.endpoint_at(place.cell, end.successor)
             if moved is None:
                 await self._router.links.connect(place.cell)
-                moved = self._router.links.place(place.cell)
+                moved = self._router.links.endpoint(place.cell)
             place = moved
         return ChainFailed(reason=Reason.PEER_SILENT, is_begun=bool(work.made))
 
--- a/src/trefoilpaddle/coordination/chain/scheduler_links.py
+++ b/src/trefoilpaddle/coordination/chain/scheduler_links.py
@@ -17,7 +17,7 @@
 from ...transport.peers import Peers
 from ..members.duty_rank import duty_rank
 
-SCHEDULER_SILENT_S: Final = 1.6
+SCHEDULER_TIMEOUT_S: Final = 1.6
 """A scheduler that was not heard for this long is passed over, its chains run again.
 
 Heartbeats come every 0.5 s, every second from one with many connections; a lost
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Place:
+class SchedulerEndpoint:
     """Where a chain can go.
 
     Parameters
@@ -93,7 +93,7 @@
         self._rankings = Rankings(live=())
         self._n_changes = 0
 
-    def place(self, cell: Cell) -> Place:
+    def endpoint(self, cell: Cell) -> SchedulerEndpoint:
         """Return the place of a cell's scheduler.
 
         All gateways agree on the oldest of the strongest of the cell. Every
@@ -109,8 +109,8 @@
                 break
             link = self._link(member)
             if link is not None and is_live(link):
-                return Place(cell=cell, link=link)
-        return Place(cell=cell, link=None)
+                return SchedulerEndpoint(cell=cell, link=link)
+        return SchedulerEndpoint(cell=cell, link=None)
 
     def _ranked(self, cell: Cell) -> list[MemberRecord]:
         """Return the gateways that may schedule a cell, the first first."""
@@ -168,19 +168,19 @@
                         await link.opened.wait()
                 return
 
-    def place_of(self, cell: Cell, process_id: str) -> Place | None:
+    def endpoint_at(self, cell: Cell, process_id: str) -> SchedulerEndpoint | None:
         """Return a cell's place at a gateway, or None if that is not live."""
         for member in self._live():
             if member.process_id != process_id:
                 continue
             if process_id == self._own_id:
-                return Place(cell=cell, link=None)
+                return SchedulerEndpoint(cell=cell, link=None)
             link = self._link(member)
             if link is not None and is_live(link):
-                return Place(cell=cell, link=link)
+                return SchedulerEndpoint(cell=cell, link=link)
         return None
 
-    def keep(self, cells: Iterable[Cell]) -> None:
+    def keep_links(self, cells: Iterable[Cell]) -> None:
         """Keep links to those that schedule cells, or will next."""
         live = {_start_of(member) for member in self._live()}
         self._dialled_s = {
@@ -202,4 +202,4 @@
     connection = link.connection
     if connection is None:
         return False
-    return time.monotonic() - connection.heard_s < SCHEDULER_SILENT_S
+    return time.monotonic() - connection.heard_s < SCHEDULER_TIMEOUT_S
--- a/src/trefoilpaddle/coordination/chain/service_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/service_dispatch.py
@@ -9,7 +9,7 @@
 from ...state.chain.piece_queue import MayShare, PieceQueue
 from ...state.chain.piece_work import PieceFault, PieceWork
 from .crash_guard import CrashGuard
-from .dispatch_look import DispatchLook
+from .dispatch_snapshot import DispatchSnapshot
 from .worker_caller import WorkerCaller
 
 GATHER_S: Final = 0.002
@@ -62,9 +62,9 @@
     def resume(self) -> None:
         """Send calls again."""
         self._is_stopped = False
-        self.wake()
+        self.trigger()
 
-    def move(self) -> None:
+    def redirect_pieces(self) -> None:
         """Give up what waits and what still comes: another scheduler has it made.
 
         A call that ends after the handover sets off the next stage here. Queued
@@ -91,7 +91,7 @@
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(GATHER_S, self._gathered)
 
-    def wake(self) -> None:
+    def trigger(self) -> None:
         """Send what can be sent: a worker may be free, or memory was freed."""
         if len(self.queue):
             self._dispatch()
@@ -125,39 +125,39 @@
         self, free: list[WorkerCaller], callers: Sequence[WorkerCaller], now_s: float
     ) -> None:
         """Send what waits to the workers that are free, one after another."""
-        look = DispatchLook(callers=callers, free=free, now_s=now_s)
-        self.queue.drop_hopeless(now_s + look.soonest_s())
-        if not self._guard.is_quiet:
-            self.queue.drop_blocked(self._guard.standing)
+        look = DispatchSnapshot(callers=callers, free=free, now_s=now_s)
+        self.queue.drop_hopeless(now_s + look.shortest_call_s())
+        if not self._guard.has_no_crashes:
+            self.queue.drop_blocked(self._guard.status)
         self.queue.allow_avoided({caller.worker.worker_id for caller in callers})
         first: PieceWork | None = None
         is_late = False
         while len(self.queue) and look.has_free:
             # With fewer free workers the soonest end comes later, which changes the
             # most urgent piece only when it was on time and is not any more.
-            done_s = now_s + look.soonest_free_s()
+            done_s = now_s + look.shortest_free_call_s()
             if first is None or (not is_late and first.due_s < done_s):
                 first = self.queue.first(done_s)
                 is_late = first is not None and first.due_s < done_s
             caller = look.take_next(first)
-            n_passed = look.n_passed(caller)
+            n_passed = look.n_skipped(caller)
             offer = caller.known.offer(
                 now_s, n_passed=n_passed, near_free_in_s=look.free_in_s
             )
             batch = self.queue.take_batch(offer, self._may_share())
             if batch:
                 caller.start(batch, n_waiting=len(self.queue))
-                look.note_started(caller)
+                look.refresh(caller)
                 first = None
             elif not n_passed:
                 caller.block(now_s)
 
     def _may_share(self) -> MayShare | None:
         """Return what keeps suspects apart in a call; None if there are none."""
-        if self._guard.is_quiet:
+        if self._guard.has_no_crashes:
             return None
         return CallSharing(
-            standing=self._guard.standing, is_running=self._guard.is_running
+            standing=self._guard.status, is_running=self._guard.is_running
         ).may_share
 
     def _look_again(self) -> None:
@@ -171,7 +171,7 @@
         if callers:
             now_s = time.monotonic()
             self.queue.drop_hopeless(now_s + _soonest_s(callers, 1, now_s))
-        self.wake()
+        self.trigger()
 
 
 def _soonest_s(callers: Sequence[WorkerCaller], n_pieces: int, now_s: float) -> float:
--- a/src/trefoilpaddle/coordination/chain/target_calls.py
+++ b/src/trefoilpaddle/coordination/chain/target_calls.py
@@ -72,7 +72,7 @@
     ) -> AbstractAsyncContextManager[Result[OpenAnswer, CallFault]]:
         """Send a request; its connection is closed when the context ends."""
 
-    async def make_pieces(
+    async def run_pieces(
         self,
         worker: Worker,
         works: Sequence[PieceWork],
--- a/src/trefoilpaddle/coordination/chain/worker_caller.py
+++ b/src/trefoilpaddle/coordination/chain/worker_caller.py
@@ -18,7 +18,7 @@
 from ...state.chain.target_answers import CallFault, WorkerReport
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Journal
-from .call_notes import CallNote, CallNotes
+from .call_log import CallLog, CallSummary
 from .crash_guard import CrashGuard
 from .result_freeing import ResultFreeing
 from .target_calls import TargetCalls
@@ -33,7 +33,7 @@
 REPORT_TIMEOUT_S: Final = 0.3
 """Longest wait for a worker's report; about a call, which it might do meanwhile."""
 
-FETCH_S: Final = 0.04
+INPUT_FETCH_S: Final = 0.04
 """Time after a call was sent by which its worker has fetched all inputs.
 
 It begins with them when the call's turn comes, which is at once as it makes no
@@ -137,7 +137,7 @@
         self.known = KnownWorker(worker=worker, service=service)
         self._calls = calls
         self._workers = workers
-        self._notes = CallNotes(worker=worker, journal=journal)
+        self._notes = CallLog(worker=worker, journal=journal)
         self._on_free = on_free
         self._on_freed = on_freed
         self._on_return = on_return
@@ -179,7 +179,7 @@
         for work in batch:
             work.worker_id = self.worker.worker_id
         self.known.begin_call(len(batch), now_s)
-        self._freeing.look()
+        self._freeing.flush()
         # From here on and not from the task's first step: the same look at the queue
         # goes on to the next free worker.
         running = ExitStack()
@@ -196,7 +196,7 @@
     def block(self, now_s: float) -> None:
         """Count the time from now on as busy; ask it where others keep results."""
         self.known.block(now_s)
-        self._freeing.look()
+        self._freeing.flush()
         if self.known.memory.has_foreign(now_s) and now_s - self._asked_s > ASK_AGAIN_S:
             self._ask()
 
@@ -226,7 +226,7 @@
         self._on_freed(self.worker, handles)
         self._on_free()
 
-    def end(self) -> None:
+    def mark_exited(self) -> None:
         """Give up all that its process had: it has ended, and started again.
 
         Calls to it have no answer any more, or one that was made before the end
@@ -253,18 +253,18 @@
 
         def note_sent() -> None:
             loop = asyncio.get_running_loop()
-            fetching.append(loop.call_later(FETCH_S, _tell_fetched, batch))
+            fetching.append(loop.call_later(INPUT_FETCH_S, _tell_fetched, batch))
 
         kept_bytes = self.known.memory.own_bytes(began_s)
         self.known.memory.send(n_bytes)
         try:
             try:
                 with call.running:
-                    answer = await self._calls.make_pieces(
+                    answer = await self._calls.run_pieces(
                         self.worker, batch, timeout_s=timeout_s, on_sent=note_sent
                     )
                     call.watched.take(answer)
-                await self._guard.settled(self.worker)
+                await self._guard.wait_for_exit_check(self.worker)
             finally:
                 self.known.memory.end_call(n_bytes)
                 for timer in fetching:
@@ -324,7 +324,7 @@
             self._on_return(without_memory)
         faults = Counter(end.value for end in ends if isinstance(end, PieceFault))
         self._notes.call(
-            CallNote(
+            CallSummary(
                 n_pieces=len(batch),
                 n_made=n_made,
                 n_waiting=n_waiting,
@@ -349,7 +349,7 @@
         self, batch: list[PieceWork], fault: CallFault, reason: Reason, took_s: float
     ) -> None:
         self._notes.call(
-            CallNote(
+            CallSummary(
                 n_pieces=len(batch),
                 took_s=took_s,
                 faults=Counter({fault.value: len(batch)}),
--- a/src/trefoilpaddle/coordination/chain/worker_choice.py
+++ b/src/trefoilpaddle/coordination/chain/worker_choice.py
@@ -23,13 +23,13 @@
 Others have some there as well, which it does not see.
 """
 
-FAR_S_PER_BYTE: Final = 6.5e-9
+CROSS_DOMAIN_COST_S_PER_BYTE: Final = 6.5e-9
 """Seconds of reading that a byte of inputs from another failure domain weighs.
 
 Operators pay for 1.5 MB that cross as much as for 500 tokens read again.
 """
 
-FAR_PLACES: Final = 1.0
+CROSS_DOMAIN_COST_REQUESTS: Final = 1.0
 """Open requests at a plain worker that weigh as much as leaving the domain."""
 
 
@@ -141,7 +141,7 @@
         """Return the tokens of a prompt that an engine has still to read."""
         return prompt.n_tokens - self._record.held_tokens(worker_id, prompt)
 
-    def note_read(self, worker_id: str, prompt: Prompt) -> None:
+    def record_read(self, worker_id: str, prompt: Prompt) -> None:
         """Remember that an engine has read a prompt."""
         self._record.note(worker_id, prompt)
 
@@ -168,12 +168,14 @@
             waiting = unread + UNSEEN * n_waiting
             costs[worker_id] = waiting / READ_TOKENS_PER_S
             if worker.failure_domain != (need.input_domain or self._failure_domain):
-                costs[worker_id] += FAR_S_PER_BYTE * need.input_bytes
+                costs[worker_id] += CROSS_DOMAIN_COST_S_PER_BYTE * need.input_bytes
         return costs
 
     def _plain_cost(self, worker: Worker) -> float:
         is_far = worker.failure_domain != self._failure_domain
-        return self.n_open(worker.worker_id) + (FAR_PLACES if is_far else 0.0)
+        return self.n_open(worker.worker_id) + (
+            CROSS_DOMAIN_COST_REQUESTS if is_far else 0.0
+        )
 
     def _on_leave(self, worker: Worker) -> None:
         if self._workers.get(worker.worker_id) is None:
@@ -217,13 +219,13 @@
             self._n_unread = choice.unread_tokens(worker_id, prompt)
             counts.n_unread += self._n_unread
 
-    def read(self) -> None:
+    def mark_read(self) -> None:
         """Count its prompt as read: the first event has come.
 
         What an earlier start has read, one that began since has not.
         """
         if self._prompt is not None and not self._counts.is_over:
-            self._choice.note_read(self._worker_id, self._prompt)
+            self._choice.record_read(self._worker_id, self._prompt)
         self.end()
 
     def end(self) -> None:
--- a/src/trefoilpaddle/coordination/chain/worker_exchange.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exchange.py
@@ -12,10 +12,10 @@
 from ...state.chain.target_answers import AnswerHead, CallFault, StreamEvent
 from ...state.chain.worker_runs import RunEnd, end_of_fault
 from ...state.chain.workers import Worker, WorkerTable
+from .attempt_timeouts import event_timeout_s, response_timeout_s
 from .caller_sink import CallerSink
 from .crash_guard import CrashGuard
 from .job import Job
-from .patience import gap_s, patience_s
 from .target_calls import OpenAnswer, StreamBrokenError, TargetCall, TargetCalls
 from .worker_choice import Need, OpenRequest, WorkerChoice
 
@@ -37,14 +37,14 @@
     async def get(self) -> tuple[str, ...] | None:
         """Return the handles of all, or None if they cannot be made again."""
 
-    def read(self) -> None:
+    def mark_read(self) -> None:
         """Free them: a worker has read all of them."""
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Take them for gone: a worker did not find one of them."""
 
 
-Sent = Answered | WorkerFailed | CallFault
+SendOutcome = Answered | WorkerFailed | CallFault
 
 
 class WorkerExchange:
@@ -109,7 +109,7 @@
 
     async def send(
         self, worker: Worker, handles: tuple[str, ...], sink: CallerSink
-    ) -> Sent:
+    ) -> SendOutcome:
         """Send the request to one worker; return what came of it."""
         job = self._job
         call = TargetCall(
@@ -129,7 +129,7 @@
 
     async def _exchange(
         self, worker: Worker, call: TargetCall, sink: CallerSink
-    ) -> Sent:
+    ) -> SendOutcome:
         job = self._job
         n_before = self.n_sent
         with (
@@ -138,7 +138,9 @@
         ):
             try:
                 async with (
-                    asyncio.timeout(patience_s(job, n_sent=n_before)) as patience,
+                    asyncio.timeout(
+                        response_timeout_s(job, n_sent=n_before)
+                    ) as patience,
                     self._calls.exchange(worker, call) as opened,
                 ):
                     match opened:
@@ -163,7 +165,7 @@
         answer: OpenAnswer,
         sink: CallerSink,
         patience: asyncio.Timeout,
-    ) -> Sent:
+    ) -> SendOutcome:
         if answer.head.is_success and self._job.route.is_stream:
             return await self._take_stream(worker, at_worker, answer, sink, patience)
         match await answer.read():
@@ -184,7 +186,7 @@
         answer: OpenAnswer,
         sink: CallerSink,
         patience: asyncio.Timeout,
-    ) -> Sent:
+    ) -> SendOutcome:
         """Pass events on as they come; each one renews the patience."""
         loop = asyncio.get_running_loop()
         try:
@@ -193,14 +195,16 @@
                 if is_first:
                     is_first = False
                     self._workers.trust(worker)
-                    at_worker.read()
-                    self._inputs.read()
+                    at_worker.mark_read()
+                    self._inputs.mark_read()
                 if not self._delivery.is_begun:
                     self._delivery.begin()
                     await sink.begin(answer.head)
                 self._last_event = event.number
                 await sink.event(event)
-                patience.reschedule(loop.time() + gap_s(self._job, n_sent=self.n_sent))
+                patience.reschedule(
+                    loop.time() + event_timeout_s(self._job, n_sent=self.n_sent)
+                )
         except StreamBrokenError:
             return CallFault.BROKEN
         if not self._delivery.is_begun:
--- a/src/trefoilpaddle/coordination/chain/worker_ends.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exits.py
@@ -46,15 +46,15 @@
     REFUSES = "its address refuses connections"
     RESTARTED = "a new start of it is listed"
     REPLACED = "another worker has its address"
-    LAPSED = "its entry has run out"
-    TOLD = "a peer says so"
+    EXPIRED = "its entry has run out"
+    REPORTED = "a peer says so"
 
 
 # Entries also run out of workers that are cut off, or leave without a word before.
 EXPLAINS: Final = {
     RunEnd.BROKEN: frozenset(Evidence),
-    RunEnd.LEFT: frozenset(Evidence) - {Evidence.LAPSED},
-    RunEnd.SILENT: frozenset(Evidence) - {Evidence.LAPSED},
+    RunEnd.LEFT: frozenset(Evidence) - {Evidence.EXPIRED},
+    RunEnd.SILENT: frozenset(Evidence) - {Evidence.EXPIRED},
 }
 """Which evidence turns a run without an answer into one that its worker ended under."""
 
@@ -64,7 +64,7 @@
 EndListener = Callable[[Worker, Sequence[OpenEndedRun]], None]
 
 
-class WorkerEnds:
+class WorkerExits:
     """Matches runs without an answer with evidence that their workers ended.
 
     Parameters
@@ -110,7 +110,7 @@
         workers.leave_listeners.append(self._on_leave)
         workers.new_listeners.append(self._on_new)
 
-    def note(self, run: OpenEndedRun) -> None:
+    def record(self, run: OpenEndedRun) -> None:
         """Take a run without an answer; begin to look whether its worker is gone."""
         self._forget_old(run.ended_s)
         worker = run.worker
@@ -149,13 +149,13 @@
         self._note(worker, evidence, found)
         self._on_ended(worker, found)
 
-    async def settled(self, worker: Worker) -> None:
+    async def wait_for_check(self, worker: Worker) -> None:
         """Wait until the look at a worker whose answer broke is over."""
         look = self._looks.get(_start(worker))
         if look is not None:
             await asyncio.wait({look})
 
-    def call_settled(self, worker: Worker, callback: Callable[[], None]) -> None:
+    def call_after_check(self, worker: Worker, callback: Callable[[], None]) -> None:
         """Call back once the look at a worker is over; at once if there is none."""
         look = self._looks.get(_start(worker))
         if look is None:
@@ -218,7 +218,7 @@
             )
             self._pending = deque(kept, maxlen=MAX_PENDING)
         elif self._workers.get(worker.worker_id) is None:
-            self.confirm(worker, Evidence.LAPSED)
+            self.confirm(worker, Evidence.EXPIRED)
 
     def _forget_old(self, now_s: float) -> None:
         while self._pending and now_s - self._pending[0].ended_s > PENDING_S:
--- a/tests/chain/__main__.py
+++ b/tests/chain/__main__.py
@@ -37,12 +37,14 @@
 
 
 def _without_distance(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cell_dispatch, "FAR_S", 0.0)
-    patch.setattr(cell_dispatch, "FAR_S_PER_BYTE", 0.0)
+    patch.setattr(cell_dispatch, "CROSS_DOMAIN_WAIT_S", 0.0)
+    patch.setattr(cell_dispatch, "CROSS_DOMAIN_WAIT_S_PER_BYTE", 0.0)
 
 
 SWITCHES: Final[dict[str, Callable[[pytest.MonkeyPatch], None]]] = {
-    "early_free": lambda patch: patch.setattr(worker_caller, "FETCH_S", FOR_EVER_S),
+    "early_free": lambda patch: patch.setattr(
+        worker_caller, "INPUT_FETCH_S", FOR_EVER_S
+    ),
     "overdue_queue": lambda patch: patch.setattr(overdue_queue, "MAX_WAITING", 0),
     "near_workers": _without_distance,
     "urgent_shares": lambda patch: patch.setattr(
--- a/tests/chain/cell_model.py
+++ b/tests/chain/cell_model.py
@@ -131,7 +131,7 @@
         self._domains: dict[str, str] = {}
         self._n_calls: Counter[str] = Counter()
 
-    async def make_pieces(
+    async def run_pieces(
         self,
         at: Worker,
         works: Sequence[PieceWork],
--- a/tests/chain/crash_fleet.py
+++ b/tests/chain/crash_fleet.py
@@ -105,7 +105,7 @@
             run.end = end
             if end is RunEnd.BROKEN:
                 self.calls.refusing.add(worker_id)
-        await gateway.guard.settled(at)
+        await gateway.guard.wait_for_exit_check(at)
 
     def start_again(self, worker_id: str) -> None:
         """List a new start of a worker at all gateways."""
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -169,7 +169,7 @@
         else:
             yield Ok(script)
 
-    async def make_pieces(
+    async def run_pieces(
         self,
         worker: Worker,
         works: Sequence[PieceWork],
--- a/tests/chain/fleet_model.py
+++ b/tests/chain/fleet_model.py
@@ -141,7 +141,7 @@
         self._own = own
         self._calls = calls
 
-    async def make_pieces(
+    async def run_pieces(
         self,
         at: Worker,
         works: list[PieceWork],
@@ -154,7 +154,7 @@
         # A worker goes on with a call whose caller is gone.
         return await asyncio.shield(
             asyncio.ensure_future(
-                self._calls.make_pieces(
+                self._calls.run_pieces(
                     at,
                     works,
                     timeout_s=timeout_s,
--- a/tests/chain/test_answer_bound.py
+++ b/tests/chain/test_answer_bound.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from trefoilpaddle.coordination.chain.answer_bound import AnswerDueError
+from trefoilpaddle.coordination.chain.answer_deadline import AnswerDueError
 from trefoilpaddle.coordination.chain.planned_stop import PlannedStop
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.delivery import Delivery
@@ -52,7 +52,7 @@
 async def end_of(wait: Wait, stop: PlannedStop, deadline_s: float) -> Outcome:
     delivery = Delivery()
     try:
-        async with stop.bounding(delivery, deadline_s):
+        async with stop.answer_deadline(delivery, deadline_s):
             await wait(delivery)
     except AnswerDueError as due:
         return delivery.end(due.reason, retry_after_s=0.0)
@@ -128,7 +128,7 @@
             stop = PlannedStop(grace_s=GRACE_S)
             delivery = Delivery()
             deadline_s = time.monotonic() + LONG_S
-            async with stop.bounding(delivery, deadline_s):
+            async with stop.answer_deadline(delivery, deadline_s):
                 working = asyncio.create_task(for_another_attempt(delivery))
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.1)
--- a/tests/chain/test_attempts.py
+++ b/tests/chain/test_attempts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from trefoilpaddle.coordination.chain import patience as patience_module
+from trefoilpaddle.coordination.chain import attempt_timeouts
 from trefoilpaddle.coordination.chain.attempts import Attempts
 from trefoilpaddle.coordination.chain.job import Job
 from trefoilpaddle.coordination.chain.worker_choice import Need, WorkerChoice
@@ -50,10 +50,10 @@
             self.is_there = True
         return (f"made-{self.version}",)
 
-    def read(self) -> None:
+    def mark_read(self) -> None:
         self.is_there = False
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         self.is_there = False
 
 
@@ -79,10 +79,10 @@
             level=1 + number,
             ended_s=now_s - 9.5 + number,
         )
-        guard.hear_crash(FINGERPRINT, crash)
+        guard.receive_crash(FINGERPRINT, crash)
     for run_id, worker_id in enumerate(apart):
         run = ApartRun(run_id=run_id, fingerprint="0" * 32, worker_id=worker_id)
-        guard.hear_run(run)
+        guard.receive_run(run)
     job = Job(
         request=request(),
         route=way,
@@ -120,7 +120,7 @@
         # request was sent to a worker after all.
         class SlowInputs(FakeInputs):
             async def get(self) -> tuple[str, ...] | None:
-                running.leave()
+                running.stop_retrying()
                 return await super().get()
 
         calls = FakeCalls(scripts=[FakeAnswer()])
@@ -273,7 +273,7 @@
         # An engine's connection goes silent after two events. The gateway
         # counted the one sending twice, as sent and as timed out, took its two
         # attempts for used up, and cut a stream that could go on.
-        monkeypatch.setattr(patience_module, "GAP_S", 0.05)
+        monkeypatch.setattr(attempt_timeouts, "EVENT_TIMEOUT_S", 0.05)
         silent = FakeAnswer(n_events=2, hangs_s=5.0)
         calls = FakeCalls(scripts=[silent, FakeAnswer(n_events=2, first=3)])
         sink = FakeSink()
@@ -285,7 +285,7 @@
     ) -> None:
         # An engine under pressure puts a stream back for two seconds. Cut then,
         # it is lost; waited for, it is only late.
-        monkeypatch.setattr(patience_module, "GAP_S", 0.05)
+        monkeypatch.setattr(attempt_timeouts, "EVENT_TIMEOUT_S", 0.05)
         calls = FakeCalls(scripts=[FakeAnswer(n_events=2, hangs_s=0.3)])
         sink = FakeSink()
         assert isinstance(await attempts(calls, STREAM_ONCE).run(sink), Answered)
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -17,7 +17,7 @@
     worker_caller,
 )
 from trefoilpaddle.coordination.chain.overdue_queue import (
-    LEAST_WAIT_S,
+    MIN_WAIT_S,
     WAIT_SHARE,
     OverdueQueue,
 )
@@ -80,7 +80,7 @@
         # memory binds: kept for as long as the next stage works on them, they
         # leave places of each call empty.
         chosen = mean_worth(monkeypatch, TIGHT_DAY)
-        monkeypatch.setattr(worker_caller, "FETCH_S", FOR_EVER_S)
+        monkeypatch.setattr(worker_caller, "INPUT_FETCH_S", FOR_EVER_S)
         assert chosen > mean_worth(monkeypatch, TIGHT_DAY) + 0.02
 
 
@@ -139,9 +139,9 @@
 
 class TestShares:
     def test_they_fall_with_urgency(self) -> None:
-        shares = admission.SHARE_BY_PRIORITY
+        shares = admission.WAIT_SHARE_BY_PRIORITY
         assert list(shares) == sorted(shares, reverse=True)
-        assert shares[-1] > chain_scheduler.LATE_SHARE
+        assert shares[-1] > chain_scheduler.OVERDUE_WAIT_SHARE
 
 
 class TestOverdueQueue:
@@ -160,8 +160,8 @@
     async def test_one_with_little_time_does_not_wait(self) -> None:
         # It would mostly be refused after seconds for which it waited in vain.
         room = OverdueQueue(has_capacity=lambda _: True, least_s=lambda _: 0.1)
-        assert not room.takes(late("a", deadline_in_s=LEAST_WAIT_S))
-        assert room.takes(late("a"))
+        assert not room.may_wait(late("a", deadline_in_s=MIN_WAIT_S))
+        assert room.may_wait(late("a"))
 
     async def test_a_caller_that_left_takes_no_place(self) -> None:
         room = OverdueQueue(has_capacity=lambda _: True, least_s=at_once)
@@ -176,7 +176,7 @@
     ) -> None:
         # A stage's service is taken out of the configuration while chains wait.
         # The look that met it ended, and nobody looked again.
-        monkeypatch.setattr(overdue_queue, "LEAST_WAIT_S", 0.2)
+        monkeypatch.setattr(overdue_queue, "MIN_WAIT_S", 0.2)
 
         def fail(_: ChainWork) -> bool:
             raise KeyError("unforeseen")
@@ -229,7 +229,7 @@
 
 
 def late(
-    name: str, *, priority: int = 0, deadline_in_s: float = LEAST_WAIT_S / WAIT_SHARE
+    name: str, *, priority: int = 0, deadline_in_s: float = MIN_WAIT_S / WAIT_SHARE
 ) -> ChainWork:
     made = work(name, due_in_s=-1.0, priority=priority)
     return replace(made, deadline_s=time.monotonic() + deadline_in_s + 0.1)
--- a/tests/chain/test_cell_handover.py
+++ b/tests/chain/test_cell_handover.py
@@ -178,7 +178,7 @@
             begun = asyncio.create_task(rig.schedulers.run(cell, work("a")))
             await asyncio.sleep(0.1)
             rig.own.stopping.set()
-            rig.router.give_up_all()
+            rig.router.abandon_cells()
             n_batches = len(rig.calls.batches)
             ends = await begun, await rig.schedulers.run(cell, work("b"))
             assert len(rig.calls.batches) == n_batches
@@ -198,7 +198,7 @@
         async def run() -> ChainEnd:
             rig = Rig()
             rig.own.stopping.set()
-            rig.router.give_up_all()
+            rig.router.abandon_cells()
             new = Cell(name="new", failure_domains=rig.cells[0].failure_domains)
             end = await rig.schedulers.run(new, work())
             assert not rig.calls.batches
--- a/tests/chain/test_chain_router.py
+++ b/tests/chain/test_chain_router.py
@@ -119,7 +119,7 @@
 
 
 def keeps_itself(at: ChainRouter) -> bool:
-    (place,) = at.places({"s"}, "here")
+    (place,) = at.endpoints({"s"}, "here")
     return place.link is None
 
 
@@ -184,8 +184,8 @@
         cell = Cell(name="north", failure_domains=frozenset({"here"}))
         for number in range(1, 6):
             members[:] = [member("a", number), member("b", 9)]
-            links.keep([cell])
-        links.keep([cell])
+            links.keep_links([cell])
+        links.keep_links([cell])
         assert len(links._dialled_s) == 1
 
 
@@ -195,8 +195,8 @@
     ) -> None:
         # The scheduler's machine freezes. Its connections stay open and say
         # nothing; the chains that it had let in waited for their deadlines.
-        monkeypatch.setattr(scheduler_links, "SCHEDULER_SILENT_S", 0.3)
-        monkeypatch.setattr(chain_router, "LOOK_S", 0.05)
+        monkeypatch.setattr(scheduler_links, "SCHEDULER_TIMEOUT_S", 0.3)
+        monkeypatch.setattr(chain_router, "LIVENESS_CHECK_PERIOD_S", 0.05)
         calls = FakeCalls()
         workers = WorkerTable()
         for name in "st":
@@ -266,9 +266,9 @@
         for number in range(3 * MOST_WORKERS // 2 + 1):
             workers.put(worker(f"s{number}", "s", domain="ab"[number % 2]))
         at = router("b", [member("b", 1)], workers=workers, region_of=ONE_REGION)
-        before = {place.cell.name for place in at.places({"s"}, "a")}
+        before = {place.cell.name for place in at.endpoints({"s"}, "a")}
         workers.suspect(worker("s0", "s", domain="a"))
-        assert {place.cell.name for place in at.places({"s"}, "a")} == before
+        assert {place.cell.name for place in at.endpoints({"s"}, "a")} == before
 
     def test_starts_have_the_order_of_their_times(self) -> None:
         starts = [incarnation_by_age() >> 20 for _ in range(100)]
--- a/tests/chain/test_chain_wire.py
+++ b/tests/chain/test_chain_wire.py
@@ -1,6 +1,6 @@
 """Chains and their ends as gateways of different releases send them."""
 
-from trefoilpaddle.coordination.chain.chain_wire import end_from_wire
+from trefoilpaddle.coordination.chain.chain_wire import outcome_from_wire
 from trefoilpaddle.protocol.gen.chain.ttypes import ChainAnswer
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.chain_work import ChainFailed
@@ -10,5 +10,5 @@
     def test_an_unknown_reason_still_ends_the_request(self) -> None:
         # The scheduler runs a newer release and refuses for a reason that this one
         # does not know. The request must end with it, not with an exception.
-        end = end_from_wire(ChainAnswer(reason=9999, is_begun=False))
+        end = outcome_from_wire(ChainAnswer(reason=9999, is_begun=False))
         assert end == ChainFailed(reason=Reason.INTERNAL, is_begun=False)
--- a/tests/chain/test_crash_guard.py
+++ b/tests/chain/test_crash_guard.py
@@ -118,13 +118,13 @@
             at = fleet.every[1].workers.get("w5")
             assert at is not None
             with fleet.every[1].guard.running(at, GUILTY) as run:
-                await until(lambda: fleet.every[5].guard.workers_apart() == {"w5"})
+                await until(lambda: fleet.every[5].guard.isolating_workers() == {"w5"})
                 refusal = fleet.every[5].guard.refusal(GUILTY)
                 run.end = RunEnd.NOT_RUN
             assert refusal is not None
             assert refusal.reason is Reason.RUNS_APART
             assert refusal.retry_after_s > 0
-            await until(lambda: not fleet.every[5].guard.workers_apart())
+            await until(lambda: not fleet.every[5].guard.isolating_workers())
             assert fleet.every[5].guard.refusal(GUILTY) is None
 
     async def test_a_suspect_whose_answer_broke_waits_for_the_look_at_its_worker(
@@ -140,7 +140,7 @@
             with guard.running(at, GUILTY) as run:
                 run.end = RunEnd.BROKEN
             assert guard.is_running(GUILTY)
-            await guard.settled(at)
+            await guard.wait_for_exit_check(at)
             await until(lambda: not guard.is_running(GUILTY))
 
 
@@ -264,7 +264,7 @@
             gateway = fleet.every[0]
             await fleet.run_at(0, "w0", INNOCENT, RunEnd.SILENT)
             hours_ago_s = time.monotonic() - 7200.0
-            gateway.guard.hear_crash(
+            gateway.guard.receive_crash(
                 GUILTY, Crash(worker_id="w0", born_ms=1, level=1, ended_s=hours_ago_s)
             )
             assert gateway.book.standing(GUILTY) is Standing.WATCHED
--- a/tests/chain/test_planned_stop.py
+++ b/tests/chain/test_planned_stop.py
@@ -29,12 +29,12 @@
         clock = Clock()
         monkeypatch.setattr(planned_stop, "time", clock)
         stop = PlannedStop(grace_s=8.0)
-        assert stop.takes(STREAM)
+        assert stop.accepts(STREAM)
         stop.order()
-        assert stop.takes(STREAM) and stop.takes(PLAIN)
+        assert stop.accepts(STREAM) and stop.accepts(PLAIN)
         clock.now_s += 3.0
-        assert not stop.takes(STREAM) and stop.takes(PLAIN)
+        assert not stop.accepts(STREAM) and stop.accepts(PLAIN)
         clock.now_s += 3.5
-        assert not stop.takes(PLAIN)
+        assert not stop.accepts(PLAIN)
         stop.order()
         assert stop.left_s() == pytest.approx(1.5)
--- a/tests/chain/test_request_path.py
+++ b/tests/chain/test_request_path.py
@@ -13,7 +13,10 @@
 from trefoilpaddle.coordination.chain.chain_router import ChainRouter
 from trefoilpaddle.coordination.chain.planned_stop import PlannedStop
 from trefoilpaddle.coordination.chain.request_path import RequestPath
-from trefoilpaddle.coordination.chain.scheduler_links import Place, SchedulerLinks
+from trefoilpaddle.coordination.chain.scheduler_links import (
+    SchedulerEndpoint,
+    SchedulerLinks,
+)
 from trefoilpaddle.coordination.chain.target_calls import OpenAnswer, TargetCall
 from trefoilpaddle.coordination.chain.worker_choice import WorkerChoice
 from trefoilpaddle.protocol.reasons import Reason
@@ -98,7 +101,7 @@
             guard=crash_guard(calls, workers),
         )
         if routes:
-            self.path.put_in_force(table(*routes))
+            self.path.activate(table(*routes))
 
     async def serve(self, **fields: object) -> Outcome:
         return await self.path.serve(request(**fields), FakeSink())
@@ -115,7 +118,9 @@
         # event. Its chain was told of the twenty, and waited in line beyond the seven.
         works: list[ChainWork] = []
 
-        async def refuse(_: ChainRouter, work: ChainWork, place: Place) -> ChainFailed:
+        async def refuse(
+            _: ChainRouter, work: ChainWork, place: SchedulerEndpoint
+        ) -> ChainFailed:
             works.append(work)
             return ChainFailed(reason=Reason.PREDICTED_LATE, is_begun=False)
 
@@ -146,7 +151,7 @@
         )
         accounts = {"key": Account(name="acme")}
         keyed = replace(keyed, account_of_key=accounts, has_accounts=True)
-        rig.path.put_in_force(keyed)
+        rig.path.activate(keyed)
         refused = await rig.serve()
         assert isinstance(refused, Refused) and refused.reason is Reason.UNAUTHORISED
         assert isinstance(await rig.serve(key="key"), Answered)
--- a/tests/chain/test_result_freeing.py
+++ b/tests/chain/test_result_freeing.py
@@ -5,13 +5,16 @@
 
 import pytest
 
-from trefoilpaddle.coordination.chain.result_freeing import GATHER_S, ResultFreeing
+from trefoilpaddle.coordination.chain.result_freeing import (
+    BATCH_WINDOW_S,
+    ResultFreeing,
+)
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 
 from .fakes import FakeCalls, worker
 from .virtual_time import run_virtual
 
-STEP_S = GATHER_S / 10
+STEP_S = BATCH_WINDOW_S / 10
 
 
 class CountingCalls(FakeCalls):
@@ -54,7 +57,7 @@
             for number in range(5):
                 freeing.free(f"h{number}")
                 await asyncio.sleep(STEP_S)
-            await asyncio.sleep(2 * GATHER_S)
+            await asyncio.sleep(2 * BATCH_WINDOW_S)
 
         run_virtual(monkeypatch, run())
         assert calls.freed_together == [["h0", "h1", "h2", "h3", "h4"]]
@@ -84,10 +87,10 @@
             freeing.free("h0")
             await asyncio.sleep(STEP_S)
             is_short.append(True)
-            freeing.look()
+            freeing.flush()
             await asyncio.sleep(STEP_S)
             assert calls.freed_together == [["h0"]]
-            await asyncio.sleep(2 * GATHER_S)
+            await asyncio.sleep(2 * BATCH_WINDOW_S)
 
         run_virtual(monkeypatch, run())
         assert calls.freed_together == [["h0"]]
--- a/tests/chain/test_service_dispatch.py
+++ b/tests/chain/test_service_dispatch.py
@@ -7,7 +7,7 @@
 import pytest
 
 from trefoilpaddle.coordination.chain.crash_guard import CrashGuard
-from trefoilpaddle.coordination.chain.dispatch_look import DispatchLook
+from trefoilpaddle.coordination.chain.dispatch_snapshot import DispatchSnapshot
 from trefoilpaddle.coordination.chain.service_dispatch import ServiceDispatch
 from trefoilpaddle.coordination.chain.worker_caller import WorkerCaller
 from trefoilpaddle.state.chain.crash_book import Crash
@@ -95,7 +95,7 @@
         dispatch.queue.add(
             due(f"p{number}", avoided=avoided) for number in range(n_workers)
         )
-        dispatch.wake()
+        dispatch.trigger()
         dispatch.stop()
         assert len(looks) == n_workers
         assert max(looks.values()) <= LOOKS_PER_WORKER
@@ -167,22 +167,22 @@
             if rng.random() < 0.3:
                 caller.known.begin_call(rng.randint(1, BATCH), now_s)
         free = [caller for caller in callers if caller.is_free(now_s)]
-        look = DispatchLook(callers=callers, free=free, now_s=now_s)
+        look = DispatchSnapshot(callers=callers, free=free, now_s=now_s)
         by_hand = CellByHand(callers, free, now_s)
-        assert look.soonest_s() == min(c.known.call_s(1, now_s) for c in callers)
+        assert look.shortest_call_s() == min(c.known.call_s(1, now_s) for c in callers)
         while by_hand.free:
             assert look.has_free
-            assert look.soonest_free_s() == by_hand.soonest_free_s()
+            assert look.shortest_free_call_s() == by_hand.soonest_free_s()
             far_s = rng.choice([0.0, 0.01, 0.05, 0.2])
             urgent = due("p", near=rng.choice(DOMAINS), far_s=far_s)
             first = rng.choice([None, urgent, urgent])
             taken = look.take_next(first)
             assert taken is by_hand.take_next(first)
-            assert look.n_passed(taken) == by_hand.n_passed(taken)
+            assert look.n_skipped(taken) == by_hand.n_passed(taken)
             assert look.free_in_s == by_hand.free_in_s()
             if rng.random() < 0.5:
                 taken.known.begin_call(rng.randint(1, BATCH), now_s)
-                look.note_started(taken)
+                look.refresh(taken)
         assert not look.has_free
 
     async def test_a_whole_number_of_pieces_is_not_missed_by_rounding(self) -> None:
@@ -194,8 +194,8 @@
         slow.known.times.ratio = 2.0
         slow.known.times.busy_per_s = 77.7
         other.known.times.busy_per_s = 100.0
-        look = DispatchLook(callers=[slow, other], free=[slow], now_s=now_s)
-        assert look.n_passed(slow) == 100
+        look = DispatchSnapshot(callers=[slow, other], free=[slow], now_s=now_s)
+        assert look.n_skipped(slow) == 100
 
 
 def note_crashes(guard: CrashGuard, fingerprint: str, n_crashes: int) -> None:
@@ -203,7 +203,7 @@
     for level in range(1, n_crashes + 1):
         ended_s = time.monotonic()
         crash = Crash(worker_id=f"x{level}", born_ms=1, level=level, ended_s=ended_s)
-        guard.hear_crash(fingerprint, crash)
+        guard.receive_crash(fingerprint, crash)
 
 
 class TestCrashedWorkers:
@@ -218,7 +218,7 @@
         note_crashes(guard, "s", n_crashes)
         dispatch = ServiceDispatch(callers=lambda: callers, guard=guard)
         dispatch.queue.add(due(f"p{n}", fingerprint="s") for n in range(3))
-        dispatch.wake()
+        dispatch.trigger()
         await until(lambda: bool(calls.batches))
         assert len(calls.batches) == 1
         dispatch.stop()
@@ -231,7 +231,7 @@
         note_crashes(guard, "s", 1)
         dispatch = ServiceDispatch(callers=lambda: callers, guard=guard)
         dispatch.queue.add(due(f"p{n}", fingerprint="s") for n in range(3))
-        dispatch.wake()
-        await until(lambda: guard.is_quiet)
-        dispatch.wake()
+        dispatch.trigger()
+        await until(lambda: guard.has_no_crashes)
+        dispatch.trigger()
         await until(lambda: len(calls.batches) == 3)
--- a/tests/chain/test_worker_caller.py
+++ b/tests/chain/test_worker_caller.py
@@ -243,7 +243,7 @@
         rig = Rig(FakeCalls(call_s=9.0))
         work = due("a")
         rig.caller.start([work], n_waiting=0)
-        rig.caller.end()
+        rig.caller.mark_exited()
         assert work.end.result() is PieceFault.LOST
 
     async def test_a_late_answer_of_the_old_start_belongs_to_nobody(self) -> None:
@@ -258,15 +258,15 @@
             on_sent: Callable[[], None],
         ) -> object:
             await gate.wait()
-            return await FakeCalls().make_pieces(
+            return await FakeCalls().run_pieces(
                 at, works, timeout_s=timeout_s, on_sent=on_sent
             )
 
-        calls.make_pieces = answer  # type: ignore[method-assign,assignment]
+        calls.run_pieces = answer  # type: ignore[method-assign,assignment]
         rig = Rig(calls)
         work = due("a")
         rig.caller.start([work], n_waiting=0)
-        rig.caller.end()
+        rig.caller.mark_exited()
         gate.set()
         await asyncio.sleep(0.05)
         assert work.end.result() is PieceFault.LOST
@@ -277,7 +277,7 @@
     async def test_it_is_told_when_a_worker_has_the_inputs(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(worker_caller, "FETCH_S", 0.01)
+        monkeypatch.setattr(worker_caller, "INPUT_FETCH_S", 0.01)
         told: list[str] = []
         rig = Rig(FakeCalls(call_s=0.1))
         work = due("a", on_fetched=lambda: told.append("a"))
@@ -292,7 +292,7 @@
         # after it was begun. Counted from then, its inputs were freed before their
         # reader asked for them: 589 pieces of a day found an input gone, and their
         # chains were made again, which took more of that processor.
-        monkeypatch.setattr(worker_caller, "FETCH_S", 0.01)
+        monkeypatch.setattr(worker_caller, "INPUT_FETCH_S", 0.01)
         told: list[str] = []
         rig = Rig(FakeCalls(sending_s=0.1, call_s=0.1))
         rig.caller.start([due("a", on_fetched=lambda: told.append("a"))], n_waiting=0)
@@ -312,7 +312,7 @@
         ) -> list[PieceEnd] | CallFault:
             return end if isinstance(end, CallFault) else [end] * len(works)
 
-        monkeypatch.setattr(worker_caller, "FETCH_S", 0.03)
+        monkeypatch.setattr(worker_caller, "INPUT_FETCH_S", 0.03)
         told: list[str] = []
         rig = Rig(FakeCalls(make=turn_away))
         await rig.call(due("a", on_fetched=lambda: told.append("a")))
--- a/tests/chain/test_worker_choice.py
+++ b/tests/chain/test_worker_choice.py
@@ -58,7 +58,7 @@
         need = Need(prompt=prompt("s1"))
         first = chosen(at, need)
         with at.open(first, need) as request:
-            request.read()
+            request.mark_read()
             assert chosen(at, need) == first
 
     def test_a_hot_session_overflows_to_others(self) -> None:
@@ -88,7 +88,7 @@
         at = WorkerChoice(failure_domain="here", workers=workers)
         need = Need(prompt=prompt("s1"))
         with at.open(chosen(at, need), need) as request:
-            request.read()
+            request.mark_read()
         assert need.prompt is not None
         assert at.unread_tokens("e1", need.prompt) == 2000
         workers.remove("e1")
--- a/tests/chain/test_worker_ends.py
+++ b/tests/chain/test_worker_ends.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from trefoilpaddle.coordination.chain.worker_ends import Evidence, WorkerEnds
+from trefoilpaddle.coordination.chain.worker_exits import Evidence, WorkerExits
 from trefoilpaddle.state.chain.worker_runs import OpenEndedRun, RunEnd
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 from trefoilpaddle.state.journal import Event
@@ -26,7 +26,7 @@
         self.workers.put(FIRST)
         self.found: list[str] = []
         self.notes = journal()
-        self.ends = WorkerEnds(
+        self.ends = WorkerExits(
             workers=self.workers,
             calls=self.calls,
             journal=self.notes,
@@ -38,7 +38,7 @@
 
     def run(self, end: RunEnd, *, fingerprint: str = "f1") -> None:
         now_s = time.monotonic()
-        self.ends.note(
+        self.ends.record(
             OpenEndedRun(
                 worker=FIRST,
                 fingerprint=fingerprint,
@@ -50,7 +50,7 @@
 
     async def settle(self) -> None:
         await asyncio.sleep(0)
-        await self.ends.settled(FIRST)
+        await self.ends.wait_for_check(FIRST)
 
 
 class TestEnds:
@@ -106,13 +106,13 @@
     async def test_a_caller_that_left_before_the_crash_hides_nothing(self) -> None:
         rig = Rig()
         rig.run(RunEnd.LEFT)
-        rig.ends.confirm(FIRST, Evidence.TOLD)
+        rig.ends.confirm(FIRST, Evidence.REPORTED)
         assert rig.found == ["f1"]
 
     async def test_the_log_names_the_requests_and_the_evidence(self) -> None:
         rig = Rig()
         rig.run(RunEnd.BROKEN)
-        rig.ends.confirm(FIRST, Evidence.TOLD)
+        rig.ends.confirm(FIRST, Evidence.REPORTED)
         (record,) = rig.notes.recent()
         assert record.decision.event is Event.TARGET_ENDED
         assert record.decision.detail == "a peer says so; requests f1"
--- a/tests/chain/test_worker_starts.py
+++ b/tests/chain/test_worker_starts.py
@@ -90,7 +90,7 @@
         choice = WorkerChoice(failure_domain="here", workers=workers)
         need = Need(prompt=PROMPT)
         with choice.open(FIRST, need) as request:
-            request.read()
+            request.mark_read()
         assert choice.unread_tokens("w", PROMPT) == 10
         workers.put(LATER)
         assert choice.unread_tokens("w", PROMPT) == PROMPT.n_tokens
@@ -102,7 +102,7 @@
         choice = WorkerChoice(failure_domain="here", workers=workers)
         with choice.open(FIRST, Need(prompt=PROMPT)) as request:
             workers.put(LATER)
-            request.read()
+            request.mark_read()
         assert choice.unread_tokens("w", PROMPT) == PROMPT.n_tokens
 
     async def test_what_is_open_at_the_earlier_start_counts_no_more(self) -> None:
--- a/tests/platform_adapter/test_worker_client.py
+++ b/tests/platform_adapter/test_worker_client.py
@@ -251,7 +251,7 @@
             for number in range(2)
         ]
         async with calling(answer) as (client, at, _):
-            return await client.make_pieces(
+            return await client.run_pieces(
                 at, works, timeout_s=1.0, on_sent=lambda: self.sent.append(at)
             )
 
