--- a/src/trefoilpaddle/coordination/chain/__init__.py
+++ b/src/trefoilpaddle/coordination/chain/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of gateways that call targets themselves, with no sidecars."""
+"""Decisions of gateways that call targets directly, without sidecars."""
--- a/src/trefoilpaddle/coordination/chain/admission.py
+++ b/src/trefoilpaddle/coordination/chain/admission.py
@@ -1,4 +1,4 @@
-"""Whether a chain of stages can be on time, told before anything is paid for."""
+"""Forecasts whether a chain can be on time, before any of its stages is run."""
 
 from collections import Counter
 from typing import Final
@@ -7,25 +7,25 @@
 from .cell_dispatch import CellDispatch
 
 WAIT_SHARE_BY_PRIORITY: Final = (1.0, 0.8, 0.5)
-"""Part of its time to wait that a chain may use up, by its priority.
+"""Share of its tolerable wait that a chain may use up, by its priority.
 
-When too much comes, what is less urgent is refused while there is still time for
-what is more urgent. The last share holds for all later priorities. With 0.5 a
-chain is refused once it would wait for half of what its target allows, which
-leaves the other half, about one call, to those before it.
+Under overload, less urgent chains are refused while there is still time for more
+urgent ones. The last share applies to all lower priorities. With 0.5 a chain is
+refused once it would wait for half of what its latency objective allows, which
+leaves the other half, about one call, to the more urgent ones.
 """
 
-TURN_SHARE: Final = 0.5
-"""Part of a call that a stage waits for its turn where nothing else waits."""
+IDLE_QUEUE_SHARE: Final = 0.5
+"""Share of a call that a stage waits for a worker even without a backlog."""
 
 
 class Reservations:
-    """Pieces of chains that were let in and have not come to their queue yet.
+    """Pieces of admitted chains that have not reached their queue yet.
 
     Attributes
     ----------
     pieces : Counter of str
-        How many, by service.
+        Number of reserved pieces by service.
     """
 
     __slots__ = ("pieces",)
@@ -34,38 +34,38 @@
         self.pieces: Counter[str] = Counter()
 
     def n_pieces(self) -> int:
-        """Return how many there are of all services."""
+        """Return the index of reserved pieces of all services."""
         return self.pieces.total()
 
     def add(self, service: str, n_pieces: int) -> None:
-        """Count pieces that will come."""
+        """Reserve capacity for pieces that will be queued later."""
         self.pieces[service] += n_pieces
 
     def release(self, service: str, n_pieces: int) -> None:
-        """Count pieces as come, or as not coming any more."""
+        """Release pieces that have been queued or will not be queued any more."""
         self.pieces[service] -= n_pieces
 
 
 def forecast_s(
     work: ChainWork, dispatch: CellDispatch, reservations: Reservations
 ) -> float | None:
-    """Return the expected seconds until all stages are done.
+    """Return the expected seconds until all stages are complete.
 
     None if a stage has no worker.
 
     Parameters
     ----------
     work : ChainWork
-        The stages.
+        The chain whose stages are to be run.
     dispatch : CellDispatch
-        What waits at the workers, and how fast they are.
+        The backlog of the workers and their speed.
     reservations : Reservations
-        What will come to them.
+        Pieces that will be queued at the workers later.
     """
     done_s: list[float] = []
-    for number, plan in enumerate(work.stages):
-        begin_s = max((done_s[before] for before in plan.after), default=0.0)
-        n_pieces = work.n_pieces[number]
+    for index, plan in enumerate(work.stages):
+        begin_s = max((done_s[preceding] for preceding in plan.after), default=0.0)
+        n_pieces = work.n_pieces[index]
         if not n_pieces:
             done_s.append(begin_s)
             continue
@@ -73,7 +73,7 @@
             plan.service,
             n_pieces,
             n_reserved=reservations.pieces[plan.service],
-            in_s=begin_s,
+            queued_in_s=begin_s,
         )
         if wait_s is None:
             return None
@@ -82,37 +82,37 @@
 
 
 def unloaded_duration_s(work: ChainWork, dispatch: CellDispatch) -> float:
-    """Return the seconds that all stages take where nothing else waits."""
+    """Return the seconds that all stages take without a backlog."""
     done_s: list[float] = []
-    for number, plan in enumerate(work.stages):
-        begin_s = max((done_s[before] for before in plan.after), default=0.0)
-        n_pieces = work.n_pieces[number]
+    for index, plan in enumerate(work.stages):
+        begin_s = max((done_s[preceding] for preceding in plan.after), default=0.0)
+        n_pieces = work.n_pieces[index]
         call_s = dispatch.call_s(plan.service, n_pieces) if n_pieces else 0.0
-        turn_s = TURN_SHARE * call_s if plan.after else 0.0
-        done_s.append(begin_s + turn_s + call_s)
+        queue_s = IDLE_QUEUE_SHARE * call_s if plan.after else 0.0
+        done_s.append(begin_s + queue_s + call_s)
     return max(done_s, default=0.0)
 
 
 def admission_limit_s(
-    work: ChainWork, left_s: float, unhindered_s: float, urgent_wait_s: float
+    work: ChainWork, left_s: float, unloaded_s: float, urgent_wait_s: float
 ) -> float:
-    """Return the forecast up to which a chain is let in.
+    """Return the longest forecast in seconds with which a chain is admitted.
 
-    What is less urgent is measured by what it does to those before it. One that
-    can wait long itself would otherwise be let in until queues are longer than
-    the more urgent ones can bear, and these alone would be refused.
+    The limit of a less urgent chain also depends on how long more urgent ones can
+    wait. Otherwise chains that tolerate long waits would be admitted until queues
+    are longer than the more urgent chains tolerate, and only these would be refused.
 
     Parameters
     ----------
     work : ChainWork
-        Says how urgent it is.
+        The chain, with its priority.
     left_s : float
-        Seconds until it should be done.
-    unhindered_s : float
-        Seconds that it takes where nothing else waits.
+        Seconds until it is due.
+    unloaded_s : float
+        Seconds that it takes without a backlog.
     urgent_wait_s : float
         Seconds for which more urgent chains of its services can wait.
     """
     rank = min(work.priority, len(WAIT_SHARE_BY_PRIORITY) - 1)
-    may_wait_s = min(max(0.0, left_s - unhindered_s), urgent_wait_s)
-    return min(left_s, unhindered_s + WAIT_SHARE_BY_PRIORITY[rank] * may_wait_s)
+    tolerable_wait_s = min(max(0.0, left_s - unloaded_s), urgent_wait_s)
+    return min(left_s, unloaded_s + WAIT_SHARE_BY_PRIORITY[rank] * tolerable_wait_s)
--- a/src/trefoilpaddle/coordination/chain/answer_deadline.py
+++ b/src/trefoilpaddle/coordination/chain/answer_deadline.py
@@ -1,4 +1,4 @@
-"""Ends the wait for a request's answer while one can still be written."""
+"""Cancels the handling of a request while an answer can still be written."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,12 @@
 
 
 class AnswerDueError(Exception):
-    """A request must be answered now, whatever it waits for.
+    """A request must be answered now, whatever it is waiting for.
 
     Parameters
     ----------
     reason : Reason
-        Why now.
+        Why the answer is due, as reported to the caller.
     """
 
     def __init__(self, reason: Reason) -> None:
@@ -24,53 +24,56 @@
 
 
 class AnswerDeadline:
-    """When one request must be answered, and what ends its wait then.
+    """The time at which one request must be answered, and its enforcement.
 
-    A request waits in many places: for admission, in a queue, at a scheduler
-    elsewhere that is silent or hands over, between attempts, at a worker. Each has
-    bounds of its own, and none knows of the order to stop. A wait that outlived the
-    process ended in a closed connection, the caller not knowing whether its request
-    had run. Cancelling the one task that waits reaches all of them.
+    A request waits in many places: for admission, in a queue, at a remote scheduler
+    that is unresponsive or hands its cell over, between attempts, at a worker. Each
+    of these waits has its own time limit, and none takes the order to stop into
+    account. A wait that outlived the process ended in a closed connection, and the
+    caller did not know whether its request had run. Cancelling the one task that
+    waits covers all of them.
 
     Parameters
     ----------
     delivery : Delivery
-        Tells how far the request has come.
-    ends_s : callable
-        Returns the monotonic time of the answer as things stand, and the reason.
+        How far the request has come; notifies this object of changes.
+    answer_by_s : callable
+        Returns the monotonic time at which the answer is due at present, and the
+        reason.
     """
 
-    __slots__ = ("_ends_s", "_is_open", "_timeout")
+    __slots__ = ("_answer_by_s", "_is_open", "_timeout")
 
     def __init__(
-        self, *, delivery: Delivery, ends_s: Callable[[], tuple[float, Reason]]
+        self, *, delivery: Delivery, answer_by_s: Callable[[], tuple[float, Reason]]
     ) -> None:
-        self._ends_s = ends_s
+        self._answer_by_s = answer_by_s
         self._timeout = asyncio.timeout(None)
         self._is_open = False
         delivery.on_change = self.refresh
 
     def refresh(self) -> None:
-        """Take the time of the answer anew: something that it hangs on has changed.
+        """Reschedule the time limit after a change of what it depends on.
 
-        A request that a worker finishes for a caller that has left outlives it.
+        A request that a worker completes although its caller has left may still
+        change after the context was closed; this has no effect then.
         """
         if self._is_open and not self._timeout.expired():
             self._timeout.reschedule(self._loop_s())
 
     def _loop_s(self) -> float:
-        """Return the time of the answer by the loop's clock."""
-        ends_s, _ = self._ends_s()
-        return asyncio.get_running_loop().time() + ends_s - time.monotonic()
+        """Return the time at which the answer is due by the clock of the event loop."""
+        answer_by_s, _ = self._answer_by_s()
+        return asyncio.get_running_loop().time() + answer_by_s - time.monotonic()
 
     @contextlib.asynccontextmanager
     async def open(self) -> AsyncIterator[None]:
-        """End what runs in the context when the answer is due.
+        """Cancel the body of the context when the answer is due.
 
         Raises
         ------
         AnswerDueError
-            When it is.
+            If the answer was due before the body completed.
         """
         try:
             async with self._timeout:
@@ -83,4 +86,4 @@
         except TimeoutError as error:
             if not self._timeout.expired():
                 raise
-            raise AnswerDueError(self._ends_s()[1]) from error
+            raise AnswerDueError(self._answer_by_s()[1]) from error
--- a/src/trefoilpaddle/coordination/chain/attempt_timeouts.py
+++ b/src/trefoilpaddle/coordination/chain/attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a worker may keep a request waiting before it is taken as dead."""
+"""How long a worker may take to respond before it counts as failed."""
 
 import time
 from typing import Final
@@ -6,31 +6,32 @@
 from .job import Job
 
 EVENT_TIMEOUT_S: Final = 1.5
-"""A stream with no event for this long is taken as dead.
+"""A stream without an event for this many seconds counts as failed.
 
 Five times the longest pause for which an answer is still on time; callers
-themselves give up after two seconds.
+themselves abandon the stream after two seconds.
 """
 
 FIRST_EVENT_TIMEOUT_S: Final = 3.0
-"""A stream that has not begun after this long is taken as dead.
+"""A stream that has not begun after this many seconds counts as failed.
 
-An engine that is merely full begins sooner: what it can queue is read in less.
+An engine that is only busy begins sooner: it reads all prompts that it can queue
+in less time.
 """
 
 RESPONSE_TIMEOUT_RATIO: Final = 2.5
-"""Target latencies after which an idempotent call is tried at another worker."""
+"""Multiple of the target latency after which an idempotent request is retried."""
 
 
 def response_timeout_s(job: Job, *, n_sent: int) -> float:
-    """Return how long the next worker may take before another is tried.
+    """Return the seconds that the next worker may take before another is tried.
 
     Parameters
     ----------
     job : Job
         The request.
     n_sent : int
-        Workers it was sent to before.
+        Number of workers that the request was sent to before.
     """
     left_s = max(0.0, job.deadline_s - time.monotonic())
     is_last = n_sent + 1 >= job.route.max_attempts
@@ -42,17 +43,18 @@
 
 
 def event_timeout_s(job: Job, *, n_sent: int) -> float:
-    """Return how long a stream that has begun may pause.
+    """Return the longest pause between two events of a stream, in seconds.
 
-    One that can go on nowhere else is waited for: broken off it is lost for
-    sure, and an engine that put it back for want of memory goes on with it.
+    A stream that cannot be resumed at another worker may pause until its deadline:
+    abandoning it loses it for certain, whereas an engine that has preempted it for
+    lack of memory resumes it.
 
     Parameters
     ----------
     job : Job
         The request.
     n_sent : int
-        Workers it was sent to, this one included.
+        Number of workers that the request was sent to, including this one.
     """
     left_s = max(0.0, job.deadline_s - time.monotonic())
     is_last = n_sent >= job.route.max_attempts
--- a/src/trefoilpaddle/coordination/chain/attempts.py
+++ b/src/trefoilpaddle/coordination/chain/attempts.py
@@ -1,4 +1,4 @@
-"""Sends one request to workers until one has answered it, or it must end."""
+"""Sends one request to workers until one answers or no attempt is left."""
 
 import time
 from dataclasses import replace
@@ -18,8 +18,8 @@
 from .worker_choice import Need, WorkerChoice
 from .worker_exchange import Inputs, WorkerExchange, WorkerFailed
 
-MAX_UNSENT: Final = 4
-"""Most workers that are tried without anything being sent, or being run."""
+MAX_NOT_RUN: Final = 4
+"""Maximum number of attempts that fail without the request having been run."""
 
 REASON_OF: Final = {
     CallFault.UNREACHABLE: Reason.TARGET_DOWN,
@@ -31,8 +31,8 @@
     CallFault.SILENT: Reason.TARGET_TIMEOUT,
 }
 
-FULL_RETRY_S: Final = 0.5
-"""When to come back after all workers were full; two calls of a stage."""
+UNANSWERED_RETRY_S: Final = 0.5
+"""Retry-After in seconds once no worker has answered; two calls of a stage."""
 
 
 class Attempts:
@@ -43,15 +43,15 @@
     job : Job
         The request.
     inputs : Inputs
-        The results that it takes.
+        The stage results that the request takes as inputs.
     need : Need
-        What it asks of a worker.
+        What the request requires of a worker.
     workers, choice, calls, budget, journal
         As for the request path.
     delivery : Delivery
-        Told how far the request has come.
+        Records how far the request has come.
     guard : CrashGuard
-        Watches its runs.
+        Watches the runs of the request at workers.
     """
 
     __slots__ = (
@@ -60,11 +60,11 @@
         "_delivery",
         "_exchange",
         "_guard",
+        "_has_caller_left",
         "_inputs",
-        "_is_left",
         "_job",
         "_journal",
-        "_n_unsent",
+        "_n_not_run",
         "_need",
         "_tried",
         "_workers",
@@ -104,15 +104,15 @@
         self._budget = budget
         self._journal = journal
         self._tried: set[str] = set()
-        self._n_unsent = 0
-        self._is_left = False
+        self._n_not_run = 0
+        self._has_caller_left = False
 
     def stop_retrying(self) -> None:
-        """Send it to no other worker: its caller has left."""
-        self._is_left = True
+        """Send the request to no other worker, as its caller has left."""
+        self._has_caller_left = True
 
     async def run(self, sink: CallerSink) -> Outcome:
-        """Send the request until it has an answer or must end."""
+        """Send the request to workers in turn and return its outcome."""
         while True:
             refusal = self._guard.refusal(self._job.fingerprint)
             if refusal is not None:
@@ -121,90 +121,100 @@
                 )
             worker = self._choose()
             if worker is None:
-                return self._end(Reason.NO_TARGET)
+                return self._outcome_of(Reason.NO_TARGET)
             handles = await self._inputs.get()
             if handles is None:
-                return self._end(Reason.RESULT_GONE)
-            if self._is_left:
-                # Its caller left, or was told that it has not run, meanwhile.
-                return self._end(Reason.CANCELLED)
-            self._note(Event.ROUTED, worker)
+                return self._outcome_of(Reason.RESULT_GONE)
+            if self._has_caller_left:
+                # The caller left, or was answered that the request has not run, while
+                # the inputs were computed.
+                return self._outcome_of(Reason.CANCELLED)
+            self._record(Event.ROUTED, worker)
             match await self._exchange.send(worker, handles, sink):
                 case Answered() as answered:
                     return answered
                 case WorkerFailed() as failed:
-                    if not self._may_go_on(Reason.TARGET_FAILED, worker):
-                        return await self._pass_on(failed, sink)
+                    if not self._may_retry(Reason.TARGET_FAILED, worker):
+                        return await self._pass_failure_on(failed, sink)
                 case CallFault() as fault:
-                    self._learn(fault, worker)
+                    self._record_fault(fault, worker)
                     if self._job.may_repeat:
                         await self._guard.wait_for_exit_check(worker)
-                    if not self._may_go_on(REASON_OF[fault], worker):
-                        return self._end(REASON_OF[fault])
+                    if not self._may_retry(REASON_OF[fault], worker):
+                        return self._outcome_of(REASON_OF[fault])
 
     def _choose(self) -> Worker | None:
-        """Return the next worker; one where a suspect runs only without another."""
+        """Return the next worker, or None if there is none.
+
+        A worker at which a suspect request runs is used only if there is no other.
+        """
         service = self._job.worker_service()
         tried = frozenset(self._tried)
         need = self._need
         if self._guard.is_suspect(self._job.fingerprint):
-            # Not where its prompt is known, but where it has the fewest beside it.
+            # A suspect goes to the worker with the fewest open requests, even if
+            # another one has its prompt in the cache.
             need = replace(need, prompt=None)
-        apart = self._guard.isolating_workers()
-        if apart:
-            worker = self._choice.choose(service, need, without=tried | apart)
+        isolating = self._guard.isolating_workers()
+        if isolating:
+            worker = self._choice.choose(service, need, without=tried | isolating)
             if worker is not None:
                 return worker
         return self._choice.choose(service, need, without=tried)
 
-    def _learn(self, fault: CallFault, worker: Worker) -> None:
-        """Take what a fault says of the worker and of the request."""
+    def _record_fault(self, fault: CallFault, worker: Worker) -> None:
+        """Record what a fault implies about the worker and the request."""
         self._tried.add(worker.worker_id)
         if fault is CallFault.INPUTS_GONE:
             self._inputs.mark_lost()
         if fault.has_not_run:
-            self._n_unsent += 1
+            self._n_not_run += 1
         else:
             self._delivery.may_have_run = True
         if fault is not CallFault.FULL and fault is not CallFault.INPUTS_GONE:
             self._workers.suspect(worker)
 
-    def _may_go_on(self, reason: Reason, worker: Worker) -> bool:
-        """Return True if the request may go to another worker, and count it."""
+    def _may_retry(self, reason: Reason, worker: Worker) -> bool:
+        """Return True if the request may go to another worker.
+
+        Spends a repeat of the budget if the request was sent before.
+        """
         job = self._job
         self._tried.add(worker.worker_id)
         if reason is Reason.TARGET_FAILED:
             self._delivery.may_have_run = True
-        if self._is_left:
+        if self._has_caller_left:
             return False
         if self._delivery.may_have_run and not job.may_repeat:
             return False
         if self._delivery.is_begun and not job.route.is_resumable:
             return False
         n_sent = self._exchange.n_sent
-        if n_sent >= job.route.max_attempts or self._n_unsent >= MAX_UNSENT:
+        if n_sent >= job.route.max_attempts or self._n_not_run >= MAX_NOT_RUN:
             return False
         now_s = time.monotonic()
         if now_s >= job.deadline_s:
             return False
         if n_sent and not self._budget.spend(now_s):
             return False
-        self._note(Event.RETRIED, worker, reason)
+        self._record(Event.RETRIED, worker, reason)
         return True
 
-    def _end(self, reason: Reason) -> Outcome:
-        """Return the end of a request that no worker has answered."""
-        return self._delivery.end(reason, retry_after_s=FULL_RETRY_S)
+    def _outcome_of(self, reason: Reason) -> Outcome:
+        """Return the outcome of a request that no worker has answered."""
+        return self._delivery.end(reason, retry_after_s=UNANSWERED_RETRY_S)
 
-    async def _pass_on(self, failed: WorkerFailed, sink: CallerSink) -> Outcome:
-        """Give the caller a worker's failure as it is, if nothing went before."""
+    async def _pass_failure_on(self, failed: WorkerFailed, sink: CallerSink) -> Outcome:
+        """Pass a worker's failure on unchanged, unless an answer has begun."""
         if self._delivery.is_begun:
             return Failed(reason=Reason.TARGET_FAILED, is_begun=True)
         self._delivery.begin()
         await sink.whole(failed.head, failed.body)
         return Answered()
 
-    def _note(self, event: Event, worker: Worker, reason: Reason = Reason.NONE) -> None:
+    def _record(
+        self, event: Event, worker: Worker, reason: Reason = Reason.NONE
+    ) -> None:
         job = self._job
         self._journal.record(
             Decision(
--- a/src/trefoilpaddle/coordination/chain/call_log.py
+++ b/src/trefoilpaddle/coordination/chain/call_log.py
@@ -1,4 +1,4 @@
-"""What is logged of calls to one stage worker, and of what it reports."""
+"""Journal records of calls to one stage worker and of its reports."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -11,20 +11,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallSummary:
-    """How a call of pieces ended.
+    """The outcome of a call of pieces.
 
     Parameters
     ----------
     n_pieces, n_made : int
-        Pieces that it carried, and results of it.
+        Pieces in the call, and pieces with a result.
     n_waiting : int
-        Pieces that waited behind it when it was sent.
+        Pieces that were left in the queue when the call was sent.
     took_s : float
-        How long it took.
+        Duration of the call in seconds.
     faults : Counter of str
-        Pieces without a result, by why.
+        Number of pieces without a result, by fault.
     reason : Reason
-        Why nothing of it was made.
+        Why the whole call failed.
     """
 
     n_pieces: int
@@ -36,14 +36,14 @@
 
 
 class CallLog:
-    """Writes what concerns one worker to the journal.
+    """Records calls to one worker in the journal.
 
     Parameters
     ----------
     worker : Worker
         The worker.
     journal : Journal
-        Takes the decisions.
+        Receives the decisions.
     """
 
     __slots__ = ("_journal", "_worker")
@@ -52,29 +52,41 @@
         self._worker = worker
         self._journal = journal
 
-    def call(self, note: CallSummary, *, kept_bytes: float, ratio: float) -> None:
-        """Log a call, with what the worker keeps and how slow it is believed."""
-        faults = " ".join(f"{fault}={n}" for fault, n in note.faults.items())
+    def record_call(
+        self, summary: CallSummary, *, kept_bytes: float, ratio: float
+    ) -> None:
+        """Record a call.
+
+        Parameters
+        ----------
+        summary : CallSummary
+            The outcome of the call.
+        kept_bytes : float
+            Bytes of results that the worker is estimated to hold.
+        ratio : float
+            Estimated ratio of the worker's call times to the published ones.
+        """
+        faults = " ".join(f"{fault}={n}" for fault, n in summary.faults.items())
         self._journal.record(
             Decision(
                 event=Event.FINISHED,
                 stage=self._worker.service,
                 peer=self._worker.worker_id,
-                reason=note.reason,
+                reason=summary.reason,
                 detail=faults,
                 figures=(
                     Figure(name="kept_bytes", value=kept_bytes),
-                    Figure(name="n_pieces", value=note.n_pieces),
-                    Figure(name="n_made", value=note.n_made),
-                    Figure(name="n_ahead", value=note.n_waiting),
-                    Figure(name="service_s", value=note.took_s),
+                    Figure(name="n_pieces", value=summary.n_pieces),
+                    Figure(name="n_made", value=summary.n_made),
+                    Figure(name="n_ahead", value=summary.n_waiting),
+                    Figure(name="service_s", value=summary.took_s),
                     Figure(name="ratio", value=ratio),
                 ),
             )
         )
 
-    def report(self, report: WorkerReport | None) -> None:
-        """Log what the worker says of itself; None if it did not answer."""
+    def record_report(self, report: WorkerReport | None) -> None:
+        """Record a worker's status report; None if it did not answer."""
         figures: tuple[Figure, ...] = ()
         if report is not None:
             figures = (
--- a/src/trefoilpaddle/coordination/chain/caller_sink.py
+++ b/src/trefoilpaddle/coordination/chain/caller_sink.py
@@ -1,4 +1,4 @@
-"""What the request path asks of the server that speaks to a caller."""
+"""Interface of the request path to the server that answers a caller."""
 
 from typing import Protocol
 
@@ -9,7 +9,7 @@
     """Writes one answer to a caller."""
 
     async def whole(self, head: AnswerHead, body: bytes) -> None:
-        """Write an answer whose body is there."""
+        """Write an answer whose body is complete."""
 
     async def begin(self, head: AnswerHead) -> None:
         """Write the head of a stream."""
@@ -18,4 +18,4 @@
         """Write one event of a stream that has begun."""
 
     async def end(self) -> None:
-        """End a stream as complete."""
+        """End a complete stream."""
--- a/src/trefoilpaddle/coordination/chain/cell_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/cell_dispatch.py
@@ -17,34 +17,44 @@
 from .worker_caller import WorkerCaller
 
 CROSS_DOMAIN_WAIT_S: Final = 0.05
-"""Wait that is borne to stay near; the calls before and behind stay in step."""
+"""Seconds that a piece waits for a worker in its preferred failure domain.
+
+Pieces of the same request stay in the same failure domain for up to this long, so
+that the calls of preceding and following stages stay in step.
+"""
 
 CROSS_DOMAIN_WAIT_S_PER_BYTE: Final = 9e-8
-"""The same for each byte of results, which are paid for where they cross.
+"""Additional seconds for each byte of results that would cross failure domains.
 
-A large result of 1.5 MB weighs half a call.
+Operators pay for this traffic. A large result of 1.5 MB counts as half a call.
 """
 
 
 def cross_domain_wait_s(n_bytes: float) -> float:
-    """Return the wait that is borne so that results of that size do not cross."""
+    """Return the seconds to wait so that results do not cross failure domains.
+
+    Parameters
+    ----------
+    n_bytes : float
+        Size of the results in bytes.
+    """
     return CROSS_DOMAIN_WAIT_S + CROSS_DOMAIN_WAIT_S_PER_BYTE * n_bytes
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsableCallers:
-    """The callers of a service's workers, found once, and from what.
+    """Cached callers of a service's workers, with what they were derived from.
 
     Parameters
     ----------
     callers : sequence of WorkerCaller
-        Those of the cell, or of all cells where it has none.
+        Callers of the workers of the cell, or of all cells if it has none.
     workers : sequence of Worker
-        The workers that may get work.
+        The usable workers of the service in all cells.
     failure_domains : frozenset of str
-        The cell's.
+        Failure domains of the cell.
     table : RouteTable
-        What was in force.
+        The route table that was active.
     """
 
     callers: Sequence[WorkerCaller]
@@ -58,7 +68,7 @@
         failure_domains: frozenset[str],
         table: RouteTable,
     ) -> bool:
-        """Return True while nothing that they were found from has changed."""
+        """Return True if nothing that the callers were derived from has changed."""
         return (
             self.workers is workers
             and self.table is table
@@ -67,30 +77,32 @@
 
 
 class CellDispatch:
-    """Makes pieces at the workers of one cell.
+    """Dispatches pieces to the workers of one cell.
 
-    Where a service has no worker there, those of other cells are used: their
-    own schedulers call them as well, so calls are smaller, but chains go on.
+    If the cell has no worker of a service, workers of other cells are used. Their
+    own schedulers call them as well, so calls are smaller, but chains continue.
 
     Parameters
     ----------
     failure_domains : frozenset of str
-        Where the cell's workers stand.
+        Failure domains of the cell's workers.
     calls : TargetCalls
-        Speaks to the workers.
+        Client that calls the workers.
     workers : WorkerTable
-        Who may get work.
+        The listed workers.
     journal : Journal
-        Takes decisions.
+        Receives decisions.
+    table : RouteTable
+        The active route table.
     guard : CrashGuard
         Knows which requests crash workers.
 
     Attributes
     ----------
     table : RouteTable
-        What is in force; says what a worker bears.
+        The active route table, with the published capacity of workers.
     on_freed : callable or None
-        Called with a worker and results that it has freed.
+        Called with a worker and the handles of results that it has freed.
     """
 
     __slots__ = (
@@ -98,7 +110,7 @@
         "_callers",
         "_calls",
         "_guard",
-        "_is_moved",
+        "_is_handed_over",
         "_is_stopped",
         "_journal",
         "_usable",
@@ -127,68 +139,70 @@
         self._by_service: dict[str, ServiceDispatch] = {}
         self._usable: dict[str, UsableCallers] = {}
         self._is_stopped = False
-        self._is_moved = False
+        self._is_handed_over = False
         self.on_freed: Callable[[Worker, list[str]], None] | None = None
         self.table = table
         workers.leave_listeners.append(self._on_leave)
-        workers.end_listeners.append(self._on_end)
+        workers.end_listeners.append(self._on_exit)
 
     def close(self) -> None:
-        """Hear of workers no more: another scheduler of the cell has begun here.
+        """Unsubscribe from worker changes, as a new scheduler of the cell has begun.
 
-        A gateway takes and gives cells for weeks; each that went on listening
-        would be kept for good, with all that it knew of its workers.
+        A gateway takes cells over and hands them over for weeks. An object that
+        stayed subscribed would never be released, with its state of all workers.
         """
         self._workers.leave_listeners.remove(self._on_leave)
-        self._workers.end_listeners.remove(self._on_end)
+        self._workers.end_listeners.remove(self._on_exit)
 
     def has_worker(self, service: str) -> bool:
         """Return True if a worker of the service may get work."""
-        return bool(self._callers_of(service))
+        return bool(self._usable_callers(service))
 
     def wait_s(
-        self, service: str, n_pieces: int, *, n_reserved: int, in_s: float
+        self, service: str, n_pieces: int, *, n_reserved: int, queued_in_s: float
     ) -> float | None:
-        """Return the expected seconds from then until pieces are made.
+        """Return the expected seconds from queueing pieces to their completion.
 
         None if the service has no worker.
 
         Parameters
         ----------
         service : str
-            What makes them.
+            Service that runs the pieces.
         n_pieces : int
-            How many.
+            Number of pieces.
         n_reserved : int
-            Pieces that will come before them and are not queued yet.
-        in_s : float
-            When they will be queued; what is made until then is off the queue.
+            Pieces that will be queued before them and are not queued yet.
+        queued_in_s : float
+            Seconds until the pieces are queued; the backlog shrinks until then.
         """
-        callers = self._callers_of(service)
+        callers = self._usable_callers(service)
         if not callers:
             return None
         now_s = time.monotonic()
         n_ahead = n_reserved + self._dispatch(service).n_on_time(now_s)
         pace_per_s = sum([caller.known.times.busy_per_s for caller in callers])
-        ahead_s = max(0.0, n_ahead / max(MIN_PACE_PER_S, pace_per_s) - in_s)
+        ahead_s = max(0.0, n_ahead / max(MIN_PACE_PER_S, pace_per_s) - queued_in_s)
         own_s = min([caller.known.call_s(n_pieces, now_s) for caller in callers])
-        # The call that runs when they come is half over on the average.
-        turn_s = own_s / 2 if in_s else min([c.known.busy_s(now_s) for c in callers])
-        return max(ahead_s, turn_s) + own_s
+        # The call that runs when they are queued is half complete on average.
+        queue_s = (
+            own_s / 2 if queued_in_s else min([c.known.busy_s(now_s) for c in callers])
+        )
+        return max(ahead_s, queue_s) + own_s
 
     def call_s(self, service: str, n_pieces: int) -> float:
-        """Return the published seconds of a call of pieces; 0 if unknown."""
+        """Return the published duration of a call in seconds; 0 if unknown."""
         plan = self.table.services.get(service)
         if not isinstance(plan, PieceService):
             return 0.0
         return plan.call_s + min(n_pieces, plan.batch) * plan.piece_s
 
     def submit(self, service: str, works: Sequence[PieceWork]) -> None:
-        """Have pieces made."""
+        """Queue pieces for the workers of a service."""
         self._dispatch(service).submit(works)
 
     def stop(self) -> CellHandover:
-        """Send no more calls; return what is known of the workers."""
+        """Send no more calls; return the state of the workers for a handover."""
         for dispatch in self._by_service.values():
             dispatch.stop()
         self._is_stopped = True
@@ -200,30 +214,41 @@
         )
 
     def resume(self) -> None:
-        """Send calls again: nobody has taken over."""
+        """Send calls again, as no other gateway has taken the cell over."""
         self._is_stopped = False
         for dispatch in self._by_service.values():
             dispatch.resume()
 
     def redirect_pieces(self) -> None:
-        """Give up all pieces that wait or come; calls that were sent still end."""
-        self._is_moved = True
+        """Reject queued and further pieces, which another scheduler will run.
+
+        Calls that were sent still complete.
+        """
+        self._is_handed_over = True
         for dispatch in self._by_service.values():
             dispatch.redirect_pieces()
 
     def take_over(self, handover: CellHandover) -> None:
-        """Go on from what the scheduler before knew of the workers."""
+        """Continue from the previous scheduler's state of the workers."""
         now_s = time.monotonic()
-        for taken in handover.workers:
-            worker = self._workers.get(taken.worker_id)
-            if worker is None or worker.born_ms != taken.born_ms:
+        for state in handover.workers:
+            worker = self._workers.get(state.worker_id)
+            if worker is None or worker.born_ms != state.born_ms:
                 continue
             caller = self._caller(worker)
             if caller is not None:
-                caller.known.take_over(taken, now_s)
+                caller.known.take_over(state, now_s)
 
     def adopt_result(self, made: PieceMade, n_bytes: float) -> None:
-        """Count a result of a chain that came from the scheduler before."""
+        """Count the memory of a result that the previous scheduler had computed.
+
+        Parameters
+        ----------
+        made : PieceMade
+            The result.
+        n_bytes : float
+            Its expected size in bytes.
+        """
         caller = self._caller_of(made)
         if caller is not None:
             caller.known.memory.keep(made.handle, n_bytes, time.monotonic())
@@ -231,7 +256,7 @@
     def record_freed(
         self, worker_id: str, born_ms: int, handles: Sequence[str]
     ) -> None:
-        """Count results as gone that the scheduler before has freed."""
+        """Record that the previous scheduler has freed results of a worker."""
         caller = self._callers.get(worker_id)
         if caller is None or caller.worker.born_ms != born_ms:
             return
@@ -240,18 +265,21 @@
         self._dispatch(caller.worker.service).trigger()
 
     def failure_domain_of(self, worker_id: str) -> str:
-        """Return where a worker of this cell stands; empty if it is gone."""
+        """Return the failure domain of a worker; empty if the worker is unknown."""
         caller = self._callers.get(worker_id)
         return "" if caller is None else caller.worker.failure_domain
 
     def free(self, made: PieceMade) -> None:
-        """Free a result that all who need it have read."""
+        """Free a result that all following stages have read."""
         caller = self._caller_of(made)
         if caller is not None:
             caller.free(made.handle)
 
     def _caller_of(self, made: PieceMade) -> WorkerCaller | None:
-        """Return the caller of a result's maker; None if its start has ended."""
+        """Return the caller of the worker that holds a result.
+
+        None if that process has exited.
+        """
         worker = self._workers.get(made.worker_id)
         caller = None if worker is None else self._caller(worker)
         if caller is None or caller.worker.born_ms != made.born_ms:
@@ -262,32 +290,32 @@
         dispatch = self._by_service.get(service)
         if dispatch is None:
             dispatch = ServiceDispatch(
-                callers=lambda: self._callers_of(service), guard=self._guard
+                callers=lambda: self._usable_callers(service), guard=self._guard
             )
             if self._is_stopped:
                 dispatch.stop()
-            if self._is_moved:
+            if self._is_handed_over:
                 dispatch.redirect_pieces()
             self._by_service[service] = dispatch
         return dispatch
 
-    def _callers_of(self, service: str) -> Sequence[WorkerCaller]:
-        """Return the callers of the workers of a service that may get work."""
+    def _usable_callers(self, service: str) -> Sequence[WorkerCaller]:
+        """Return the callers of a service's usable workers in the cell."""
         workers = self._workers.usable(service)
-        known = self._usable.get(service)
-        if known is None or not known.is_current(
+        cached = self._usable.get(service)
+        if cached is None or not cached.is_current(
             workers, self.failure_domains, self.table
         ):
-            near = [w for w in workers if w.failure_domain in self.failure_domains]
-            callers = (self._caller(worker) for worker in near or workers)
-            known = UsableCallers(
+            in_cell = [w for w in workers if w.failure_domain in self.failure_domains]
+            callers = (self._caller(worker) for worker in in_cell or workers)
+            cached = UsableCallers(
                 callers=[caller for caller in callers if caller is not None],
                 workers=workers,
                 failure_domains=self.failure_domains,
                 table=self.table,
             )
-            self._usable[service] = known
-        return known.callers
+            self._usable[service] = cached
+        return cached.callers
 
     def _caller(self, worker: Worker) -> WorkerCaller | None:
         caller = self._callers.get(worker.worker_id)
@@ -304,14 +332,14 @@
             workers=self._workers,
             journal=self._journal,
             on_free=dispatch.trigger,
-            on_freed=self._note_own_freed,
+            on_freed=self._report_freed,
             on_return=dispatch.submit,
             guard=self._guard,
         )
         self._callers[worker.worker_id] = caller
         return caller
 
-    def _note_own_freed(self, worker: Worker, handles: list[str]) -> None:
+    def _report_freed(self, worker: Worker, handles: list[str]) -> None:
         if self.on_freed is not None:
             self.on_freed(worker, handles)
 
@@ -322,7 +350,7 @@
         if dispatch is not None:
             dispatch.trigger()
 
-    def _on_end(self, worker: Worker) -> None:
+    def _on_exit(self, worker: Worker) -> None:
         caller = self._callers.get(worker.worker_id)
         if caller is not None:
             caller.mark_exited()
--- a/src/trefoilpaddle/coordination/chain/cell_map.py
+++ b/src/trefoilpaddle/coordination/chain/cell_map.py
@@ -1,4 +1,4 @@
-"""Which cells there are, the same at every gateway that knows the same workers."""
+"""The cells, the same at every gateway that knows the same workers."""
 
 from collections.abc import Hashable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -11,17 +11,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CellPartition:
-    """The cells, and what they were cut by.
+    """A partition of the stage workers into cells.
 
     Parameters
     ----------
-    seen : hashable
-        Differs whenever the cells may.
+    key : hashable
+        Key of the state that the partition depends on.
     cells : sequence of Cell
-        All of them.
+        All cells.
     """
 
-    seen: Hashable
+    key: Hashable
     cells: Sequence[Cell]
 
 
@@ -31,14 +31,14 @@
     Parameters
     ----------
     workers : WorkerTable
-        Says where there are stage workers.
+        The listed workers.
     region_of : mapping of str to str
         Region of each failure domain.
     links : SchedulerLinks
-        Says how strong the gateways are that may schedule.
+        Reports the processor capacity of the gateways that may schedule.
     """
 
-    __slots__ = ("_cut", "_links", "_region_of", "_stage_services", "_workers")
+    __slots__ = ("_links", "_partition", "_region_of", "_stage_services", "_workers")
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
         self._region_of = region_of
         self._links = links
         self._stage_services: frozenset[str] = frozenset()
-        self._cut: CellPartition | None = None
+        self._partition: CellPartition | None = None
 
     def activate(self, table: RouteTable) -> None:
-        """Take for stage workers those that `table` has make pieces."""
+        """Treat the services to which `table` assigns pieces as stage services."""
         self._stage_services = frozenset(
             name
             for name, service in table.services.items()
@@ -62,30 +62,34 @@
         )
 
     def all(self, services: Iterable[str] = ()) -> Sequence[Cell]:
-        """Return all cells, cut anew only when what they are cut by has changed.
+        """Return all cells; they are recomputed only when their inputs have changed.
 
-        Workers of all stages count, whichever `services` a request passes, and those
-        that are silent. If cells came and went with requests or with suspicions, two
-        schedulers would call the same workers meanwhile, each with half of the
-        pieces, and find them full of the other's calls.
+        Workers of all stage services count, not only those of `services`, and
+        unresponsive ones count as well. If cells changed with requests or with
+        suspected workers, two schedulers would call the same workers for a while,
+        each with half of the pieces, and find them busy with the other's calls.
+
+        Parameters
+        ----------
+        services : iterable of str
+            Services of a request, counted in addition to the stage services.
         """
         of_services = self._stage_services.union(services)
-        seen = (self._workers.version, self._links.version_of_live(), of_services)
-        if self._cut is None or self._cut.seen != seen:
+        key = (self._workers.version, self._links.version_of_live(), of_services)
+        if self._partition is None or self._partition.key != key:
             listed = [w for name in of_services for w in self._workers.listed(name)]
-            cells = cells_of(listed, self._region_of, self._n_borne)
-            self._cut = CellPartition(seen=seen, cells=cells)
-        return self._cut.cells
+            cells = cells_of(listed, self._region_of, self._worker_capacity)
+            self._partition = CellPartition(key=key, cells=cells)
+        return self._partition.cells
 
     def of(self, services: set[str]) -> Sequence[Cell]:
-        """Return the cells with a worker of every service.
+        """Return the cells that have a usable worker of every service.
 
-        Where none has all, every one will do: its scheduler then uses workers of
-        other cells.
+        All cells if there is none: the scheduler then uses workers of other cells.
         """
         cells = self.all(services)
         of_service = [self._workers.usable(service) for service in services]
-        whole = [
+        complete = [
             cell
             for cell in cells
             if all(
@@ -93,8 +97,8 @@
                 for workers in of_service
             )
         ]
-        return whole or cells
+        return complete or cells
 
-    def _n_borne(self, region: str) -> int:
-        """Return how many stage workers the strongest gateway of a region bears."""
-        return workers_borne(self._links.most_millicores(region))
+    def _worker_capacity(self, region: str) -> int:
+        """Return how many stage workers a region's strongest gateway can schedule."""
+        return workers_borne(self._links.max_millicores(region))
--- a/src/trefoilpaddle/coordination/chain/cell_schedulers.py
+++ b/src/trefoilpaddle/coordination/chain/cell_schedulers.py
@@ -1,4 +1,4 @@
-"""The cells that this gateway schedules, for itself and for others."""
+"""The cells that this gateway schedules, for itself and for other gateways."""
 
 import asyncio
 import time
@@ -35,51 +35,53 @@
     work_from_wire,
 )
 
-CHAIN_ANSWER_S: Final = 60.0
-"""Longest time that a chain may take; its own deadline ends it before.
+CHAIN_RESPONSE_TIMEOUT_S: Final = 60.0
+"""Upper limit in seconds for answering a chain; its own deadline is earlier.
 
 Three times the longest deadline that callers are known to set.
 """
 
 MIN_TENURE_S: Final = 1.0
-"""Time after a cell was taken over in which it is not handed on for its rank.
+"""Seconds after a takeover in which a cell is not handed to a higher-ranked gateway.
 
-The gateway that handed it over may be known as live a moment longer, and would go
-before this one: the cell went to and fro, and every chain with it.
+The previous gateway may still be listed as live for a moment and would rank higher
+than this one. The cell, and every chain with it, moved back and forth.
 """
 
-TAKE_TIMEOUT_S: Final = 0.3
-"""Longest wait for a gateway to take a cell; nothing is sent meanwhile.
+TAKEOVER_TIMEOUT_S: Final = 0.3
+"""Longest wait in seconds for a gateway to take a cell over; no calls are sent then.
 
-About a call, which the workers make then; a message's way takes a hundredth.
+About the duration of a call, which keeps the workers busy meanwhile. A message
+takes a hundredth of it.
 """
 
-NOBODY: Final = "nobody"
-"""Stands for the successor where there is none; no process has this name."""
+NO_SUCCESSOR: Final = "nobody"
+"""Placeholder where there is no successor; no process has this name."""
 
 MakeScheduler = Callable[[frozenset[str]], ChainScheduler]
 
 
 class CellSchedulers:
-    """Schedules the stages of cells, each from its first chain on.
+    """The schedulers of the cells that this gateway schedules.
 
-    A gateway that sends a chain here takes this one for the scheduler. It is
-    served even where this gateway sees it otherwise: after a change of members
-    the two agree within moments, and a worker that is called from two sides
-    meanwhile is asked what it does before it is called again.
+    A scheduler is created when the first chain of its cell arrives. Another gateway
+    that sends a chain here regards this one as the cell's scheduler, and the chain is
+    served even if this gateway does not: after a change of members the two agree
+    within moments. A worker that is called by two schedulers meanwhile is queried for
+    its state before it is called again.
 
     Parameters
     ----------
     process : OwnProcess
-        Listens for peers.
+        Receives requests and messages of peers.
     make : callable
-        Returns a new scheduler of the stage workers in some failure domains.
+        Returns a new scheduler for the stage workers in the given failure domains.
     """
 
     __slots__ = (
         "_by_cell",
         "_cells",
-        "_has_given_up",
+        "_has_abandoned",
         "_is_stopping",
         "_journal",
         "_make",
@@ -89,34 +91,36 @@
     def __init__(self, *, process: OwnProcess, make: MakeScheduler) -> None:
         self._make = make
         self._is_stopping = process.stopping.is_set
-        self._has_given_up = False
+        self._has_abandoned = False
         self._journal: Journal = process.journal
         self._by_cell: dict[str, ChainScheduler] = {}
         self._cells: dict[str, Cell] = {}
         self._running: dict[str, asyncio.Task[ChainEnd]] = {}
-        process.server.answer(RunChain, self._answer, timeout_s=CHAIN_ANSWER_S)
-        process.server.answer(TakeCell, self._take)
+        process.server.answer(
+            RunChain, self._run_for_peer, timeout_s=CHAIN_RESPONSE_TIMEOUT_S
+        )
+        process.server.answer(TakeCell, self._take_over)
         process.message_listeners.append(self._on_message)
 
     def activate(self, table: RouteTable) -> None:
-        """Take workers for what `table` says of them."""
+        """Use `table` for all schedulers from now on."""
         for scheduler in self._by_cell.values():
             scheduler.dispatch.table = table
 
     def of(self, cell: Cell) -> ChainScheduler:
         """Return the scheduler of a cell's stages."""
         scheduler = self._by_cell.get(cell.name)
-        # One that stops does not begin anew what it has handed over: chains would
-        # go with it, and the workers be called from two sides.
-        may_begin_anew = not self._is_stopping()
-        if scheduler is None or (scheduler.is_superseded() and may_begin_anew):
+        # A gateway that stops does not schedule a cell again that it has handed over:
+        # chains would be lost with it, and two schedulers would call the workers.
+        may_begin_again = not self._is_stopping()
+        if scheduler is None or (scheduler.is_superseded() and may_begin_again):
             scheduler = self._begin(cell, "from its first chain")
         scheduler.dispatch.failure_domains = cell.failure_domains
         self._cells[cell.name] = cell
         return scheduler
 
     def active(self, *, for_s: float = 0.0) -> list[Cell]:
-        """Return the cells that this gateway schedules, for so long at least."""
+        """Return the cells that this gateway has scheduled for at least `for_s`."""
         began_s = time.monotonic() - for_s
         return [
             self._cells[name]
@@ -125,10 +129,10 @@
         ]
 
     def update_cells(self, cells: Sequence[Cell]) -> None:
-        """Go on with the cells that are scheduled here as they are cut now.
+        """Apply the current partition to the cells that are scheduled here.
 
-        A gateway to which no chain comes any more learns of a change no other way,
-        and would go on calling workers of what is another's cell by now.
+        A gateway that receives no chains any more learns of a change in no other way
+        and would continue to call workers that belong to another cell by now.
         """
         for cell in cells:
             scheduler = self._by_cell.get(cell.name)
@@ -137,13 +141,13 @@
                 self._cells[cell.name] = cell
 
     async def run(self, cell: Cell, work: ChainWork) -> ChainEnd:
-        """Run a chain here until it ends or is freed."""
-        if self._has_given_up and cell.name not in self._by_cell:
-            return ChainMoved(successor=NOBODY, made=work.made)
+        """Run a chain here and return its outcome."""
+        if self._has_abandoned and cell.name not in self._by_cell:
+            return ChainMoved(successor=NO_SUCCESSOR, made=work.made)
         task = asyncio.create_task(self.of(cell).run(work))
         self._running[work.request_id] = task
         try:
-            end = await task
+            outcome = await task
         except asyncio.CancelledError:
             if not task.cancelled() or _is_cancelling():
                 task.cancel()
@@ -153,13 +157,13 @@
             if self._running.get(work.request_id) is task:
                 del self._running[work.request_id]
         if _is_cancelling():
-            # A chain that fails in the moment in which it is cancelled ends with its
-            # fault. Its request must end all the same, not run the chain again.
+            # A chain that fails at the moment it is cancelled returns its failure.
+            # Its request must be cancelled all the same and not run the chain again.
             raise asyncio.CancelledError
-        return end
+        return outcome
 
     def free(self, cell: str, request_id: str) -> None:
-        """Free what a chain has made, and end it if it still runs."""
+        """Free the results of a chain, and cancel it if it still runs."""
         task = self._running.get(request_id)
         if task is not None:
             task.cancel()
@@ -168,30 +172,30 @@
             scheduler.free(request_id)
 
     async def hand_over(self, cell: Cell, successor: str, link: Link) -> bool:
-        """Have another gateway schedule a cell from now on; True if it does.
+        """Hand a cell over to another gateway; return True if it has taken it.
 
-        This one first sends no more calls, so that no worker is called from two
-        sides; it goes on if the other does not answer.
+        This gateway first stops sending calls, so that no worker is called by two
+        schedulers. It resumes if the other gateway does not take the cell.
         """
         scheduler = self._by_cell.get(cell.name)
         if scheduler is None or scheduler.successor:
             return False
         handover = scheduler.dispatch.stop()
-        question = handover_to_wire(handover, cell)
+        request = handover_to_wire(handover, cell)
         is_taken = False
         try:
-            answer = await link.ask(question, timeout_s=TAKE_TIMEOUT_S)
-            is_taken = isinstance(answer, Ok) and answer.ok_value.is_taken
+            response = await link.ask(request, timeout_s=TAKEOVER_TIMEOUT_S)
+            is_taken = isinstance(response, Ok) and response.ok_value.is_taken
         finally:
-            # Also where the order to stop breaks the question off: a cell that
-            # stays stopped sends nothing, and its chains wait without end.
+            # Also if the order to stop cancels the request: a cell that stayed
+            # stopped would send nothing, and its chains would wait forever.
             if not is_taken:
                 scheduler.dispatch.resume()
-                self._note(cell, successor, "was not taken over", 0)
+                self._record(cell, successor, "was not taken over", 0)
         if not is_taken:
             return False
 
-        def tell_freed(worker: Worker, handles: list[str]) -> None:
+        def report_freed(worker: Worker, handles: list[str]) -> None:
             link.send(
                 ResultsFreed(
                     cell=cell.name,
@@ -201,49 +205,49 @@
                 )
             )
 
-        scheduler.dispatch.on_freed = tell_freed
+        scheduler.dispatch.on_freed = report_freed
         scheduler.hand_over(successor)
-        self._note(cell, successor, "handed over", len(handover.workers))
+        self._record(cell, successor, "handed over", len(handover.workers))
         return True
 
     def abandon_cells(self) -> None:
-        """Send nothing more for cells that nobody took over: this process ends.
+        """Stop scheduling the cells that no gateway took over: this process ends.
 
-        Their chains go back to the gateways that sent them. Scheduled on, they
-        would go with this process, and calls of workers fail as sessions close.
+        Their chains are returned to the gateways that sent them. Otherwise they would
+        be lost with this process, and calls would fail as connections are closed.
         """
-        self._has_given_up = True
+        self._has_abandoned = True
         for name, scheduler in self._by_cell.items():
             if not scheduler.successor:
                 scheduler.dispatch.stop()
-                scheduler.hand_over(NOBODY)
-                self._note(self._cells[name], "", "given up", 0)
+                scheduler.hand_over(NO_SUCCESSOR)
+                self._record(self._cells[name], "", "given up", 0)
 
     def _begin(self, cell: Cell, detail: str) -> ChainScheduler:
-        former = self._by_cell.get(cell.name)
-        if former is not None:
-            former.dispatch.close()
+        previous = self._by_cell.get(cell.name)
+        if previous is not None:
+            previous.dispatch.close()
         scheduler = self._make(cell.failure_domains)
         self._by_cell[cell.name] = scheduler
-        self._note(cell, "", f"scheduled here {detail}", 0)
+        self._record(cell, "", f"scheduled here {detail}", 0)
         return scheduler
 
-    async def _take(self, question: TakeCell, peer: Hello) -> CellTaken:
-        """Schedule a cell from now on, with what the scheduler before knows of it."""
+    async def _take_over(self, request: TakeCell, peer: Hello) -> CellTaken:
+        """Take a cell over, with the previous scheduler's state of its workers."""
         if self._is_stopping():
             return CellTaken(is_taken=False)
-        cell = cell_from_wire(question)
-        known = self._by_cell.get(cell.name)
-        if known is None or known.successor:
+        cell = cell_from_wire(request)
+        existing = self._by_cell.get(cell.name)
+        if existing is None or existing.successor:
             self._begin(cell, f"after {peer.process_id}")
-        handover = handover_from_wire(question)
+        handover = handover_from_wire(request)
         self.of(cell).dispatch.take_over(handover)
-        self._note(cell, peer.process_id, "taken over", len(handover.workers))
+        self._record(cell, peer.process_id, "taken over", len(handover.workers))
         return CellTaken(is_taken=True)
 
-    async def _answer(self, question: RunChain, peer: Hello) -> ChainAnswer:
-        work = work_from_wire(question)
-        return outcome_to_wire(await self.run(cell_from_wire(question), work))
+    async def _run_for_peer(self, request: RunChain, peer: Hello) -> ChainAnswer:
+        work = work_from_wire(request)
+        return outcome_to_wire(await self.run(cell_from_wire(request), work))
 
     def _on_message(self, connection: Connection, message: Message) -> None:
         match message:
@@ -258,7 +262,7 @@
             case _:
                 return
 
-    def _note(self, cell: Cell, peer: str, detail: str, n_workers: int) -> None:
+    def _record(self, cell: Cell, peer: str, detail: str, n_workers: int) -> None:
         self._journal.record(
             Decision(
                 event=Event.SCHEDULER_CHANGED,
@@ -271,6 +275,6 @@
 
 
 def _is_cancelling() -> bool:
-    """Return True if the running task itself was cancelled."""
+    """Return True if the current task itself was cancelled."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
--- a/src/trefoilpaddle/coordination/chain/chain_execution.py
+++ b/src/trefoilpaddle/coordination/chain/chain_execution.py
@@ -1,4 +1,4 @@
-"""Runs a request through the stages that must be done before it runs."""
+"""Runs the stages that must be complete before a request itself can run."""
 
 import asyncio
 import functools
@@ -22,7 +22,7 @@
 from .cell_dispatch import CellDispatch, cross_domain_wait_s
 
 MAX_TRIES: Final = 3
-"""Most times that one piece is sent to a worker; the third is the second repeat."""
+"""Maximum number of times that a piece is sent, including two repeats."""
 
 REASON_OF: Final = {
     PieceFault.LATE: Reason.DEADLINE_PASSED,
@@ -36,17 +36,17 @@
     PieceFault.MOVED: Reason.STOPPING,
 }
 
-RETRIED_FREELY: Final = frozenset({PieceFault.FULL, PieceFault.NO_WORKER})
-"""Faults of pieces that no worker has begun; sending them again repeats nothing."""
+RETRIED_WITHOUT_BUDGET: Final = frozenset({PieceFault.FULL, PieceFault.NO_WORKER})
+"""Faults of pieces that no worker has begun; sending them again is not a repeat."""
 
 
 class StageFaultError(Exception):
-    """A stage cannot be made.
+    """A stage cannot be completed.
 
     Parameters
     ----------
     reason : Reason
-        Why.
+        Why it cannot be completed.
     """
 
     def __init__(self, reason: Reason) -> None:
@@ -55,26 +55,26 @@
 
 
 class ChainExecution:
-    """The stages of one request.
+    """The execution of the stages of one request.
 
     Parameters
     ----------
     work : ChainWork
-        What is to be made.
+        The chain to run.
     dispatch : CellDispatch
-        Where pieces are made.
+        Dispatches pieces to workers.
     budgets : RepeatBudgets
-        Asked before a piece is made again.
+        Limit how many pieces are sent again.
     reservations : Reservations
-        Told when pieces come to their queue.
+        Count the pieces that are not queued yet.
     journal : Journal
-        Takes the end of each stage.
+        Receives the outcome of each stage.
     """
 
     __slots__ = (
         "_budgets",
         "_dispatch",
-        "_is_moved",
+        "_is_handed_over",
         "_journal",
         "_progress",
         "_reservations",
@@ -96,45 +96,46 @@
         self._budgets = budgets
         self._reservations = reservations
         self._journal = journal
-        self._is_moved = False
+        self._is_handed_over = False
         self._progress = ChainProgress(work=work)
         for each in work.made:
             dispatch.adopt_result(each.made, work.stages[each.stage].result_bytes)
         self._reserved = {
-            number
-            for number in range(len(work.stages))
-            if not self._progress.is_done(number)
+            index
+            for index in range(len(work.stages))
+            if not self._progress.is_done(index)
         }
-        for number in self._reserved:
-            reservations.add(work.stages[number].service, work.n_pieces[number])
+        for index in self._reserved:
+            reservations.add(work.stages[index].service, work.n_pieces[index])
 
     async def run(self) -> ChainEnd:
-        """Make all stages; return the handles that the request takes.
+        """Run all stages; return the outcome with the handles of the last stages.
 
-        Where another gateway has taken over meanwhile, return what there is.
+        If another gateway has taken the cell over meanwhile, the outcome carries the
+        results computed so far.
         """
         loop = asyncio.get_running_loop()
-        ended = [loop.create_future() for _ in self._work.stages]
+        completed = [loop.create_future() for _ in self._work.stages]
         reason = Reason.NONE
         try:
             async with asyncio.TaskGroup() as group:
-                for number in range(len(ended)):
-                    group.create_task(self._run_stage(number, ended))
+                for index in range(len(completed)):
+                    group.create_task(self._run_stage(index, completed))
         except* StageFaultError as faults:
             reason = _reason_of(faults)
         finally:
-            for number in list(self._reserved):
-                self._release(number)
+            for index in list(self._reserved):
+                self._release(index)
         if reason is not Reason.NONE:
             self.free_all()
             return ChainFailed(reason=reason, is_begun=True)
-        if self._is_moved:
-            # The next scheduler frees it.
+        if self._is_handed_over:
+            # The next scheduler frees these results.
             made = self._progress.take_all()
             return ChainMoved(successor="", is_admitted=True, made=made)
-        return self._result()
+        return self._outcome()
 
-    def _result(self) -> ChainMade:
+    def _outcome(self) -> ChainMade:
         last = self._work.last_stages()
         n_bytes = self._progress.bytes_by_domain(last, self._dispatch.failure_domain_of)
         most = n_bytes.most_common(1)
@@ -145,177 +146,178 @@
             failure_domain=most[0][0] if most else "",
         )
 
-    def _release(self, number: int) -> None:
-        """Count a stage's pieces as come, or as not coming any more, once."""
-        if number in self._reserved:
-            self._reserved.remove(number)
+    def _release(self, index: int) -> None:
+        """Release the reservation of a stage; further calls do nothing."""
+        if index in self._reserved:
+            self._reserved.remove(index)
             self._reservations.release(
-                self._work.stages[number].service, self._work.n_pieces[number]
+                self._work.stages[index].service, self._work.n_pieces[index]
             )
 
     def free_all(self) -> None:
-        """Free every result that is still kept for this request."""
-        for number in self._progress.stages():
-            self._free_stage(number)
+        """Free all results that workers still hold for this request."""
+        for index in self._progress.stages():
+            self._free_stage(index)
 
     async def _run_stage(
-        self, number: int, ended: "list[asyncio.Future[None]]"
+        self, index: int, completed: "list[asyncio.Future[None]]"
     ) -> None:
-        """Make a stage once those before it are done.
+        """Run a stage once the preceding stages are complete.
 
         Raises
         ------
         StageFaultError
-            If it cannot be made; this ends the other stages as well.
+            If the stage cannot be completed; this cancels the other stages.
         """
-        plan = self._work.stages[number]
-        for before in plan.after:
-            await asyncio.shield(ended[before])
-        can_begin = all(self._progress.is_done(before) for before in plan.after)
-        if can_begin and not self._progress.is_done(number):
+        plan = self._work.stages[index]
+        for preceding in plan.after:
+            await asyncio.shield(completed[preceding])
+        can_begin = all(self._progress.is_done(preceding) for preceding in plan.after)
+        if can_begin and not self._progress.is_done(index):
             began_s = time.monotonic()
-            fault = await self._make(number)
+            fault = await self._run_pieces(index)
             if fault is Reason.STOPPING:
-                self._is_moved = True
+                self._is_handed_over = True
             else:
-                self._note(number, fault, time.monotonic() - began_s)
+                self._record(index, fault, time.monotonic() - began_s)
                 if fault is not None:
                     raise StageFaultError(fault)
-                self._progress.finish(number)
-                self._free_read(number)
-        ended[number].set_result(None)
+                self._progress.finish(index)
+                self._free_read_inputs(index)
+        completed[index].set_result(None)
 
-    def _note(self, number: int, fault: Reason | None, took_s: float) -> None:
-        if not self._work.n_pieces[number]:
+    def _record(self, index: int, fault: Reason | None, took_s: float) -> None:
+        if not self._work.n_pieces[index]:
             return
         self._journal.record(
             Decision(
                 event=Event.STAGE_DONE if fault is None else Event.STAGE_FAILED,
                 request_id=self._work.request_id,
                 entry=self._work.route,
-                stage=self._name_of(number),
-                peer=self._maker_of(number),
+                stage=self._name_of(index),
+                peer=self._last_worker_of(index),
                 reason=fault or Reason.NONE,
                 figures=(
-                    Figure(name="n_pieces", value=self._work.n_pieces[number]),
+                    Figure(name="n_pieces", value=self._work.n_pieces[index]),
                     Figure(name="took_s", value=took_s),
                     Figure(
-                        name="slack_s", value=self._due_of(number) - time.monotonic()
+                        name="slack_s", value=self._due_of(index) - time.monotonic()
                     ),
                 ),
             )
         )
 
-    def _note_retry(
-        self, number: int, failed: frozenset[str], fault: PieceFault, n_missing: int
+    def _record_retry(
+        self, index: int, failed: frozenset[str], fault: PieceFault, n_missing: int
     ) -> None:
         self._journal.record(
             Decision(
                 event=Event.RETRIED,
                 request_id=self._work.request_id,
                 entry=self._work.route,
-                stage=self._name_of(number),
+                stage=self._name_of(index),
                 peer=min(failed, default=""),
                 reason=REASON_OF[fault],
                 figures=(Figure(name="n_pieces", value=n_missing),),
             )
         )
 
-    def _name_of(self, number: int) -> str:
-        return f"{number}:{self._work.stages[number].service}"
+    def _name_of(self, index: int) -> str:
+        return f"{index}:{self._work.stages[index].service}"
 
-    def _maker_of(self, number: int) -> str:
-        """Return the worker that made a stage's last piece; empty if none did."""
-        results = self._progress.results(number)
+    def _last_worker_of(self, index: int) -> str:
+        """Return the worker of a stage's last result; empty if there is none."""
+        results = self._progress.results(index)
         return results[-1].worker_id if results else ""
 
-    async def _make(self, number: int) -> Reason | None:
-        """Make all pieces of a stage; return why one could not be made."""
-        service = self._work.stages[number].service
-        avoided: frozenset[str] = frozenset()
+    async def _run_pieces(self, index: int) -> Reason | None:
+        """Run all pieces of a stage; return why one could not be completed."""
+        service = self._work.stages[index].service
+        excluded: frozenset[str] = frozenset()
         n_tries = 0
-        while missing := self._progress.missing(number):
+        while missing := self._progress.missing(index):
             if not self._dispatch.has_worker(service):
                 return Reason.NO_TARGET
-            if not self._progress.has_inputs(number):
+            if not self._progress.has_inputs(index):
                 return Reason.RESULT_GONE
-            works = self._pieces(number, missing, avoided)
-            self._release(number)
+            works = self._pieces(index, missing, excluded)
+            self._release(index)
             self._dispatch.submit(service, works)
-            faults = await self._ends(number, works)
+            faults = await self._await_pieces(index, works)
             if not faults:
                 break
             n_tries += 1
             fault = next(iter(faults))
-            reason = self._may_try_again(service, faults, n_tries)
+            reason = self._reason_to_abandon(service, faults, n_tries)
             if reason is not None:
                 return reason
             failed = frozenset(work.worker_id for work in faults.values()) - {""}
-            self._note_retry(number, failed, fault, len(faults))
-            avoided |= failed
+            self._record_retry(index, failed, fault, len(faults))
+            excluded |= failed
         return None
 
-    async def _ends(
-        self, number: int, works: list[PieceWork]
+    async def _await_pieces(
+        self, index: int, works: list[PieceWork]
     ) -> dict[PieceFault, PieceWork]:
-        """Wait for all pieces; return one piece for each fault."""
+        """Wait for all pieces; return one failed piece for each fault."""
         faults: dict[PieceFault, PieceWork] = {}
         try:
             for work in works:
                 match await work.end:
                     case PieceFault() as fault:
                         faults.setdefault(fault, work)
-                        self._progress.forget_fetched(number, work.piece)
+                        self._progress.forget_fetched(index, work.piece)
                     case PieceMade():
                         continue
         finally:
-            # A caller that left, or a sibling that failed, ends this wait:
-            # what is still queued must not be made for nobody.
+            # This wait is cancelled if the caller leaves or another stage fails.
+            # Pieces that are still queued must not be run then.
             for work in works:
                 if work.is_open:
                     work.end.cancel()
                 elif not work.end.cancelled():
-                    ended = work.end.result()
-                    if isinstance(ended, PieceMade):
-                        self._progress.note_made(number, work.piece, ended)
+                    piece_result = work.end.result()
+                    if isinstance(piece_result, PieceMade):
+                        self._progress.note_made(index, work.piece, piece_result)
         return faults
 
     def _pieces(
-        self, number: int, missing: list[int], avoided: frozenset[str]
+        self, index: int, missing: list[int], excluded: frozenset[str]
     ) -> list[PieceWork]:
-        plan = self._work.stages[number]
-        inputs = self._progress.inputs(number)
-        near, n_bytes = self._reads(number, len(missing))
-        own = stage_fingerprint(self._work.fingerprint, plan.service)
+        plan = self._work.stages[index]
+        inputs = self._progress.inputs(index)
+        preferred_domain, n_bytes = self._preferred_domain(index, len(missing))
+        piece_fingerprint = stage_fingerprint(self._work.fingerprint, plan.service)
         return [
             PieceWork(
                 request_id=self._work.request_id,
                 route=self._work.route,
-                fingerprint=own,
-                stage=number,
+                fingerprint=piece_fingerprint,
+                stage=index,
                 piece=piece,
                 key="" if plan.after else self._work.piece_key,
                 inputs=inputs,
                 has_inputs=bool(plan.after),
                 result_bytes=plan.result_bytes,
-                due_s=self._due_of(number),
+                due_s=self._due_of(index),
                 deadline_s=self._work.deadline_s,
-                near=near,
+                near=preferred_domain,
                 far_s=cross_domain_wait_s(n_bytes),
                 queued_s=time.monotonic(),
-                avoided=avoided,
-                on_fetched=functools.partial(self._note_fetched, number, piece),
+                avoided=excluded,
+                on_fetched=functools.partial(self._record_fetched, index, piece),
             )
             for piece in missing
         ]
 
-    def _reads(self, number: int, n_pieces: int) -> tuple[str, float]:
-        """Return where a stage should be made, and the bytes that cross if not.
+    def _preferred_domain(self, index: int, n_pieces: int) -> tuple[str, float]:
+        """Return the preferred failure domain of a stage.
 
-        Each piece reads all inputs, so a stage with inputs belongs where they
-        lie. One without belongs where its results are read.
+        Also returns the bytes that cross failure domains if it runs elsewhere. Each
+        piece reads all inputs, so a stage with inputs should run where they are
+        stored. A stage without inputs should run where its results are read.
         """
-        plan = self._work.stages[number]
+        plan = self._work.stages[index]
         if not plan.after:
             return self._work.near, n_pieces * plan.result_bytes
         n_bytes = self._progress.bytes_by_domain(
@@ -325,10 +327,10 @@
             return self._work.near, 0.0
         return n_bytes.most_common(1)[0][0], n_pieces * float(n_bytes.total())
 
-    def _may_try_again(
+    def _reason_to_abandon(
         self, service: str, faults: dict[PieceFault, PieceWork], n_tries: int
     ) -> Reason | None:
-        """Return why missing pieces are given up, or None to try again."""
+        """Return why missing pieces are abandoned, or None to send them again."""
         if PieceFault.MOVED in faults:
             return Reason.STOPPING
         fault = next(iter(faults))
@@ -341,41 +343,45 @@
             return Reason.RESULT_GONE
         if n_tries >= MAX_TRIES:
             return REASON_OF[fault]
-        is_free = faults.keys() <= RETRIED_FREELY
-        if is_free or self._budgets.of(service).spend(now_s):
+        is_without_budget = faults.keys() <= RETRIED_WITHOUT_BUDGET
+        if is_without_budget or self._budgets.of(service).spend(now_s):
             return None
         return Reason.RETRY_BUDGET
 
-    def _note_fetched(self, number: int, piece: int) -> None:
+    def _record_fetched(self, index: int, piece: int) -> None:
         """Free the inputs of a stage once the workers of all its pieces have them.
 
-        Results wait at their makers, whose memory binds before their time does.
-        Kept until the next stage is made, they take it for a whole call longer.
+        Workers hold results until they are freed, and their memory runs short before
+        their time does. Results that were kept until the next stage is complete would
+        occupy it for a whole call longer.
         """
-        if self._progress.note_fetched(number, piece):
-            self._free_read(number)
+        if self._progress.note_fetched(index, piece):
+            self._free_read_inputs(index)
 
-    def _free_read(self, number: int) -> None:
-        """Free what a stage was the last to read."""
-        for before in self._progress.readable(number):
-            self._free_stage(before)
+    def _free_read_inputs(self, index: int) -> None:
+        """Free the inputs that a stage was the last one to read."""
+        for preceding in self._progress.readable(index):
+            self._free_stage(preceding)
 
-    def _free_stage(self, number: int) -> None:
-        for made in self._progress.take_stage(number):
+    def _free_stage(self, index: int) -> None:
+        for made in self._progress.take_stage(index):
             self._dispatch.free(made)
 
-    def _due_of(self, number: int) -> float:
-        """Return when a stage should be done for those behind it to be on time."""
-        return self._work.due_s - self._behind_s(number)
+    def _due_of(self, index: int) -> float:
+        """Return the monotonic time by which a stage should be complete.
 
-    def _behind_s(self, number: int) -> float:
-        """Return the seconds of the longest way from a stage to the last."""
-        behind_s = 0.0
+        Completed later, the chain is late even if the following stages do not wait.
+        """
+        return self._work.due_s - self._downstream_s(index)
+
+    def _downstream_s(self, index: int) -> float:
+        """Return the seconds of the longest path from a stage to the end."""
+        downstream_s = 0.0
         for reader, plan in enumerate(self._work.stages):
-            if number in plan.after and self._work.n_pieces[reader]:
+            if index in plan.after and self._work.n_pieces[reader]:
                 own_s = self._dispatch.call_s(plan.service, self._work.n_pieces[reader])
-                behind_s = max(behind_s, own_s + self._behind_s(reader))
-        return behind_s
+                downstream_s = max(downstream_s, own_s + self._downstream_s(reader))
+        return downstream_s
 
 
 def _reason_of(faults: BaseExceptionGroup[StageFaultError]) -> Reason:
--- a/src/trefoilpaddle/coordination/chain/chain_inputs.py
+++ b/src/trefoilpaddle/coordination/chain/chain_inputs.py
@@ -1,4 +1,4 @@
-"""The results that a request takes, over all of its attempts."""
+"""The stage results that a request takes as inputs, over all of its attempts."""
 
 import time
 from collections.abc import Callable
@@ -8,19 +8,19 @@
 
 
 class ChainInputs:
-    """What a chain has made for a request.
+    """The results of a request's chain.
 
     Results are freed once an engine has read them, as the memory for them is scarce,
-    and they end with their makers. A stream that breaks after its first event needs
-    them again at the next engine, and so does a request whose engine does not
-    find one: the chain is then run once more.
+    and they are lost when the worker that computed them exits. A stream that breaks
+    after its first event needs them again at the next engine, and so does a request
+    whose engine does not find one of them: the chain is then run once more.
 
     Parameters
     ----------
     chain : RunningChain
-        Makes them.
+        Computes the results.
     made : ChainMade
-        What it has made.
+        The results of the first run.
     on_first_read : callable
         Called with the seconds until the first worker had read them.
     """
@@ -28,7 +28,7 @@
     __slots__ = ("_began_s", "_chain", "_made", "_n_runs", "_on_first_read")
 
     MAX_RUNS = 2
-    """Runs of one request's stages; each is paid for whole."""
+    """Maximum runs of one request's chain; each run has the full cost."""
 
     def __init__(
         self,
@@ -44,23 +44,23 @@
         self._on_first_read = on_first_read
 
     async def get(self) -> tuple[str, ...] | None:
-        """Return the handles of all, or None if they cannot be made again."""
+        """Return the handles of all inputs, or None if they cannot be recomputed."""
         if self._made is None:
             if self._n_runs >= self.MAX_RUNS:
                 return None
             self._n_runs += 1
-            end = await self._chain.run()
-            self._made = end if isinstance(end, ChainMade) else None
+            outcome = await self._chain.run()
+            self._made = outcome if isinstance(outcome, ChainMade) else None
         return None if self._made is None else self._made.handles
 
     def mark_read(self) -> None:
-        """Free them: a worker has read all of them."""
+        """Free the inputs, as a worker has read all of them."""
         if self._n_runs == 1 and self._made is not None:
             self._on_first_read(time.monotonic() - self._began_s)
         self.mark_lost()
 
     def mark_lost(self) -> None:
-        """Take them for gone, and free what is left of them."""
+        """Regard the inputs as lost, and free those that remain."""
         if self._made is not None and self._made.handles:
             self._made = None
             self._chain.free()
--- a/src/trefoilpaddle/coordination/chain/chain_router.py
+++ b/src/trefoilpaddle/coordination/chain/chain_router.py
@@ -1,4 +1,4 @@
-"""Brings a request's chain of stages to the scheduler that will do it on time."""
+"""Routes a request's chain of stages to a scheduler that can run it on time."""
 
 import asyncio
 import random
@@ -26,50 +26,53 @@
 from .chain_wire import outcome_from_wire, work_to_wire
 from .scheduler_links import SchedulerEndpoint, SchedulerLinks, is_live
 
-ASK_SLACK_S: Final = 0.1
-"""Added to a chain's deadline; the scheduler itself gives up at it."""
+RESPONSE_SLACK_S: Final = 0.1
+"""Seconds added to a chain's deadline, at which the scheduler itself stops."""
 
 LIVENESS_CHECK_PERIOD_S: Final = 0.25
-"""Time between looks whether a scheduler is heard; half a heartbeat."""
+"""Seconds between checks of a scheduler's liveness; half a heartbeat period."""
 
-N_CELLS_TRIED: Final = 2
-"""Cells asked for one chain; a second one where the nearest is full."""
+MAX_CELLS_TRIED: Final = 2
+"""Maximum number of cells tried for a chain; the second if the preferred is full."""
 
-REFUSAL_AGE_S: Final = 0.25
-"""How long a cell's refusal speaks for the next chain; about one call."""
+REFUSAL_VALIDITY_S: Final = 0.25
+"""Seconds for which a refusal also ranks a cell last for other chains.
+
+About one call.
+"""
 
 
-SETTLE_LOOK_S: Final = 0.02
-"""Time between looks whether all gateways are known; soon after a start they are."""
+SETTLE_CHECK_PERIOD_S: Final = 0.02
+"""Seconds between checks after a start whether all gateways are known."""
 
 RANK_CHECK_PERIOD_S: Final = 0.25
-"""Time between looks whether another gateway goes before this one."""
+"""Seconds between checks whether another gateway ranks higher than this one."""
 
-HANDOVER_S: Final = 1.0
-"""A gateway that stops begins to hand its cells over for so long.
+HANDOVER_PERIOD_S: Final = 1.0
+"""Seconds for which a stopping gateway begins further tries to hand its cells over.
 
-The others may be starting just then. It goes on scheduling meanwhile.
+The other gateways may be starting just then. It continues to schedule meanwhile.
 """
 
 HANDOVER_RETRY_S: Final = 0.05
-"""Pause between two tries; many times a message's way."""
+"""Seconds between two tries to hand over; many times a message's latency."""
 
 
 class ChainRouter:
-    """Finds a scheduler for each chain and follows it there.
+    """Finds a scheduler for each chain and runs the chain there.
 
     Parameters
     ----------
     links : SchedulerLinks
-        Says which gateway schedules a cell, and leads there.
+        Ranks the schedulers of a cell and keeps links to them.
     schedulers : CellSchedulers
-        What this gateway keeps itself.
+        The schedulers of this gateway.
     workers : WorkerTable
-        Says where there are stage workers.
+        The listed workers.
     region_of : mapping of str to str
         Region of each failure domain.
     budgets : RepeatBudgets
-        Asked before a chain is run once more.
+        Limit how many chains are run once more.
     is_settled : callable
         Returns True once the live gateways are known.
     """
@@ -101,77 +104,95 @@
         self._refused: dict[str, tuple[float, float]] = {}
 
     def activate(self, table: RouteTable) -> None:
-        """Take for stage workers those that `table` has make pieces."""
+        """Treat the services to which `table` assigns pieces as stage services."""
         self._cells.activate(table)
 
-    async def run(self, work: ChainWork, place: SchedulerEndpoint) -> ChainEnd:
-        """Run a chain at one place."""
-        if place.link is None:
-            return await self._schedulers.run(place.cell, work)
-        question = work_to_wire(work, place.cell)
-        timeout_s = work.deadline_s - time.monotonic() + ASK_SLACK_S
-        asking = asyncio.create_task(
-            place.link.ask(question, timeout_s=max(ASK_SLACK_S, timeout_s))
+    async def run(self, work: ChainWork, endpoint: SchedulerEndpoint) -> ChainEnd:
+        """Run a chain at one scheduler."""
+        if endpoint.link is None:
+            return await self._schedulers.run(endpoint.cell, work)
+        request = work_to_wire(work, endpoint.cell)
+        timeout_s = work.deadline_s - time.monotonic() + RESPONSE_SLACK_S
+        pending = asyncio.create_task(
+            endpoint.link.ask(request, timeout_s=max(RESPONSE_SLACK_S, timeout_s))
         )
         try:
-            if not await _answers(asking, place.link):
+            if not await _await_response(pending, endpoint.link):
                 return ChainFailed(reason=Reason.PEER_SILENT, is_begun=True)
         finally:
-            asking.cancel()
-        match asking.result():
-            case Ok(ChainAnswer() as answer):
-                return outcome_from_wire(answer)
+            pending.cancel()
+        match pending.result():
+            case Ok(ChainAnswer() as response):
+                return outcome_from_wire(response)
             case Err(error):
                 logging.info("scheduler %s: %s", error.peer, error.detail)
                 return ChainFailed(reason=Reason.PEER_SILENT, is_begun=error.is_sent)
             case _:
                 return ChainFailed(reason=Reason.INTERNAL, is_begun=True)
 
-    def free(self, place: SchedulerEndpoint, request_id: str) -> None:
-        """Free what a chain has made, and end it if it still runs."""
-        if place.link is None:
-            self._schedulers.free(place.cell.name, request_id)
+    def free(self, endpoint: SchedulerEndpoint, request_id: str) -> None:
+        """Free the results of a chain, and cancel it if it still runs."""
+        if endpoint.link is None:
+            self._schedulers.free(endpoint.cell.name, request_id)
             return
-        place.link.send(FreeChain(cell=place.cell.name, request_id=request_id))
-
-    def endpoints(self, services: set[str], near: str) -> list[SchedulerEndpoint]:
-        """Return where a chain should be tried, best first.
+        endpoint.link.send(FreeChain(cell=endpoint.cell.name, request_id=request_id))
 
-        The cell of `near` comes first, as results that cross failure domains
-        are paid for. One that has just refused a chain comes last.
+    def endpoints(
+        self, services: set[str], preferred_domain: str
+    ) -> list[SchedulerEndpoint]:
+        """Return the schedulers at which a chain should be tried, best first.
+
+        The cell of the preferred failure domain comes first, as operators pay for
+        results that cross failure domains. A cell that has just refused a chain comes
+        last.
+
+        Parameters
+        ----------
+        services : set of str
+            Services that the chain needs.
+        preferred_domain : str
+            Preferred failure domain.
         """
         now_s = time.monotonic()
 
         def rank(cell: Cell) -> tuple[bool, float, bool, float]:
             at_s, finish_s = self._refused.get(cell.name, (0.0, 0.0))
-            has_refused = now_s - at_s < REFUSAL_AGE_S
-            is_far = near not in cell.failure_domains
-            return has_refused, finish_s * has_refused, is_far, random.random()
+            has_refused = now_s - at_s < REFUSAL_VALIDITY_S
+            is_other_domain = preferred_domain not in cell.failure_domains
+            return has_refused, finish_s * has_refused, is_other_domain, random.random()
 
         ranked = sorted(self._cells.of(services), key=rank)
-        return [self.links.endpoint(cell) for cell in ranked[:N_CELLS_TRIED]]
+        return [self.links.endpoint(cell) for cell in ranked[:MAX_CELLS_TRIED]]
 
     async def connected_endpoints(
-        self, services: set[str], near: str
+        self, services: set[str], preferred_domain: str
     ) -> list[SchedulerEndpoint]:
-        """Return the same, once new links to schedulers are connected."""
+        """Return the endpoints once new links to schedulers are connected."""
         while not self._is_settled():  # noqa: ASYNC110
-            await asyncio.sleep(SETTLE_LOOK_S)
+            await asyncio.sleep(SETTLE_CHECK_PERIOD_S)
         for cell in self._cells.of(services):
             await self.links.connect(cell)
-        return self.endpoints(services, near)
+        return self.endpoints(services, preferred_domain)
 
     def may_repeat(self, services: set[str]) -> bool:
-        """Take a repeat of each service; return False if one has none left."""
+        """Spend a repeat of each service; return False if a budget is exhausted."""
         now_s = time.monotonic()
         return all(self._budgets.of(service).spend(now_s) for service in services)
 
-    def record_refusal(self, place: SchedulerEndpoint, finish_s: float) -> None:
-        """Remember that a cell was full."""
-        self._refused[place.cell.name] = (time.monotonic(), finish_s)
+    def record_refusal(self, endpoint: SchedulerEndpoint, finish_s: float) -> None:
+        """Record that a cell has refused a chain.
+
+        Parameters
+        ----------
+        endpoint : SchedulerEndpoint
+            The scheduler that refused it.
+        finish_s : float
+            Forecast of the chain in seconds, as reported with the refusal.
+        """
+        self._refused[endpoint.cell.name] = (time.monotonic(), finish_s)
 
     async def watch(self) -> None:
-        """Keep links to schedulers, and hand cells over, until cancelled."""
+        """Keep links to schedulers and hand cells over, until cancelled."""
         while True:
             await asyncio.sleep(RANK_CHECK_PERIOD_S)
             try:
@@ -181,17 +202,18 @@
                 for cell in self._schedulers.active(for_s=MIN_TENURE_S):
                     await self._hand_over(cell)
             except Exception:
-                # A fault here would end all handovers, and nothing would show it.
-                logging.exception("a look at who schedules the cells")
+                # An exception would end all further handovers without a trace.
+                logging.exception("checking which gateways schedule the cells failed")
 
     async def hand_over_all(self) -> None:
-        """Hand all cells over: this gateway was told to stop.
+        """Hand all cells over, as this gateway was ordered to stop.
 
-        All at once, and bounded in time: a successor that is silent costs 0.3 s a
-        try, and one cell after another, twenty times each, outlasted the stop. The
-        kill then cut every request of this gateway.
+        All cells are handed over concurrently and within a time limit: an
+        unresponsive successor costs 0.3 s per try, and one cell after another with
+        twenty tries each took longer than the stop. The process was then killed and
+        every request of this gateway was interrupted.
         """
-        ends_s = time.monotonic() + HANDOVER_S
+        ends_s = time.monotonic() + HANDOVER_PERIOD_S
         while time.monotonic() < ends_s:
             cells = self._schedulers.active()
             if not cells:
@@ -200,35 +222,35 @@
             await asyncio.sleep(HANDOVER_RETRY_S)
 
     def abandon_cells(self) -> None:
-        """Schedule no cell any more: this gateway's requests are answered."""
+        """Stop scheduling all cells, as this gateway's own requests are answered."""
         self._schedulers.abandon_cells()
 
     async def _hand_over_now(self, cell: Cell) -> None:
-        """Hand a cell over, once the link to its next scheduler is connected."""
+        """Hand a cell over once the link to its next scheduler is connected."""
         try:
             await self.links.connect(cell)
             await self._hand_over(cell)
         except Exception:
-            # A fault here would end the process at once, and cut every request.
-            logging.exception("a handover at a stop")
+            # An exception would end the process and interrupt every request.
+            logging.exception("handing over a cell at a stop failed")
 
     async def _hand_over(self, cell: Cell) -> None:
-        """Hand a cell over to the gateway that goes before this one, if any does."""
-        place = self.links.endpoint(cell)
-        if place.link is None or place.link.peer is None:
+        """Hand a cell over to the gateway that ranks higher than this one, if any."""
+        endpoint = self.links.endpoint(cell)
+        if endpoint.link is None or endpoint.link.peer is None:
             return
-        successor = place.link.peer.process_id
-        await self._schedulers.hand_over(cell, successor, place.link)
+        successor = endpoint.link.peer.process_id
+        await self._schedulers.hand_over(cell, successor, endpoint.link)
 
 
-async def _answers(asking: "asyncio.Task[Any]", link: Link) -> bool:
-    """Return True once a question has its answer; False if its peer falls silent.
+async def _await_response(pending: "asyncio.Task[Any]", link: Link) -> bool:
+    """Return True once a request is answered; False if its peer is unresponsive.
 
-    A scheduler that is paused, or whose host is cut off, answers nothing and
-    closes nothing. Its chains would wait for it until their deadlines.
+    A scheduler that is paused, or whose host is disconnected, neither answers nor
+    closes its connections. Its chains would wait for it until their deadlines.
     """
-    while not asking.done():
+    while not pending.done():
         if not is_live(link):
             return False
-        await asyncio.wait({asking}, timeout=LIVENESS_CHECK_PERIOD_S)
+        await asyncio.wait({pending}, timeout=LIVENESS_CHECK_PERIOD_S)
     return True
--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -1,9 +1,9 @@
-"""The scheduler of a cell: lets chains of stages in and has them made.
+"""The scheduler of a cell: admits chains of stages and runs them.
 
-Whether a chain can be on time depends on every queue that it passes and on what
-others were reserved there. One scheduler a cell knows both exactly, so it alone
-lets chains in, and calls the cell's stage workers. Gateways that each planned
-for themselves would promise the same places twice.
+Whether a chain can be on time depends on every queue that it passes and on the
+reservations of other chains there. One scheduler per cell knows both exactly, so it
+alone admits chains and calls the cell's stage workers. Gateways that planned
+independently would promise the same capacity twice.
 """
 
 import asyncio
@@ -28,32 +28,40 @@
 from .chain_execution import ChainExecution
 from .overdue_queue import OverdueQueue
 
-HANDED_S: Final = 3.0
-"""Chains that come within this after a handover are told where the cell went.
+REDIRECT_PERIOD_S: Final = 3.0
+"""Seconds after a handover in which chains are redirected to the successor.
 
-Gateways hear of it in a tenth of that. Who asks later means this gateway again.
+Other gateways learn of the handover in a tenth of that. A gateway that sends a chain
+later regards this gateway as the scheduler again.
 """
 
-KEEP_EXECUTIONS_S: Final = 30.0
-"""A chain that nobody has freed by then is forgotten; its results ran out long ago."""
+EXECUTION_RETENTION_S: Final = 30.0
+"""Seconds until a completed chain is freed here if its gateway has not freed it.
+
+Its results have expired long before.
+"""
 
 OVERDUE_WAIT_SHARE: Final = 0.2
-"""Part of its time to wait up to which a chain that is late is let in.
+"""Share of its tolerable wait up to which an overdue chain is admitted.
 
-Less than the least urgent chain on time may use up, so that it yields to all.
+Less than the share of the least urgent chain on time, so that it yields to all.
 """
 
-ALL_PRIORITIES: Final = 1 << 30
-"""Less urgent than any, so that every route counts as more urgent."""
+BELOW_ALL_PRIORITIES: Final = 1 << 30
+"""A priority below all others, so that every route counts as more urgent."""
+
+MAX_TOLERABLE_WAIT_S: Final = 1.0
+"""Upper limit in seconds of the wait that counts as tolerable for other routes.
 
-MAX_LATE_WAIT_S: Final = 1.0
-"""Wait that is taken as bearable where no other route has come lately."""
+It applies alone if no other route has had a chain lately.
+"""
 
-A_LITTLE_LATE_S: Final = 0.05
-"""How much later than due a chain may be forecast and still be let in.
+ADMITTED_LATENESS_S: Final = 0.05
+"""Seconds by which a forecast may exceed the limit of a chain that is admitted.
 
-Forecasts err by more, so some of these are on time. With much more, queues are as
-long as can be borne at all times, and many urgent chains are late.
+The error of forecasts is larger, so some of these chains are on time. With a much
+larger value, queues are always as long as can be tolerated, and many urgent chains
+are late.
 """
 
 
@@ -65,22 +73,24 @@
     dispatch : CellDispatch
         Queues of the cell's stage workers.
     budgets : RepeatBudgets
-        Asked before a piece is made again.
+        Limit how many pieces are sent again.
     journal : Journal
-        Takes decisions.
+        Receives decisions.
 
     Attributes
     ----------
+    dispatch : CellDispatch
+        Queues of the cell's stage workers.
     began_s : float
-        Monotonic time from which this gateway schedules the cell.
+        Monotonic time since which this gateway schedules the cell.
     successor : str
-        Gateway that schedules the cell now; empty while this one does.
+        Process id of the gateway that has taken the cell over; empty if none has.
     """
 
     __slots__ = (
         "_budgets",
         "_executions",
-        "_handed_s",
+        "_handed_over_s",
         "_journal",
         "_overdue",
         "_refused",
@@ -100,76 +110,76 @@
         self._refused = RefusedChains()
         self._waits = BearableWaits()
         self._overdue = OverdueQueue(
-            has_capacity=self._has_capacity_for_late,
-            least_s=lambda work: unloaded_duration_s(work, self.dispatch),
+            has_capacity=self._has_capacity_for_overdue,
+            unloaded_s=lambda work: unloaded_duration_s(work, self.dispatch),
         )
         self._executions: dict[str, ChainExecution] = {}
-        self._handed_s = 0.0
+        self._handed_over_s = 0.0
         self.dispatch = dispatch
         self.began_s = time.monotonic()
         self.successor = ""
 
     async def run(self, work: ChainWork) -> ChainEnd:
-        """Make all stages of `work`, or refuse it before any is begun.
+        """Run all stages of `work`, or refuse it before any stage is begun.
 
-        One that would be late is refused at once when it comes first. One that
-        was refused before and has long left waits for the load to pass. Results
-        are kept until `free`.
+        A chain that would be late is refused at once the first time. A chain that
+        was refused before and still has a long time to its deadline waits for spare
+        capacity. Results are kept until `free` is called.
         """
         if self.successor:
             return ChainMoved(successor=self.successor, made=work.made)
         refusal = await self._refusal(work)
         if refusal is not None:
             return refusal
-        end = await self._execute(work)
-        if isinstance(end, ChainMoved):
-            return replace(end, successor=self.successor)
-        return end
+        outcome = await self._execute(work)
+        if isinstance(outcome, ChainMoved):
+            return replace(outcome, successor=self.successor)
+        return outcome
 
     def hand_over(self, successor: str) -> None:
-        """Give up what waits: another gateway schedules the cell from now on.
+        """Redirect all waiting chains: another gateway schedules the cell from now on.
 
-        Calls that were sent still end, and their results go along.
+        Calls that were sent still complete, and their results are passed on.
         """
         self.successor = successor
-        self._handed_s = time.monotonic()
+        self._handed_over_s = time.monotonic()
         self._overdue.release_all()
         self.dispatch.redirect_pieces()
 
     def is_superseded(self) -> bool:
-        """Return True if another gateway has long scheduled the cell."""
-        is_old = time.monotonic() - self._handed_s > HANDED_S
-        return bool(self.successor) and is_old
+        """Return True if the cell was handed over and chains are not redirected."""
+        is_redirect_over = time.monotonic() - self._handed_over_s > REDIRECT_PERIOD_S
+        return bool(self.successor) and is_redirect_over
 
     async def _refusal(self, work: ChainWork) -> ChainFailed | ChainMoved | None:
-        """Return why a chain is not begun; None, at once or in time, if it is."""
+        """Return why a chain is not begun, or None once it is admitted."""
         now_s = time.monotonic()
         first_due_s = self._refused.first_due_s(work.piece_key, now_s)
         finish_s = forecast_s(work, self.dispatch, self._reservations)
         limit_s = self._limit_s(work, first_due_s, now_s)
         detail = "" if first_due_s is None else "came back"
         if finish_s is None:
-            self._note(Event.REFUSED, Reason.NO_TARGET, work, 0.0, limit_s, detail)
+            self._record(Event.REFUSED, Reason.NO_TARGET, work, 0.0, limit_s, detail)
             return ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
-        if self._is_hopeless(work, now_s):
+        if self._is_unservable(work, now_s):
             reason = Reason.PREDICTED_LATE
-            self._note(Event.REFUSED, reason, work, finish_s, limit_s, "too late")
+            self._record(Event.REFUSED, reason, work, finish_s, limit_s, "too late")
             return ChainFailed(reason=reason, is_begun=False, finish_s=finish_s)
         is_late = work.must_be_on_time and finish_s > limit_s
         if is_late and first_due_s is not None and self._overdue.may_wait(work):
-            self._note(Event.QUEUED, Reason.NONE, work, finish_s, limit_s, detail)
+            self._record(Event.QUEUED, Reason.NONE, work, finish_s, limit_s, detail)
             is_late = not await self._overdue.wait(work)
             if self.successor:
                 return ChainMoved(successor=self.successor)
             detail = f"waited {time.monotonic() - now_s:.1f} s"
         if not is_late:
             event = Event.REQUEST_ACCEPTED
-            self._note(event, Reason.NONE, work, finish_s, limit_s, detail)
+            self._record(event, Reason.NONE, work, finish_s, limit_s, detail)
             return None
         now_s = time.monotonic()
         self._refused.note(work.piece_key, work.due_s, now_s)
         reason = Reason.PREDICTED_LATE
-        self._note(Event.REFUSED, reason, work, finish_s, limit_s, detail)
+        self._record(Event.REFUSED, reason, work, finish_s, limit_s, detail)
         return ChainFailed(
             reason=reason,
             is_begun=False,
@@ -177,10 +187,10 @@
             retry_after_s=self._refused.retry_after_s(now_s),
         )
 
-    def _is_hopeless(self, work: ChainWork, now_s: float) -> bool:
-        """Return True if nothing that is done for a chain can be of use any more.
+    def _is_unservable(self, work: ChainWork, now_s: float) -> bool:
+        """Return True if a chain cannot meet its deadline even without a backlog.
 
-        Not of one of which the scheduler before has made a part.
+        Never True if the previous scheduler has already computed a part of it.
         """
         left_s = work.deadline_s - now_s
         return not work.made and unloaded_duration_s(work, self.dispatch) > left_s
@@ -194,63 +204,63 @@
             journal=self._journal,
         )
         self._executions[work.request_id] = execution
-        is_made = False
+        is_complete = False
         try:
-            end = await execution.run()
-            is_made = isinstance(end, ChainMade)
-            return end
+            outcome = await execution.run()
+            is_complete = isinstance(outcome, ChainMade)
+            return outcome
         finally:
-            if is_made:
+            if is_complete:
                 loop = asyncio.get_running_loop()
-                loop.call_later(KEEP_EXECUTIONS_S, self.free, work.request_id)
+                loop.call_later(EXECUTION_RETENTION_S, self.free, work.request_id)
             else:
                 self.free(work.request_id)
 
     def free(self, request_id: str) -> None:
-        """Free the results of a chain: its request has read them, or ended."""
+        """Free the results of a chain, whose request has read them or has ended."""
         execution = self._executions.pop(request_id, None)
         if execution is not None:
             execution.free_all()
 
-    def _has_capacity_for_late(self, work: ChainWork) -> bool:
-        """Return True if a chain that is late delays none that can be on time."""
+    def _has_capacity_for_overdue(self, work: ChainWork) -> bool:
+        """Return True if an overdue chain delays none that can be on time."""
         now_s = time.monotonic()
         finish_s = forecast_s(work, self.dispatch, self._reservations)
         services = frozenset(plan.service for plan in work.stages)
-        wait_s = self._waits.of_more_urgent(ALL_PRIORITIES, services, now_s)
+        wait_s = self._waits.of_more_urgent(BELOW_ALL_PRIORITIES, services, now_s)
         limit_s = unloaded_duration_s(work, self.dispatch) + OVERDUE_WAIT_SHARE * min(
-            wait_s, MAX_LATE_WAIT_S
+            wait_s, MAX_TOLERABLE_WAIT_S
         )
         return finish_s is not None and finish_s <= limit_s
 
     def _limit_s(
         self, work: ChainWork, first_due_s: float | None, now_s: float
     ) -> float:
-        """Return the forecast up to which a chain is let in now.
+        """Return the longest forecast in seconds with which a chain is admitted now.
 
-        One that was refused before was due earlier than it says. If it cannot
-        be done by then, it is late whatever is done: it is let in where little
-        waits, and takes no place from one that can be on time.
+        A chain that was refused before was first due earlier than it states now. If
+        it cannot be complete by that time, it is late in any case: it is admitted
+        where the backlog is short, and takes no capacity from one that can be on time.
         """
-        unhindered_s = unloaded_duration_s(work, self.dispatch)
+        unloaded_s = unloaded_duration_s(work, self.dispatch)
         left_s = work.due_s - now_s
         services = frozenset(plan.service for plan in work.stages)
         urgent_wait_s = self._waits.of_more_urgent(work.priority, services, now_s)
-        limit_s = admission_limit_s(work, left_s, unhindered_s, urgent_wait_s)
+        limit_s = admission_limit_s(work, left_s, unloaded_s, urgent_wait_s)
         if first_due_s is None:
             self._waits.note(
                 work.route,
                 priority=work.priority,
                 services=services,
-                wait_s=max(0.0, left_s - unhindered_s),
+                wait_s=max(0.0, left_s - unloaded_s),
                 now_s=now_s,
             )
         if first_due_s is None:
-            return limit_s + A_LITTLE_LATE_S
-        spare_s = OVERDUE_WAIT_SHARE * max(0.0, work.due_s - now_s - unhindered_s)
-        return max(first_due_s - now_s, unhindered_s + spare_s)
+            return limit_s + ADMITTED_LATENESS_S
+        spare_s = OVERDUE_WAIT_SHARE * max(0.0, work.due_s - now_s - unloaded_s)
+        return max(first_due_s - now_s, unloaded_s + spare_s)
 
-    def _note(
+    def _record(
         self,
         event: Event,
         reason: Reason,
--- a/src/trefoilpaddle/coordination/chain/chain_wire.py
+++ b/src/trefoilpaddle/coordination/chain/chain_wire.py
@@ -1,4 +1,4 @@
-"""Chains and their ends as gateways send them to one another."""
+"""Conversion of chains and their outcomes to and from messages of gateways."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 def work_to_wire(work: ChainWork, cell: Cell) -> wire.RunChain:
-    """Return a chain as it is sent; times become durations from now."""
+    """Return the message for a chain; times become durations from now."""
     now_s = time.monotonic()
     return wire.RunChain(
         cell=cell.name,
@@ -47,63 +47,63 @@
     )
 
 
-def work_from_wire(question: wire.RunChain) -> ChainWork:
-    """Return a chain that came just now, with times on this process's clock."""
+def work_from_wire(request: wire.RunChain) -> ChainWork:
+    """Return a chain that has just arrived, with times on this process's clock."""
     now_s = time.monotonic()
     return ChainWork(
-        request_id=question.request_id,
-        route=question.route,
+        request_id=request.request_id,
+        route=request.route,
         stages=tuple(
             StagePlan(
                 service=stage.service_name,
                 after=tuple(stage.after),
                 result_bytes=stage.result_bytes,
             )
-            for stage in question.stages
+            for stage in request.stages
         ),
-        n_pieces=tuple(stage.n_pieces for stage in question.stages),
-        piece_key=question.piece_key,
-        due_s=now_s + question.due_in_ms / MS_PER_S,
-        deadline_s=now_s + question.deadline_in_ms / MS_PER_S,
-        must_be_on_time=question.must_be_on_time,
-        priority=question.priority,
-        near=question.near,
-        fingerprint=question.fingerprint,
-        made=_made_from_wire(question.made),
+        n_pieces=tuple(stage.n_pieces for stage in request.stages),
+        piece_key=request.piece_key,
+        due_s=now_s + request.due_in_ms / MS_PER_S,
+        deadline_s=now_s + request.deadline_in_ms / MS_PER_S,
+        must_be_on_time=request.must_be_on_time,
+        priority=request.priority,
+        near=request.near,
+        fingerprint=request.fingerprint,
+        made=_made_from_wire(request.made),
     )
 
 
-def cell_from_wire(question: wire.RunChain | wire.TakeCell) -> Cell:
-    """Return the cell that a question is about."""
-    return Cell(name=question.cell, failure_domains=frozenset(question.failure_domains))
+def cell_from_wire(request: wire.RunChain | wire.TakeCell) -> Cell:
+    """Return the cell that a request refers to."""
+    return Cell(name=request.cell, failure_domains=frozenset(request.failure_domains))
 
 
-def outcome_to_wire(end: ChainEnd) -> wire.ChainAnswer:
-    """Return an end as it is sent."""
-    match end:
+def outcome_to_wire(outcome: ChainEnd) -> wire.ChainAnswer:
+    """Return the message for the outcome of a chain."""
+    match outcome:
         case ChainMade():
             return wire.ChainAnswer(
                 is_made=True,
-                handles=list(end.handles),
-                failure_domain=end.failure_domain,
+                handles=list(outcome.handles),
+                failure_domain=outcome.failure_domain,
             )
         case ChainFailed():
             return wire.ChainAnswer(
-                reason=int(end.reason),
-                is_begun=end.is_begun,
-                finish_s=end.finish_s,
-                retry_after_s=end.retry_after_s,
+                reason=int(outcome.reason),
+                is_begun=outcome.is_begun,
+                finish_s=outcome.finish_s,
+                retry_after_s=outcome.retry_after_s,
             )
         case ChainMoved():
             return wire.ChainAnswer(
-                moved_to=end.successor,
-                is_begun=end.is_admitted,
-                made=_made_to_wire(end.made),
+                moved_to=outcome.successor,
+                is_begun=outcome.is_admitted,
+                made=_made_to_wire(outcome.made),
             )
 
 
 def outcome_from_wire(answer: wire.ChainAnswer) -> ChainEnd:
-    """Return the end that was sent."""
+    """Return the outcome of a chain from its message."""
     if answer.is_made:
         return ChainMade(
             handles=tuple(answer.handles), failure_domain=answer.failure_domain
@@ -123,7 +123,7 @@
 
 
 def handover_to_wire(handover: CellHandover, cell: Cell) -> wire.TakeCell:
-    """Return what is known of a cell as it is sent."""
+    """Return the message that hands a cell over with the state of its workers."""
     return wire.TakeCell(
         cell=cell.name,
         failure_domains=sorted(cell.failure_domains),
@@ -148,8 +148,8 @@
     )
 
 
-def handover_from_wire(question: wire.TakeCell) -> CellHandover:
-    """Return what the scheduler before knows of a cell."""
+def handover_from_wire(request: wire.TakeCell) -> CellHandover:
+    """Return the previous scheduler's state of a cell's workers."""
     return CellHandover(
         workers=tuple(
             WorkerHandover(
@@ -167,7 +167,7 @@
                     for held in worker.held
                 ),
             )
-            for worker in question.workers
+            for worker in request.workers
         )
     )
 
--- a/src/trefoilpaddle/coordination/chain/crash_guard.py
+++ b/src/trefoilpaddle/coordination/chain/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash their workers from being sent to more of them."""
+"""Prevents requests that crash workers from being sent to further workers."""
 
 import random
 import time
@@ -21,44 +21,44 @@
 from .crash_relay import CrashRelay
 from .target_calls import TargetCalls
 from .watched_runs import WatchedCall, WatchedRun
-from .worker_exits import PENDING_S, Evidence, WorkerExits
+from .worker_exits import PENDING_RUN_S, Evidence, WorkerExits
 
-APART_RETRY_S: Final = 1.0
-"""When to come back with a request that runs apart; most runs are over by then."""
+ISOLATED_RETRY_S: Final = 1.0
+"""Retry-After in seconds while a suspect request runs; most runs are over by then."""
 
 RUN_ID_BITS: Final = 62
 
-NOTED: Final = {
+EVENT_OF_STATUS: Final = {
     Standing.SUSPECT: Event.REQUEST_SUSPECTED,
     Standing.BLOCKED: Event.REQUEST_BLOCKED,
 }
-"""Events of requests whose standing has become worse."""
+"""Events of requests whose crash status has become worse."""
 
 
 class CrashGuard:
-    """Knows which requests workers have ended under, here and at other gateways.
+    """Tracks requests under which workers have crashed, here and at other gateways.
 
     Parameters
     ----------
     workers : WorkerTable
-        Where they run.
+        The listed workers.
     calls : TargetCalls
-        Speaks to workers.
+        Client that calls workers.
     journal : Journal
-        Takes decisions.
+        Receives decisions.
     book : CrashBook
-        What is remembered.
+        The crashes on record.
     relay : CrashRelay
-        Tells other gateways, and hears them.
+        Exchanges crashes with other gateways.
     """
 
     __slots__ = (
-        "_apart",
-        "_book",
-        "_ends",
+        "_exits",
+        "_isolated_runs",
         "_journal",
         "_n_open",
         "_rate",
+        "_registry",
         "_relay",
         "_workers",
     )
@@ -74,12 +74,12 @@
     ) -> None:
         self._workers = workers
         self._journal = journal
-        self._book = book
+        self._registry = book
         self._relay = relay
-        self._apart = ApartRuns()
+        self._isolated_runs = ApartRuns()
         self._n_open: Counter[str] = Counter()
         self._rate = EndRate()
-        self._ends = WorkerExits(
+        self._exits = WorkerExits(
             workers=workers, calls=calls, journal=journal, on_ended=self._on_ended
         )
         relay.on_crash = self.receive_crash
@@ -87,17 +87,17 @@
         relay.on_run = self.receive_run
 
     def refusal(self, fingerprint: str) -> Refused | None:
-        """Return why a request may not be sent to a worker now, or None."""
-        match self._book.standing(fingerprint):
+        """Return why a request must not be sent to a worker now, or None."""
+        match self._registry.standing(fingerprint):
             case Standing.BLOCKED:
                 return Refused(reason=Reason.CRASHES_WORKERS)
-            case Standing.SUSPECT if self._apart.is_open(fingerprint):
-                return Refused(reason=Reason.RUNS_APART, retry_after_s=APART_RETRY_S)
+            case Standing.SUSPECT if self._isolated_runs.is_open(fingerprint):
+                return Refused(reason=Reason.RUNS_APART, retry_after_s=ISOLATED_RETRY_S)
             case _:
                 return None
 
     def refusal_of_any(self, fingerprints: Iterable[str]) -> Refused | None:
-        """Return why the first of several may not be sent now, or None."""
+        """Return the first refusal of several fingerprints, or None."""
         if self.has_no_crashes:
             return None
         refusals = map(self.refusal, fingerprints)
@@ -105,28 +105,28 @@
 
     @property
     def has_no_crashes(self) -> bool:
-        """True while no request is known to have crashed a worker."""
-        return not len(self._book)
+        """True if no request is on record as having crashed a worker."""
+        return not len(self._registry)
 
     def status(self, fingerprint: str) -> Standing:
-        """Return what may be done with a request now."""
-        return self._book.standing(fingerprint)
+        """Return the crash status of a request."""
+        return self._registry.standing(fingerprint)
 
     def is_running(self, fingerprint: str) -> bool:
-        """Return True while a request runs from here, or as a suspect from anywhere."""
-        return fingerprint in self._n_open or self._apart.is_open(fingerprint)
+        """Return True if a request runs from here, or as a suspect from any gateway."""
+        return fingerprint in self._n_open or self._isolated_runs.is_open(fingerprint)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return True if a request is to run apart from others."""
-        return self._book.standing(fingerprint) is Standing.SUSPECT
+        """Return True if a request must run isolated from other requests."""
+        return self._registry.standing(fingerprint) is Standing.SUSPECT
 
     def isolating_workers(self) -> frozenset[str]:
-        """Return the workers at which suspects run; others go elsewhere."""
-        return self._apart.workers()
+        """Return the workers at which suspects run, which others should not use."""
+        return self._isolated_runs.workers()
 
     @contextmanager
     def running(self, worker: Worker, fingerprint: str) -> Iterator[WatchedRun]:
-        """Watch a run while the context is open; its user says how it ended.
+        """Watch a run while the context is open; the caller sets how it ended.
 
         A run without a fingerprint is not watched.
         """
@@ -134,30 +134,30 @@
         if not fingerprint:
             yield run
             return
-        level = self._book.level(fingerprint)
+        level = self._registry.level(fingerprint)
         self._n_open[fingerprint] += 1
-        apart: ApartRun | None = None
+        isolated: ApartRun | None = None
         if self.is_suspect(fingerprint):
-            apart = ApartRun(
+            isolated = ApartRun(
                 run_id=random.getrandbits(RUN_ID_BITS),
                 fingerprint=fingerprint,
                 worker_id=worker.worker_id,
             )
-            self._tell_apart(apart)
+            self._announce_run(isolated)
         try:
             yield run
         finally:
-            self._end(worker, fingerprint, level, run.end)
-            # Only once it is known whether the worker is gone is the next run judged
-            # by this one.
-            close = partial(self._close, fingerprint, apart)
-            self._ends.call_after_check(worker, close)
+            self._record_end(worker, fingerprint, level, run.end)
+            # The run counts as open until it is known whether the worker has exited,
+            # so that the next run is judged by the outcome of this one.
+            close = partial(self._close, fingerprint, isolated)
+            self._exits.call_after_check(worker, close)
 
     @contextmanager
     def running_call(
         self, worker: Worker, works: Sequence[PieceWork]
     ) -> Iterator[WatchedCall]:
-        """Watch a call of pieces: a run of each request that it carries any of."""
+        """Watch a call of pieces as one run of each request that it has pieces of."""
         with ExitStack() as stack:
             yield WatchedCall(
                 works=works,
@@ -168,47 +168,49 @@
             )
 
     async def wait_for_exit_check(self, worker: Worker) -> None:
-        """Wait until it is known whether a worker whose answer broke is gone."""
-        await self._ends.wait_for_check(worker)
+        """Wait for the exit check of a worker whose response was interrupted."""
+        await self._exits.wait_for_check(worker)
 
     def crashes_by_request(self) -> Iterator[tuple[str, tuple[Crash, ...]]]:
-        """Yield each request that workers have ended under, with their ends."""
-        for fingerprint in self._book.fingerprints():
-            yield fingerprint, self._book.crashes(fingerprint)
+        """Yield the fingerprint of each recorded request with its crashes."""
+        for fingerprint in self._registry.fingerprints():
+            yield fingerprint, self._registry.crashes(fingerprint)
 
     def unblock(self, fingerprint: str) -> bool:
-        """Let a request run again at all gateways; False if nothing is known of it."""
-        is_known = bool(self._book.crashes(fingerprint))
+        """Clear a request at all gateways; return False if it is not on record."""
+        is_known = bool(self._registry.crashes(fingerprint))
         if is_known:
             self.clear(fingerprint)
         return is_known
 
     def clear(self, fingerprint: str) -> None:
-        """Count a request as one that crashes no workers."""
-        is_known = bool(self._book.crashes(fingerprint))
-        if self._book.clear(fingerprint):
+        """Record that a request does not crash workers, and announce it."""
+        is_known = bool(self._registry.crashes(fingerprint))
+        if self._registry.clear(fingerprint):
             self._relay.announce_clear(fingerprint)
         if is_known:
-            self._note(Event.REQUEST_CLEARED, fingerprint)
+            self._record(Event.REQUEST_CLEARED, fingerprint)
 
-    def _close(self, fingerprint: str, apart: ApartRun | None) -> None:
+    def _close(self, fingerprint: str, isolated: ApartRun | None) -> None:
         self._n_open[fingerprint] -= 1
         if not self._n_open[fingerprint]:
             del self._n_open[fingerprint]
-        if apart is not None:
-            self._tell_apart(replace(apart, for_s=0.0))
+        if isolated is not None:
+            self._announce_run(replace(isolated, for_s=0.0))
 
-    def _end(self, worker: Worker, fingerprint: str, level: int, end: RunEnd) -> None:
+    def _record_end(
+        self, worker: Worker, fingerprint: str, level: int, end: RunEnd
+    ) -> None:
         match end:
             case RunEnd.NOT_RUN:
                 return
             case RunEnd.ANSWERED:
-                if self._book.standing(fingerprint) is not Standing.CLEAR:
+                if self._registry.standing(fingerprint) is not Standing.CLEAR:
                     self.clear(fingerprint)
             case RunEnd.REFUSED:
-                self._ends.confirm(worker, Evidence.REFUSES)
+                self._exits.confirm(worker, Evidence.REFUSES)
             case RunEnd.BROKEN | RunEnd.SILENT | RunEnd.LEFT:
-                self._ends.record(
+                self._exits.record(
                     OpenEndedRun(
                         worker=worker,
                         fingerprint=fingerprint,
@@ -226,42 +228,42 @@
                 level=run.level + 1,
                 ended_s=run.ended_s,
             )
-            self._take(run.fingerprint, crash)
+            self._record_crash(run.fingerprint, crash)
 
     def receive_crash(self, fingerprint: str, crash: Crash) -> None:
-        """Take in what a peer has seen, and what ran at that worker from here."""
-        if self._book.is_cleared(fingerprint, crash):
-            # Its peer was out of touch when the request was cleared.
+        """Record a crash that a peer reports, also for runs of this gateway there."""
+        if self._registry.is_cleared(fingerprint, crash):
+            # The peer was disconnected when the request was cleared.
             self._relay.announce_clear(fingerprint)
             return
-        self._take(fingerprint, crash)
+        self._record_crash(fingerprint, crash)
         worker = self._workers.get(crash.worker_id)
-        is_recent = time.monotonic() - crash.ended_s < PENDING_S
+        is_recent = time.monotonic() - crash.ended_s < PENDING_RUN_S
         if worker is not None and worker.born_ms == crash.born_ms and is_recent:
-            self._ends.confirm(worker, Evidence.REPORTED)
+            self._exits.confirm(worker, Evidence.REPORTED)
 
-    def _take(self, fingerprint: str, crash: Crash) -> None:
+    def _record_crash(self, fingerprint: str, crash: Crash) -> None:
         if not self._rate.takes(crash.worker_id, crash.ended_s):
             return
-        before = self._book.standing(fingerprint)
-        if not self._book.note(fingerprint, crash):
+        previous = self._registry.standing(fingerprint)
+        if not self._registry.note(fingerprint, crash):
             return
         self._relay.announce_crash(fingerprint)
-        standing = self._book.standing(fingerprint)
-        if standing is not before and standing in NOTED:
-            self._note(NOTED[standing], fingerprint)
+        status = self._registry.standing(fingerprint)
+        if status is not previous and status in EVENT_OF_STATUS:
+            self._record(EVENT_OF_STATUS[status], fingerprint)
 
     def receive_run(self, run: ApartRun) -> bool:
-        """Take in where a peer runs a suspect; return True if it was news."""
-        return self._apart.hear(run)
+        """Record where a peer runs a suspect; return True if that was not known."""
+        return self._isolated_runs.hear(run)
 
-    def _tell_apart(self, run: ApartRun) -> None:
-        self._apart.hear(run)
+    def _announce_run(self, run: ApartRun) -> None:
+        self._isolated_runs.hear(run)
         self._relay.announce_run(run)
 
-    def _note(self, event: Event, fingerprint: str) -> None:
+    def _record(self, event: Event, fingerprint: str) -> None:
         now_s = time.monotonic()
-        crashes = self._book.crashes(fingerprint)
+        crashes = self._registry.crashes(fingerprint)
         ended = " ".join(
             f"{crash.worker_id} {now_s - crash.ended_s:.1f} s ago" for crash in crashes
         )
--- a/src/trefoilpaddle/coordination/chain/crash_relay.py
+++ b/src/trefoilpaddle/coordination/chain/crash_relay.py
@@ -1,4 +1,4 @@
-"""Passes on between gateways which requests workers have ended under."""
+"""Exchanges between gateways under which requests workers have crashed."""
 
 import asyncio
 import time
@@ -22,40 +22,44 @@
 from ...transport.link import Link
 from ..own_process import OwnProcess
 
-FLOOD_DELAY_S: Final = 0.002
-"""News of this long go out together; a worker's end cuts many requests at once."""
+BATCH_WINDOW_S: Final = 0.002
+"""Seconds for which updates are collected before they are sent together.
 
-LINK_LOOK_S: Final = 0.1
-"""Time between looks whether a link to another gateway has opened."""
+The exit of a worker interrupts many requests at once.
+"""
+
+LINK_CHECK_PERIOD_S: Final = 0.1
+"""Seconds between checks whether a link to another gateway has opened."""
 
 
 class CrashRelay:
-    """Floods news of crashes over the links that members keep for theirs.
+    """Floods updates about crashes over the links between members.
 
-    News go out by crashes, never by requests. A link that opens gets all that is
-    remembered, so that gateways learn it that start, or come back.
+    Updates are sent per crash, never per request. All crashes on record are sent on a
+    link that opens, so that gateways that start or reconnect receive them.
 
     Parameters
     ----------
     process : OwnProcess
-        Hears peers.
+        Receives messages of peers.
     links : callable
-        Returns the links on which news go out.
+        Returns the links on which updates are sent.
     book : CrashBook
-        What is remembered.
+        The crashes on record.
 
     Attributes
     ----------
     on_crash, on_clear, on_run : callable
-        Take what a peer says; the first two pass on by themselves what was news.
+        Called with the updates of peers. The first two announce what was not known
+        by themselves.
     """
 
     __slots__ = (
-        "_book",
         "_cleared",
         "_crashed",
-        "_is_due",
+        "_has_updates",
         "_links",
+        "_registry",
         "_runs",
         "on_clear",
         "on_crash",
@@ -70,83 +74,85 @@
         book: CrashBook,
     ) -> None:
         self._links = links
-        self._book = book
+        self._registry = book
         self._crashed: dict[str, None] = {}
         self._cleared: dict[str, None] = {}
         self._runs: dict[int, ApartRun] = {}
-        self._is_due = asyncio.Event()
+        self._has_updates = asyncio.Event()
         self.on_crash: Callable[[str, Crash], None] = _ignore_crash
         self.on_clear: Callable[[str], None] = _ignore
         self.on_run: Callable[[ApartRun], bool] = _ignore_run
         process.message_listeners.append(self._on_message)
 
     def announce_crash(self, fingerprint: str) -> None:
-        """Pass on the crashes of a request."""
+        """Announce the crashes of a request to other gateways."""
         self._crashed[fingerprint] = None
-        self._is_due.set()
+        self._has_updates.set()
 
     def announce_clear(self, fingerprint: str) -> None:
-        """Pass on that a request is cleared."""
+        """Announce to other gateways that a request is cleared."""
         self._cleared[fingerprint] = None
-        self._is_due.set()
+        self._has_updates.set()
 
     def announce_run(self, run: ApartRun) -> None:
-        """Pass on that a run is kept apart, or has ended."""
+        """Announce to other gateways that an isolated run has begun or ended."""
         self._runs[run.run_id] = run
-        self._is_due.set()
+        self._has_updates.set()
 
     async def run(self) -> None:
-        """Send news as they come, and all to links that open, until cancelled."""
+        """Send updates, and all crashes to links that open, until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._flood())
-            group.create_task(self._greet())
+            group.create_task(self._sync_new_links())
 
     async def _flood(self) -> None:
         while True:
-            await self._is_due.wait()
-            await asyncio.sleep(FLOOD_DELAY_S)
-            self._is_due.clear()
+            await self._has_updates.wait()
+            await asyncio.sleep(BATCH_WINDOW_S)
+            self._has_updates.clear()
             try:
-                self._send_news()
+                self._send_updates()
             except Exception:
-                # A fault here would end all news, and nothing would show it.
-                logging.exception("news of crashes")
+                # An exception would end all further updates without a trace.
+                logging.exception("sending updates about crashes failed")
 
-    def _send_news(self) -> None:
-        news = CrashNews(
+    def _send_updates(self) -> None:
+        update = CrashNews(
             crashed=self._to_wire(self._crashed),
             cleared=list(self._cleared),
             runs=[_run_to_wire(run) for run in self._runs.values()],
         )
         self._crashed, self._cleared, self._runs = {}, {}, {}
         for link in self._links():
-            link.send(news)
+            link.send(update)
 
-    async def _greet(self) -> None:
-        """Send all that is remembered on each new connection.
+    async def _sync_new_links(self) -> None:
+        """Send all crashes on record on each new connection.
 
-        News that were said while a link was down are lost on it.
+        Updates that were sent while a link was down are lost on it.
         """
-        greeted: dict[Address, Connection] = {}
+        synced: dict[Address, Connection] = {}
         while True:
             try:
-                greeted = self._greet_new(greeted)
+                synced = self._sync_links(synced)
             except Exception:
-                logging.exception("what is remembered of crashes, for a new link")
-            await asyncio.sleep(LINK_LOOK_S)
+                logging.exception("sending all crashes on a new link failed")
+            await asyncio.sleep(LINK_CHECK_PERIOD_S)
 
-    def _greet_new(
-        self, greeted: dict[Address, Connection]
+    def _sync_links(
+        self, synced: dict[Address, Connection]
     ) -> dict[Address, Connection]:
-        """Greet links whose connections are new; return those that were greeted."""
+        """Send all crashes on links with new connections; return open connections."""
         open_now: dict[Address, Connection] = {}
         for link in self._links():
             connection = link.connection
             if connection is None:
                 continue
             open_now[link.address] = connection
-            if len(self._book) and greeted.get(link.address) is not connection:
-                link.send(CrashNews(crashed=self._to_wire(self._book.fingerprints())))
+            if len(self._registry) and synced.get(link.address) is not connection:
+                link.send(
+                    CrashNews(crashed=self._to_wire(self._registry.fingerprints()))
+                )
         return open_now
 
     def _to_wire(self, fingerprints: Iterable[str]) -> list[CrashedWorkers]:
@@ -161,7 +167,7 @@
                         level=crash.level,
                         ended_ms=int((now_s - crash.ended_s) * MS_PER_S),
                     )
-                    for crash in self._book.crashes(fingerprint)
+                    for crash in self._registry.crashes(fingerprint)
                 ],
             )
             for fingerprint in fingerprints
--- a/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
+++ b/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
@@ -1,4 +1,4 @@
-"""What one dispatch of a service's queue sees of the workers, looked at once."""
+"""A snapshot of a service's workers for one dispatch of its queue."""
 
 from bisect import bisect_right
 from collections.abc import Mapping, Sequence
@@ -9,18 +9,18 @@
 
 
 class DispatchSnapshot:
-    """The times of all workers at one moment, and those that are free still.
+    """The call times of all workers at one moment, and the workers still free.
 
-    Within a dispatch only a call that it sends changes a worker's times. Looked at
-    again for each offer, all workers for each free one, they were most of what a
-    chain costs a scheduler of a large cell.
+    Within a dispatch, a worker's times change only by a call that the dispatch sends.
+    When the times of all workers were computed again for each free worker, they were
+    most of the cost of a chain at the scheduler of a large cell.
 
     Parameters
     ----------
     callers : sequence of WorkerCaller
-        All that may get work.
+        Callers of all usable workers.
     free : sequence of WorkerCaller
-        Those of them that may be called now, in the same order.
+        Those of them whose workers may be called now, in the same order.
     now_s : float
         Monotonic time of the dispatch.
 
@@ -34,10 +34,10 @@
         "_busy_s",
         "_call_s",
         "_callers",
+        "_cumulative_paces_per_s",
         "_done_in_s",
         "_free",
         "_now_s",
-        "_paces_before_per_s",
         "_paces_per_s",
         "_positions",
         "_positions_in",
@@ -63,12 +63,12 @@
             for busy_s, call_s in zip(self._busy_s, self._call_s, strict=True)
         ]
         self._paces_per_s = [caller.known.times.busy_per_s for caller in callers]
-        self._paces_before_per_s = list(accumulate(self._paces_per_s, initial=0.0))
+        self._cumulative_paces_per_s = list(accumulate(self._paces_per_s, initial=0.0))
         self._positions = {id(caller): at for at, caller in enumerate(callers)}
         self._positions_in: dict[str, list[int]] = {}
         for at, caller in enumerate(callers):
             self._positions_in.setdefault(caller.worker.failure_domain, []).append(at)
-        # By failure domain, as being far counts the same for all of one.
+        # Grouped by failure domain, as the cross-domain wait is the same within one.
         self._free: dict[str, list[tuple[float, int]]] = {}
         for caller in free:
             at = self._positions[id(caller)]
@@ -83,22 +83,23 @@
 
     @property
     def has_free(self) -> bool:
-        """True while a free worker was not taken."""
+        """True if a free worker has not been taken yet."""
         return bool(self._free)
 
     def shortest_call_s(self) -> float:
-        """Return the shortest call of one piece at any worker."""
+        """Return the shortest duration in seconds of a call of one piece."""
         return min(self._call_s)
 
     def shortest_free_call_s(self) -> float:
-        """Return the shortest call of one piece at a worker that is free still."""
+        """Return the shortest duration in seconds of a call at a free worker."""
         return min(group[0][0] for group in self._free.values())
 
     def take_next(self, first: PieceWork | None) -> WorkerCaller:
-        """Return the free worker that should be called next, which is taken.
+        """Take the free worker that should be called next.
 
-        The one that has the most urgent piece soonest, where being near counts
-        for as much time as the piece may wait for that.
+        It is the one that completes the most urgent piece soonest. For workers outside
+        the piece's preferred failure domain, the time that the piece may wait for that
+        domain is added.
 
         Parameters
         ----------
@@ -107,23 +108,27 @@
         """
         found: list[tuple[float, int, str, int]] = []
         for domain, group in self._free.items():
-            is_far = first is not None and first.near != domain
-            far_s = first.far_s if first is not None and is_far else 0.0
-            number = _first_of_least(group, far_s)
-            found.append((group[0][0] + far_s, group[number][1], domain, number))
-        _, at, domain, number = min(found)
-        del self._free[domain][number]
+            is_other_domain = first is not None and first.near != domain
+            cross_domain_wait_s = (
+                first.far_s if first is not None and is_other_domain else 0.0
+            )
+            index = _index_of_least(group, cross_domain_wait_s)
+            found.append(
+                (group[0][0] + cross_domain_wait_s, group[index][1], domain, index)
+            )
+        _, at, domain, index = min(found)
+        del self._free[domain][index]
         if not self._free[domain]:
             del self._free[domain]
         return self._callers[at]
 
     def n_skipped(self, caller: WorkerCaller) -> int:
-        """Return how many of the first pieces other workers have done sooner.
+        """Return how many of the first pieces other workers would complete sooner.
 
-        A worker that has become slow is free most of the time, as it is given
-        little. Taking the most urgent pieces it would make them late, one call of
-        its own being as long as several of the others'. It gets what would wait
-        longer for these.
+        A worker that has become slow is free most of the time, as it gets few pieces.
+        The most urgent pieces would be late there, as one of its calls takes as long
+        as several calls of other workers. It gets the pieces that would wait longer
+        for the other workers.
         """
         at = self._positions[id(caller)]
         is_soonest = at == self._soonest_at
@@ -131,12 +136,13 @@
         gain_s = self._call_s[at] - soonest_s
         if gain_s <= 0.0:
             return 0
-        # Not all less its own: rounded otherwise, a whole number could be missed.
-        pace_per_s = sum(self._paces_per_s[at + 1 :], self._paces_before_per_s[at])
+        # The sum of all paces minus its own would be rounded differently, and the
+        # integer result could be too low by one.
+        pace_per_s = sum(self._paces_per_s[at + 1 :], self._cumulative_paces_per_s[at])
         return int(gain_s * pace_per_s)
 
     def refresh(self, caller: WorkerCaller) -> None:
-        """Look again at a worker that was sent a call."""
+        """Update the times of a worker that was sent a call."""
         at = self._positions[id(caller)]
         self._busy_s[at] = caller.known.busy_s(self._now_s)
         self._call_s[at] = caller.known.call_s(1, self._now_s)
@@ -146,7 +152,7 @@
         self.free_in_s = {**self.free_in_s, domain: self._domain_free_in_s(domain)}
 
     def _find_soonest(self) -> None:
-        """Find who has one more piece done soonest, and when the next after it has."""
+        """Find the worker that completes one more piece soonest, and the next time."""
         done_in_s = self._done_in_s
         self._soonest_done_s = min(done_in_s)
         at = done_in_s.index(self._soonest_done_s)
@@ -158,16 +164,19 @@
         return min(self._busy_s[at] for at in self._positions_in[domain])
 
 
-def _first_of_least(group: Sequence[tuple[float, int]], far_s: float) -> int:
-    """Return the place of the one listed first among those of the least cost.
+def _index_of_least(
+    group: Sequence[tuple[float, int]], cross_domain_wait_s: float
+) -> int:
+    """Return the index of the worker of least cost, the first in the list if equal.
 
-    Calls that differ by less than rounding bears cost the same once `far_s` is added.
+    Call durations that differ only by a rounding error cost the same once the
+    cross-domain wait is added.
     """
-    least_s = group[0][0] + far_s
+    least_s = group[0][0] + cross_domain_wait_s
     best = at = 0
     while True:
         at = bisect_right(group, (group[at][0], float("inf")))
-        if at == len(group) or group[at][0] + far_s > least_s:
+        if at == len(group) or group[at][0] + cross_domain_wait_s > least_s:
             return best
         if group[at][1] < group[best][1]:
             best = at
--- a/src/trefoilpaddle/coordination/chain/fleet.py
+++ b/src/trefoilpaddle/coordination/chain/fleet.py
@@ -1,4 +1,4 @@
-"""The other gateways: who is there, and what runs to know it."""
+"""The gateways known to this one, and the tasks that keep that view current."""
 
 import asyncio
 import contextlib
@@ -13,30 +13,30 @@
 from ..members.watch_peers import PeerWatch
 from ..own_process import OwnProcess
 
-MEET_S: Final = 0.1
-"""Time between tries to meet a seed while no other gateway is known.
+DISCOVERY_PERIOD_S: Final = 0.1
+"""Seconds between tries to contact the seeds while no other gateway is known.
 
-All gateways may be back at the same moment, up to 0.4 s apart; each tenth that
-two do not know one another, both schedule the same cell.
+All gateways may start at the same time, up to 0.4 s apart. As long as two of them do
+not know one another, both schedule the same cell.
 """
 
-MEET_TIMEOUT_S: Final = 0.3
-"""Longest wait for a seed at a time; many times a message's way in a region."""
+DISCOVERY_TIMEOUT_S: Final = 0.3
+"""Timeout in seconds of one try; many times a message's latency in a region."""
 
 SETTLE_S: Final = 0.2
-"""Time for which those that go first must be known, so that none goes before them.
+"""Seconds for which the highest-ranked gateways must be known without a change.
 
-News go over two steps of 0.05 s each.
+Updates take two hops of 0.05 s each.
 """
 
 SETTLE_AT_MOST_S: Final = 0.8
-"""Time after its start from which a gateway goes by what it knows."""
+"""Seconds after its start from which a gateway relies on its view in any case."""
 
 MIN_SHARING_GATEWAYS: Final = 4
-"""Budgets are split among so many gateways at least.
+"""Minimum number of gateways among which shared budgets are split.
 
-A gateway that has just started, or that is cut off, sees itself alone; it must
-not take the whole of what all share.
+A gateway that has just started, or that is disconnected, knows only itself; it must
+not use the whole of a budget that all share.
 """
 
 
@@ -46,41 +46,46 @@
     Parameters
     ----------
     process : OwnProcess
-        The process that it runs in.
+        This process.
     seeds : tuple of str
-        Addresses of gateways to ask first; may be stale.
+        Addresses of gateways to contact first; may be stale.
+
+    Attributes
+    ----------
+    membership : Membership
+        The membership that the view is taken from.
     """
 
-    __slots__ = ("_began_s", "_most", "_watch", "membership")
+    __slots__ = ("_began_s", "_max_members", "_watch", "membership")
 
     def __init__(self, *, process: OwnProcess, seeds: tuple[str, ...]) -> None:
         self.membership = Membership(process=process, seeds=seeds)
         self._watch = PeerWatch(
             process=process, membership=self.membership, is_wanted=_never
         )
-        self._most = MIN_SHARING_GATEWAYS
+        self._max_members = MIN_SHARING_GATEWAYS
         self._began_s = time.monotonic()
 
     def is_settled(self) -> bool:
-        """Return True once this gateway knows who takes duties first.
+        """Return True once this gateway knows the highest-ranked gateways.
 
-        Before, it may be one of many that have started at the same moment, and
-        take itself for the only one. Only news of those that go first count: weak
-        hosts start later, one after the other, and all requests that the strong
-        ones had taken waited until the last of them was known.
+        Before, it may be one of many that have started at the same time, and regard
+        itself as the only one. Only changes of the highest-ranked gateway of each
+        failure domain count: weak hosts start later, one after the other, and all
+        requests that strong hosts had accepted waited until the last was known.
         """
         now_s = time.monotonic()
         if now_s - self._began_s > SETTLE_AT_MOST_S:
             return True
         live = self.live()
-        first: dict[str, MemberRecord] = {}
+        highest_ranked: dict[str, MemberRecord] = {}
         for member in sorted(live, key=duty_rank):
-            first.setdefault(member.failure_domain, member)
-        news_s = max(map(self._known_s, first.values()), default=now_s)
-        return len(live) > 1 and now_s - news_s > SETTLE_S
+            highest_ranked.setdefault(member.failure_domain, member)
+        changed_s = max(map(self._known_s, highest_ranked.values()), default=now_s)
+        return len(live) > 1 and now_s - changed_s > SETTLE_S
 
     def _known_s(self, member: MemberRecord) -> float:
-        """Return since when a gateway is known as it is; this one from its start."""
+        """Return since when a gateway is known unchanged; for this one, its start."""
         return self.membership.since_s.get(member.process_id, self._began_s)
 
     def live(self) -> Sequence[MemberRecord]:
@@ -88,17 +93,17 @@
         return self.membership.live()
 
     def n_sharing(self) -> int:
-        """Return among how many gateways shared budgets are split.
+        """Return the number of gateways among which shared budgets are split.
 
-        The most that were ever seen: one that is believed dead may only be cut
-        off, and goes on spending its part.
+        It is the highest number ever seen: a gateway that is believed dead may only
+        be disconnected and continue to use its share.
         """
-        self._most = max(self._most, len(self.membership.table.records))
-        return self._most
+        self._max_members = max(self._max_members, len(self.membership.table.records))
+        return self._max_members
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Keep the view fresh while the context is open."""
+        """Keep the view of the gateways current while the context is open."""
         async with asyncio.TaskGroup() as group:
             tasks = [
                 group.create_task(work)
@@ -108,7 +113,7 @@
                     self.membership.compare_new_links(),
                     self.membership.compare_rounds(),
                     self.membership.watch_stop(),
-                    self._meet_first(),
+                    self._discover(),
                 )
             ]
             try:
@@ -117,21 +122,21 @@
                 for task in tasks:
                     task.cancel()
 
-    async def _meet_first(self) -> None:
-        """Meet seeds until another gateway is known.
+    async def _discover(self) -> None:
+        """Contact the seeds until another gateway is known.
 
-        All gateways may start at the same moment, and a seed may be one that
-        listens a little later.
+        All gateways may start at the same time, and a seed may be one that listens a
+        little later.
         """
         while len(self.membership.live()) < 2:
-            # One that is dark must not hold up those that are there.
-            strangers = self.membership.strangers()
-            await asyncio.gather(*map(self._meet, strangers))
-            await asyncio.sleep(MEET_S)
+            # Concurrently, so that an unresponsive seed does not delay the others.
+            unknown_seeds = self.membership.strangers()
+            await asyncio.gather(*map(self._contact, unknown_seeds))
+            await asyncio.sleep(DISCOVERY_PERIOD_S)
 
-    async def _meet(self, address: str) -> None:
+    async def _contact(self, address: str) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(MEET_TIMEOUT_S):
+            async with asyncio.timeout(DISCOVERY_TIMEOUT_S):
                 await self.membership.meet(address)
 
 
--- a/src/trefoilpaddle/coordination/chain/job.py
+++ b/src/trefoilpaddle/coordination/chain/job.py
@@ -1,4 +1,4 @@
-"""A request on its way to a worker, with all that governs it."""
+"""A request to be sent to a worker, with the settings that apply to it."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -10,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Job:
-    """A request with all that governs it.
+    """A request with the settings that apply to it.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent.
+        The request as the caller sent it.
     route : Route
-        How it is handled.
+        The route that it matches.
     account : Account
-        Whose it is.
+        Client account of the caller.
     service : str
-        Where it runs.
+        Service that runs the request.
     services : mapping of str to Service
-        What was in force when it came.
+        The services that were active when the request arrived.
     deadline_s : float
-        Monotonic time of its last answer.
+        Monotonic time by which the caller must have the answer.
     fingerprint : str
-        The same for all attempts of the request.
+        Identifies the request; the same for all of its attempts.
     """
 
     request: CallerRequest
@@ -40,36 +40,36 @@
 
     @property
     def begins_by_s(self) -> float:
-        """Monotonic time after which its caller takes no answer that then begins.
+        """Latest monotonic time at which an answer may begin and is still accepted.
 
-        Callers of streams leave long before their deadlines if no event comes. What
-        was made for one that is gone then took the places of others.
+        Callers of streams leave long before their deadlines if no event arrives.
+        Results computed for a caller that had left took the capacity of others.
         """
         return min(self.deadline_s, self.request.came_s + self.route.event_patience_s)
 
     @property
     def may_repeat(self) -> bool:
-        """True if it may run again after it has, or may have, run."""
+        """True if the request may be sent again after it may have run."""
         return self.route.repeat is Repeat.IDEMPOTENT or self.route.is_resumable
 
     def worker_service(self) -> Service:
-        """Return what is published of its service; a plain one if nothing is."""
+        """Return the published service; a plain one if none is published."""
         return self.services.get(self.service) or PlainService(name=self.service)
 
     @property
     def must_finish(self) -> bool:
-        """True if a worker is to finish it even if its caller leaves."""
+        """True if a worker must finish the request even if its caller leaves."""
         return not self.may_repeat and not self.route.is_stream
 
     def fingerprints(self) -> Iterator[str]:
-        """Yield what stands for the request at each service that it passes."""
+        """Yield the fingerprints of the request at each service that it passes."""
         yield self.fingerprint
         for service in {stage.service for stage in self.route.stages}:
             yield stage_fingerprint(self.fingerprint, service)
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 first; the account's goes before the route's."""
+        """Priority of the request, 0 first; the account's overrides the route's."""
         if self.account.priority is not None:
             return self.account.priority
         return self.route.priority
--- a/src/trefoilpaddle/coordination/chain/request_log.py
+++ b/src/trefoilpaddle/coordination/chain/request_log.py
@@ -1,4 +1,4 @@
-"""What is logged of how a caller's request ended."""
+"""Journal records of the outcome of callers' requests."""
 
 import time
 
@@ -11,18 +11,18 @@
 
 
 class RequestLog:
-    """Writes the end of one request to the journal.
+    """Records the outcome of one request in the journal.
 
     Parameters
     ----------
     journal : Journal
-        Takes the decision.
+        Receives the decision.
     request : CallerRequest
         The request.
     table : RouteTable
-        What was in force when it came.
+        The route table that was active when the request arrived.
     route : Route or None
-        How it is handled; None if nothing is published for it.
+        The route that it matches; None if there is none.
     """
 
     __slots__ = ("_journal", "_request", "_route", "_table")
@@ -41,34 +41,37 @@
         self._route = route
 
     def record_outcome(self, outcome: Outcome) -> None:
-        """Log how the request ended."""
+        """Record the outcome of the request."""
         match outcome:
             case Answered():
-                self._note(Event.REQUEST_ANSWERED)
+                self._record(Event.REQUEST_ANSWERED)
             case Refused():
                 retry_after = Figure(name="retry_after_s", value=outcome.retry_after_s)
-                self._note(
+                self._record(
                     Event.REQUEST_REFUSED,
                     reason=outcome.reason,
                     figures=(retry_after,),
                 )
             case Failed():
-                self._note(Event.REQUEST_FAILED, reason=outcome.reason)
+                self._record(Event.REQUEST_FAILED, reason=outcome.reason)
 
     def record_undelivered(self, delivery: Delivery, stop: PlannedStop) -> None:
-        """Log that nobody takes the answer: the caller left, or this process goes."""
+        """Record that no answer was delivered.
+
+        Either the caller has left, or this process is closing its connections.
+        """
         if not stop.is_closing:
-            self._note(Event.CALLER_LEFT)
+            self._record(Event.CALLER_LEFT)
             return
         left = Figure(name="budget_s", value=stop.left_s())
-        self._note(
+        self._record(
             Event.REQUEST_CUT,
             reason=Reason.STOPPING,
             detail=f"waited for {delivery.waits_for()}",
             figures=(left,),
         )
 
-    def _note(
+    def _record(
         self,
         event: Event,
         *,
--- a/src/trefoilpaddle/coordination/chain/request_path.py
+++ b/src/trefoilpaddle/coordination/chain/request_path.py
@@ -1,4 +1,4 @@
-"""Serves one request: who governs it, its stages, its worker, its one answer."""
+"""Serves a request from its route and account through its stages to its answer."""
 
 import asyncio
 import functools
@@ -32,52 +32,56 @@
 from .worker_choice import Need, WorkerChoice
 
 NO_ACCOUNT: Final = Account(name="")
-"""Stands for the caller of a public route."""
+"""Account of callers of a public route without a valid key."""
 
-NOBODY: Final[frozenset[str]] = frozenset()
-"""No worker is passed over."""
+NO_WORKERS: Final[frozenset[str]] = frozenset()
+"""Empty set of excluded workers."""
 
-ELSEWHERE_S: Final = 0.0
-"""When to come back to a gateway that stops; the caller reaches another at once."""
+STOPPING_RETRY_S: Final = 0.0
+"""Retry-After in seconds of a stopping gateway; a retry reaches another one."""
 
-LAST_S: Final = 0.1
-"""Time after its deadline at which a request is answered whatever it waits for.
+ANSWER_GRACE_S: Final = 0.1
+"""Seconds after its deadline at which a request is answered in any case.
 
-Each wait ends by itself at the deadline, and says why; this is for one that does not.
+Each wait ends at the deadline by itself and reports the reason; this limit covers a
+wait that does not.
 """
 
-UNKNOWN_RETRY_S: Final = 0.5
-"""When to come back to a gateway that knows nothing yet; it learns in a second."""
+DEFAULT_RETRY_S: Final = 0.5
+"""Retry-After in seconds of a gateway without a configuration or a scheduler.
+
+A gateway that starts has a configuration within a second.
+"""
 
 
 class RequestPath:
-    """Serves requests by what is published and by what workers there are.
+    """Serves requests by the active route table and the listed workers.
 
     Parameters
     ----------
     failure_domain : str
-        Where this gateway stands.
+        Failure domain of this gateway.
     workers : WorkerTable
-        Who may get work.
+        The listed workers.
     router : ChainRouter
-        Has the stages made.
+        Runs the stages of requests.
     choice : WorkerChoice
         Chooses workers for requests.
     calls : TargetCalls
-        Speaks to workers.
+        Client that calls workers.
     budgets : RepeatBudgets
-        Bound what is sent again.
+        Limit how many calls are sent again.
     journal : Journal
-        Takes decisions.
+        Receives decisions.
     stop : PlannedStop
-        Says what is still taken.
+        Decides which requests are still accepted.
     guard : CrashGuard
         Watches runs at workers.
 
     Attributes
     ----------
     table : RouteTable
-        What is in force.
+        The active route table.
     """
 
     __slots__ = (
@@ -122,26 +126,26 @@
         self.table = RouteTable()
 
     def activate(self, table: RouteTable) -> None:
-        """Serve by `table` from now on; requests under way keep theirs."""
+        """Use `table` for new requests; running requests keep their table."""
         self.table = table
 
     async def serve(self, request: CallerRequest, sink: CallerSink) -> Outcome:
-        """Serve `request`; return how it ended.
+        """Serve `request` and return its outcome.
 
-        What is returned besides `Answered` has not been written to the sink.
+        An outcome other than `Answered` has not been written to the sink.
         """
         table = self.table
         route = table.match(request.host, request.path)
         delivery = Delivery()
-        notes = RequestLog(
+        log = RequestLog(
             journal=self._journal, request=request, table=table, route=route
         )
         try:
             outcome = await self._serve(request, table, route, delivery, sink)
         except asyncio.CancelledError:
-            notes.record_undelivered(delivery, self._stop)
+            log.record_undelivered(delivery, self._stop)
             raise
-        notes.record_outcome(outcome)
+        log.record_outcome(outcome)
         return outcome
 
     async def _serve(
@@ -154,12 +158,12 @@
     ) -> Outcome:
         if not table.version:
             return Refused(
-                reason=Reason.NO_CONFIGURATION, retry_after_s=UNKNOWN_RETRY_S
+                reason=Reason.NO_CONFIGURATION, retry_after_s=DEFAULT_RETRY_S
             )
         if route is None:
             return Refused(reason=Reason.NO_ENTRY)
         if not self._stop.accepts(route):
-            return Refused(reason=Reason.STOPPING, retry_after_s=ELSEWHERE_S)
+            return Refused(reason=Reason.STOPPING, retry_after_s=STOPPING_RETRY_S)
         account = self._account(table, route, request)
         if account is None:
             return Refused(reason=Reason.UNAUTHORISED)
@@ -179,11 +183,13 @@
         if refusal is not None:
             return refusal
         try:
-            async with self._stop.answer_deadline(delivery, deadline_s + LAST_S):
+            async with self._stop.answer_deadline(
+                delivery, deadline_s + ANSWER_GRACE_S
+            ):
                 return await self._run(job, delivery, sink)
         except AnswerDueError as due:
             is_stop = due.reason is Reason.STOPPING
-            retry_after_s = ELSEWHERE_S if is_stop else UNKNOWN_RETRY_S
+            retry_after_s = STOPPING_RETRY_S if is_stop else DEFAULT_RETRY_S
             return delivery.end(due.reason, retry_after_s=retry_after_s)
 
     async def _run(self, job: Job, delivery: Delivery, sink: CallerSink) -> Outcome:
@@ -199,10 +205,10 @@
             n_pieces=_pieces(job.request, job.route),
             piece_key=job.request.piece_key,
             due_s=job.request.came_s + job.route.target_latency_s - engine_s,
-            # One that would be made too late to be sent, or for a caller to wait for
-            # its first event, is refused now.
-            deadline_s=min(self._made_by_s(job, engine_s), self._stop.send_until_s),
-            near=self._near(job),
+            # A chain is refused now if it would complete too late to be sent to a
+            # worker, or too late for the caller to wait for the first event.
+            deadline_s=min(self._complete_by_s(job, engine_s), self._stop.send_until_s),
+            near=self._preferred_domain(job),
             priority=job.priority,
             fingerprint=job.fingerprint,
         )
@@ -210,12 +216,12 @@
             match await chain.run():
                 case ChainMoved():
                     return Refused(
-                        reason=Reason.PEER_SILENT, retry_after_s=UNKNOWN_RETRY_S
+                        reason=Reason.PEER_SILENT, retry_after_s=DEFAULT_RETRY_S
                     )
                 case ChainFailed() as failed:
                     return Refused(
                         reason=failed.reason,
-                        retry_after_s=failed.retry_after_s or UNKNOWN_RETRY_S,
+                        retry_after_s=failed.retry_after_s or DEFAULT_RETRY_S,
                     )
                 case ChainMade(failure_domain=domain) as made:
                     inputs = ChainInputs(
@@ -246,46 +252,47 @@
                     return await attempts.run(sink)
 
     @staticmethod
-    def _made_by_s(job: Job, engine_s: float) -> float:
-        """Return until when a request's stages must be made to be of any use."""
+    def _complete_by_s(job: Job, engine_s: float) -> float:
+        """Return the latest useful monotonic time of completion of the stages."""
         return min(job.deadline_s, job.begins_by_s - engine_s)
 
     async def _finish(self, attempts: Attempts, sink: CallerSink) -> Outcome:
-        """Let a worker finish what may not run twice, if its caller leaves.
+        """Let a worker finish a request that must not run twice if its caller leaves.
 
-        Broken off, it would be half done for all that anybody knows, and its
-        worker's time lost. Nothing is sent to another worker any more.
+        Cancelled, the request would be left in an unknown state, and the worker's time
+        would be wasted. It is not sent to another worker after the caller has left.
         """
         running = asyncio.create_task(attempts.run(sink))
         self._finishing.add(running)
-        running.add_done_callback(self._finished)
+        running.add_done_callback(self._on_finished)
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
             attempts.stop_retrying()
             raise
 
-    def _finished(self, running: "asyncio.Task[Outcome]") -> None:
+    def _on_finished(self, running: "asyncio.Task[Outcome]") -> None:
         self._finishing.discard(running)
         if not running.cancelled() and running.exception() is not None:
-            # Its answer found no caller. Whoever waits sees the exception too.
-            logging.debug("an answer was not delivered: %r", running.exception())
+            # The answer could not be delivered. A task that still waits for the
+            # request gets the exception as well.
+            logging.debug("answer was not delivered: %r", running.exception())
 
-    def _near(self, job: Job) -> str:
-        """Return the failure domain in which a request's stages should be made.
+    def _preferred_domain(self, job: Job) -> str:
+        """Return the preferred failure domain for a request's stages.
 
-        It is that of the engine which the request will most probably run on:
-        what its stages make is read there, and sessions are spread over the
-        engines more evenly than callers are over the failure domains.
+        It is the domain of the engine that the request will most probably run on: the
+        results of the stages are read there, and sessions are distributed more evenly
+        over the engines than callers are over the failure domains.
         """
         need = Need(prompt=job.request.prompt)
-        worker = self._choice.choose(job.worker_service(), need, without=NOBODY)
+        worker = self._choice.choose(job.worker_service(), need, without=NO_WORKERS)
         return self._failure_domain if worker is None else worker.failure_domain
 
     def _account(
         self, table: RouteTable, route: Route, request: CallerRequest
     ) -> Account | None:
-        """Return whose request it is; None if its key is not valid."""
+        """Return the client account of a request; None if its key is not valid."""
         if not table.has_accounts:
             return NO_ACCOUNT
         account = table.account_of_key.get(request.key)
@@ -295,13 +302,13 @@
 
 
 def _pieces(request: CallerRequest, route: Route) -> tuple[int, ...]:
-    """Return how many pieces each stage has; one where the caller tells none."""
+    """Return the number of pieces of each stage; 1 where the caller states none."""
     given = request.n_pieces[: len(route.stages)]
     return given + (1,) * (len(route.stages) - len(given))
 
 
 def _pick_service(route: Route) -> str:
-    """Return the service that runs the request, drawn by the published weights."""
+    """Return a service for the request, drawn at random by the published weights."""
     if len(route.splits) == 1:
         return route.splits[0].service
     weights = [split.weight for split in route.splits]
--- a/src/trefoilpaddle/coordination/chain/result_freeing.py
+++ b/src/trefoilpaddle/coordination/chain/result_freeing.py
@@ -1,4 +1,4 @@
-"""Frees results at one stage worker, those that come together in one call."""
+"""Frees results at one stage worker in batches."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,31 +8,33 @@
 from .target_calls import TargetCalls
 
 BATCH_WINDOW_S: Final = 0.05
-"""Time in which results that are read join one call to their maker.
+"""Seconds for which results are collected before one call frees them.
 
-A fifth of a call; where memory binds unseen, it is taken for no longer than that.
+A fifth of a call. If memory is short without this scheduler knowing, it stays
+occupied for no longer than that.
 """
 
 
 class ResultFreeing:
-    """Tells one worker which results nobody will read any more.
+    """Frees results at one worker that no stage will read any more.
 
-    Told one by one, as chains read them, workers of a busy cell got more of these
-    calls than of pieces, and they took a fifth of its scheduler's processor. So they
-    are gathered for a moment, but where the memory of their maker is short.
+    When each result was freed by its own call, workers of a busy cell got more of
+    these calls than of pieces, and they took a fifth of the scheduler's processor
+    time. Results are therefore collected for a moment, unless the memory of the
+    worker that holds them is short.
 
     Parameters
     ----------
     worker : Worker
         The worker.
     calls : TargetCalls
-        Speaks to it.
+        Client that calls the worker.
     workers : WorkerTable
-        Says whether it is still listed.
+        The listed workers.
     on_freed : callable
-        Called with the handles that it has freed.
+        Called with the handles that the worker has freed.
     is_short : callable
-        Returns True if the worker's memory for results may bind before long.
+        Returns True if the worker's memory for results may run short soon.
     """
 
     __slots__ = (
@@ -65,22 +67,22 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def free(self, handle: str) -> None:
-        """Free a result, together with others that come meanwhile."""
+        """Free a result, together with others that are freed in the same window."""
         self._handles.append(handle)
         self.flush()
 
     def flush(self) -> None:
-        """Free what was gathered at once where memory is short, else in a moment."""
+        """Free the collected results, at once if memory is short, otherwise later."""
         is_sending = self._task is not None and not self._task.done()
         if is_sending or not self._handles:
             return
         if self._is_short():
-            self._begin()
+            self._start_sending()
         elif self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(BATCH_WINDOW_S, self._begin)
+            self._timer = loop.call_later(BATCH_WINDOW_S, self._start_sending)
 
-    def _begin(self) -> None:
+    def _start_sending(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/trefoilpaddle/coordination/chain/running_chain.py
+++ b/src/trefoilpaddle/coordination/chain/running_chain.py
@@ -1,4 +1,4 @@
-"""One request's chain, wherever it is run."""
+"""Runs one request's chain at the schedulers of its cell."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -17,20 +17,20 @@
 from .scheduler_links import SchedulerEndpoint
 
 MAX_MOVES: Final = 4
-"""Times that a chain follows its cell to another gateway.
+"""Maximum number of schedulers at which a chain is tried after handovers.
 
-As many as hosts that are stopped one after the other within its time.
+As many as hosts that are stopped one after the other while the chain runs.
 """
 
-RUN_AGAIN: Final = frozenset({Reason.PEER_SILENT, Reason.RESULT_GONE})
-"""Ends of a chain after which it is run once more, within the budget."""
+RERUN_REASONS: Final = frozenset({Reason.PEER_SILENT, Reason.RESULT_GONE})
+"""Failures of a chain after which it is run once more, within the budget."""
 
 
 @asynccontextmanager
 async def running_chain(
     router: ChainRouter, work: ChainWork
 ) -> AsyncIterator["RunningChain"]:
-    """Yield a chain to run; what it made is freed when the context ends."""
+    """Yield a chain to run; its results are freed when the context exits."""
     running = RunningChain(router=router, work=work)
     try:
         yield running
@@ -39,7 +39,7 @@
 
 
 class RunningChain:
-    """One request's chain, from its first place to the freeing of its results.
+    """One request's chain, from its first scheduler until its results are freed.
 
     Parameters
     ----------
@@ -49,19 +49,19 @@
         The chain.
     """
 
-    __slots__ = ("_has_run", "_place", "_router", "_work")
+    __slots__ = ("_endpoint", "_has_run", "_router", "_work")
 
     def __init__(self, *, router: ChainRouter, work: ChainWork) -> None:
         self._router = router
         self._work = work
         self._has_run = False
-        self._place: SchedulerEndpoint | None = None
+        self._endpoint: SchedulerEndpoint | None = None
 
     async def run(self) -> ChainEnd:
-        """Run it where it can be on time; return its last end.
+        """Run the chain at a scheduler that admits it; return its last outcome.
 
-        Run once more, it is done whether it will be on time or not: what was
-        paid for it would be lost.
+        A chain that is run once more is admitted even if it will be late: the work
+        done for it so far would be lost.
         """
         work = self._work
         if self._has_run:
@@ -70,56 +70,60 @@
                 return ChainFailed(reason=Reason.RETRY_BUDGET, is_begun=False)
             work = replace(work, must_be_on_time=False)
         self._has_run = True
-        end = await self._try_places(work)
-        if isinstance(end, ChainFailed) and end.reason in RUN_AGAIN:
-            # What its scheduler, or the maker of a result, took with it can be
-            # made again.
+        outcome = await self._try_endpoints(work)
+        if isinstance(outcome, ChainFailed) and outcome.reason in RERUN_REASONS:
+            # The results that were lost with the scheduler, or with the worker that
+            # held them, can be computed again.
             self.free()
             if self._router.may_repeat(_services(work)):
-                end = await self._try_places(replace(work, must_be_on_time=False))
-        return end
+                outcome = await self._try_endpoints(
+                    replace(work, must_be_on_time=False)
+                )
+        return outcome
 
-    async def _try_places(self, work: ChainWork) -> ChainEnd:
-        """Run it at the first place that takes it; return its last end."""
+    async def _try_endpoints(self, work: ChainWork) -> ChainEnd:
+        """Run the chain at the first scheduler that admits it; return its outcome."""
         services = _services(work)
         if not services:
             return ChainMade(handles=())
-        end: ChainEnd = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
-        for place in await self._router.connected_endpoints(services, work.near):
-            end = await self._follow(work, place)
-            if not isinstance(end, ChainFailed) or end.is_begun:
-                return end
-            if self._place is not None:
-                self._router.record_refusal(self._place, end.finish_s)
-            self._place = None
-        return end
-
-    async def _follow(self, work: ChainWork, place: SchedulerEndpoint) -> ChainEnd:
-        """Run it at a place, and where its cell goes meanwhile; return its end."""
+        outcome: ChainEnd = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
+        for endpoint in await self._router.connected_endpoints(services, work.near):
+            outcome = await self._run_and_follow(work, endpoint)
+            if not isinstance(outcome, ChainFailed) or outcome.is_begun:
+                return outcome
+            if self._endpoint is not None:
+                self._router.record_refusal(self._endpoint, outcome.finish_s)
+            self._endpoint = None
+        return outcome
+
+    async def _run_and_follow(
+        self, work: ChainWork, endpoint: SchedulerEndpoint
+    ) -> ChainEnd:
+        """Run the chain at a scheduler and at its successors; return the outcome."""
         for _ in range(MAX_MOVES):
-            self._place = place
-            end = await self._router.run(work, place)
-            if not isinstance(end, ChainMoved):
-                return end
-            # What was admitted before is not judged again.
-            must_be_on_time = work.must_be_on_time and not end.is_admitted
-            work = replace(work, made=end.made, must_be_on_time=must_be_on_time)
-            moved = self._router.links.endpoint_at(place.cell, end.successor)
+            self._endpoint = endpoint
+            outcome = await self._router.run(work, endpoint)
+            if not isinstance(outcome, ChainMoved):
+                return outcome
+            # A chain that was admitted is not subject to admission again.
+            must_be_on_time = work.must_be_on_time and not outcome.is_admitted
+            work = replace(work, made=outcome.made, must_be_on_time=must_be_on_time)
+            moved = self._router.links.endpoint_at(endpoint.cell, outcome.successor)
             if moved is None:
-                await self._router.links.connect(place.cell)
-                moved = self._router.links.endpoint(place.cell)
-            place = moved
+                await self._router.links.connect(endpoint.cell)
+                moved = self._router.links.endpoint(endpoint.cell)
+            endpoint = moved
         return ChainFailed(reason=Reason.PEER_SILENT, is_begun=bool(work.made))
 
     def free(self) -> None:
-        """Free what the chain has made; further calls do nothing."""
-        if self._place is not None:
-            place, self._place = self._place, None
-            self._router.free(place, self._work.request_id)
+        """Free the results of the chain; further calls do nothing."""
+        if self._endpoint is not None:
+            endpoint, self._endpoint = self._endpoint, None
+            self._router.free(endpoint, self._work.request_id)
 
 
 def _services(work: ChainWork) -> set[str]:
-    """Return the services that have a piece to make."""
+    """Return the services that have at least one piece to run."""
     return {
         plan.service
         for plan, n_pieces in zip(work.stages, work.n_pieces, strict=True)
--- a/src/trefoilpaddle/coordination/chain/scheduler_links.py
+++ b/src/trefoilpaddle/coordination/chain/scheduler_links.py
@@ -1,4 +1,4 @@
-"""Which gateway schedules a cell, and the links that lead there."""
+"""Selects the gateway that schedules a cell, and keeps links to it."""
 
 import asyncio
 import contextlib
@@ -18,32 +18,33 @@
 from ..members.duty_rank import duty_rank
 
 SCHEDULER_TIMEOUT_S: Final = 1.6
-"""A scheduler that was not heard for this long is passed over, its chains run again.
+"""Seconds without a message after which a scheduler is skipped.
 
-Heartbeats come every 0.5 s, every second from one with many connections; a lost
-packet is sent again within 0.4 s. A chain takes about as long as this.
+Its chains are run again elsewhere. Heartbeats are sent every 0.5 s, every second by
+a gateway with many connections; a lost packet is retransmitted within 0.4 s. A chain
+takes about as long as this timeout.
 """
 
 NEW_LINK_S: Final = 1.0
-"""A link that was begun less than this ago may only not be connected yet."""
+"""Seconds after its creation in which a link may not be connected yet."""
 
-N_WARM: Final = 2
-"""Gateways to which links are kept for each cell: its scheduler and the next."""
+LINKS_PER_CELL: Final = 2
+"""Number of gateways per cell to which links are kept: the scheduler and the next."""
 
-CONNECT_WAIT_S: Final = 0.3
-"""Wait for such a link; many times what connecting takes within a region."""
+CONNECT_TIMEOUT_S: Final = 0.3
+"""Seconds to wait for a new link; many times the time to connect in a region."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SchedulerEndpoint:
-    """Where a chain can go.
+    """A cell with the link to its scheduler.
 
     Parameters
     ----------
     cell : Cell
-        Whose stage workers make it.
+        The cell whose stage workers run a chain.
     link : Link or None
-        To its scheduler; None if this gateway keeps it.
+        Link to the cell's scheduler; None if this gateway is the scheduler.
     """
 
     cell: Cell
@@ -52,16 +53,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Rankings:
-    """In which order gateways may schedule cells, found once for each change.
+    """Cached order in which gateways may schedule cells, for one set of live members.
 
-    Sorted for each chain, some hundred members were most of what it cost a gateway.
+    When some hundred members were sorted for each chain, that was most of the cost of
+    a chain at a gateway.
 
     Parameters
     ----------
     live : sequence of MemberRecord
         The live gateways.
     by_domains : dict of frozenset to list of MemberRecord
-        Those that may schedule a cell, by its failure domains.
+        Gateways that may schedule a cell, by the cell's failure domains.
     """
 
     live: Sequence[MemberRecord]
@@ -74,11 +76,11 @@
     Parameters
     ----------
     own_id : str
-        This gateway.
+        Process id of this gateway.
     live : callable
-        Returns the live gateways, this one included.
+        Returns the live gateways, including this one.
     peers : Peers
-        Links to the others.
+        Links to the other gateways.
     """
 
     __slots__ = ("_dialled_s", "_live", "_n_changes", "_own_id", "_peers", "_rankings")
@@ -94,15 +96,14 @@
         self._n_changes = 0
 
     def endpoint(self, cell: Cell) -> SchedulerEndpoint:
-        """Return the place of a cell's scheduler.
-
-        All gateways agree on the oldest of the strongest of the cell. Every
-        chain of the cell passes its scheduler, so a weak host would be late
-        with all of them. A scheduler knows what waits and what it has reserved, a
-        new one knows nothing and admits too much; so one that is restarted does
-        not take its cell back from its equals. One that is silent is passed over
-        at once: waiting until the members agree on its end would hold up every
-        chain.
+        """Return the endpoint of a cell's scheduler.
+
+        All gateways agree on the oldest of the strongest gateways in the cell. Every
+        chain of the cell passes its scheduler, so a weak host would delay all of them.
+        A scheduler knows its backlog and reservations; a new one knows neither and
+        admits too much. A restarted gateway therefore does not take its cell back from
+        an equally strong one. An unresponsive gateway is skipped at once: waiting until
+        the members agree on its exit would delay every chain.
         """
         for member in self._ranked(cell):
             if member.process_id == self._own_id:
@@ -113,18 +114,18 @@
         return SchedulerEndpoint(cell=cell, link=None)
 
     def _ranked(self, cell: Cell) -> list[MemberRecord]:
-        """Return the gateways that may schedule a cell, the first first."""
-        rankings = self._known()
+        """Return the gateways that may schedule a cell, highest rank first."""
+        rankings = self._current_rankings()
         ranked = rankings.by_domains.get(cell.failure_domains)
         if ranked is None:
             live = rankings.live
-            near = [m for m in live if m.failure_domain in cell.failure_domains]
-            ranked = sorted(near or live, key=duty_rank)
+            in_cell = [m for m in live if m.failure_domain in cell.failure_domains]
+            ranked = sorted(in_cell or live, key=duty_rank)
             rankings.by_domains[cell.failure_domains] = ranked
         return ranked
 
-    def _known(self) -> "Rankings":
-        """Return what was ranked since the live gateways have changed last."""
+    def _current_rankings(self) -> "Rankings":
+        """Return the rankings of the present live gateways."""
         live = self._live()
         if live is not self._rankings.live:
             self._rankings = Rankings(live=live)
@@ -132,13 +133,13 @@
         return self._rankings
 
     def version_of_live(self) -> int:
-        """Return a number that rises whenever other gateways are live."""
-        self._known()
+        """Return a number that increases whenever the live gateways change."""
+        self._current_rankings()
         return self._n_changes
 
-    def most_millicores(self, region: str) -> int:
-        """Return the processor of a region's strongest gateway; 0 if untold."""
-        live = self._known().live
+    def max_millicores(self, region: str) -> int:
+        """Return the millicores of a region's strongest gateway; 0 if unknown."""
+        live = self._current_rankings().live
         return max((m.millicores for m in live if m.region == region), default=0)
 
     def _link(self, member: MemberRecord) -> Link | None:
@@ -146,15 +147,16 @@
             case Ok(address):
                 self._dialled_s.setdefault(_start_of(member), time.monotonic())
                 return self._peers.link(address)
-            case Err(problem):
-                logging.warning("address of %s: %s", member.process_id, problem)
+            case Err(error):
+                logging.warning("address of %s: %s", member.process_id, error)
                 return None
 
     async def connect(self, cell: Cell) -> None:
-        """Wait a moment for the link to a cell's scheduler if it is new.
+        """Wait for the link to a cell's scheduler to connect, if the link is new.
 
-        Not connected yet is not silent. Passed over for it, the first chains after
-        a start, or after a change, each went to a scheduler of their own.
+        A gateway whose link is not connected yet is not unresponsive. When it was
+        skipped for that, the first chains after a start or a change of members were
+        scheduled by different gateways.
         """
         for member in self._ranked(cell):
             if member.process_id == self._own_id:
@@ -164,12 +166,12 @@
                 return
             if time.monotonic() - self._dialled_s[_start_of(member)] < NEW_LINK_S:
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(CONNECT_WAIT_S):
+                    async with asyncio.timeout(CONNECT_TIMEOUT_S):
                         await link.opened.wait()
                 return
 
     def endpoint_at(self, cell: Cell, process_id: str) -> SchedulerEndpoint | None:
-        """Return a cell's place at a gateway, or None if that is not live."""
+        """Return the endpoint of a cell at a gateway, or None if it is not live."""
         for member in self._live():
             if member.process_id != process_id:
                 continue
@@ -181,24 +183,24 @@
         return None
 
     def keep_links(self, cells: Iterable[Cell]) -> None:
-        """Keep links to those that schedule cells, or will next."""
+        """Keep links to the gateways that schedule cells or would do so next."""
         live = {_start_of(member) for member in self._live()}
         self._dialled_s = {
             start: at_s for start, at_s in self._dialled_s.items() if start in live
         }
         for cell in cells:
-            for member in self._ranked(cell)[:N_WARM]:
+            for member in self._ranked(cell)[:LINKS_PER_CELL]:
                 if member.process_id != self._own_id:
                     self._link(member)
 
 
 def _start_of(member: MemberRecord) -> tuple[str, int]:
-    """Return what tells one start of a gateway from the next."""
+    """Return a key that identifies one start of a gateway."""
     return member.process_id, member.incarnation
 
 
 def is_live(link: Link) -> bool:
-    """Return True if a gateway has said something lately."""
+    """Return True if a message has arrived on a link within the timeout."""
     connection = link.connection
     if connection is None:
         return False
