--- a/src/trefoilpaddle/coordination/chain/service_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/service_dispatch.py
@@ -1,4 +1,4 @@
-"""The queue of one service in a cell, and the workers that empty it."""
+"""The queue of one service in a cell, and its dispatch to workers."""
 
 import asyncio
 import time
@@ -12,35 +12,40 @@
 from .dispatch_snapshot import DispatchSnapshot
 from .worker_caller import WorkerCaller
 
-GATHER_S: Final = 0.002
-"""Time in which pieces that come together join one call; a hundredth of a call."""
+BATCH_WINDOW_S: Final = 0.002
+"""Seconds for which pieces are collected into one call; a hundredth of a call."""
 
-LOOK_S: Final = 0.1
-"""Time after which a queue that waits is looked at; a third of a call.
+QUEUE_CHECK_PERIOD_S: Final = 0.1
+"""Seconds between dispatches of a queue that is not empty; a third of a call.
 
-Memory comes back when results run out, and a worker that was passed over may be
-used again: nobody tells either.
+Memory becomes free when results expire, and a suspected worker becomes usable again;
+there is no notification of either.
 """
 
 
 class ServiceDispatch:
-    """Has the pieces of one service made by the workers that are free.
+    """Dispatches the queued pieces of one service to free workers.
 
     Parameters
     ----------
     callers : callable
-        Returns the callers of the workers that may get work now.
+        Returns the callers of the workers that are usable now.
     guard : CrashGuard
         Knows which requests crash workers.
+
+    Attributes
+    ----------
+    queue : PieceQueue
+        The pieces that wait for a worker.
     """
 
     __slots__ = (
         "_callers",
+        "_check_timer",
         "_guard",
-        "_is_moved",
+        "_is_handed_over",
         "_is_stopped",
-        "_looking",
-        "_timer",
+        "_window_timer",
         "queue",
     )
 
@@ -50,13 +55,13 @@
         self._callers = callers
         self._guard = guard
         self._is_stopped = False
-        self._is_moved = False
-        self._timer: asyncio.TimerHandle | None = None
-        self._looking: asyncio.TimerHandle | None = None
+        self._is_handed_over = False
+        self._window_timer: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
         self.queue = PieceQueue()
 
     def stop(self) -> None:
-        """Send no more calls; what waits stays queued."""
+        """Send no more calls; waiting pieces stay queued."""
         self._is_stopped = True
 
     def resume(self) -> None:
@@ -65,46 +70,47 @@
         self.trigger()
 
     def redirect_pieces(self) -> None:
-        """Give up what waits and what still comes: another scheduler has it made.
+        """Reject queued and further pieces, which another scheduler will run.
 
-        A call that ends after the handover sets off the next stage here. Queued
-        for calls that are not sent any more, its request had no answer until the
-        gateway was gone.
+        A call that completes after the handover starts the next stage here. When its
+        pieces were queued for calls that are not sent any more, the request got no
+        answer until the gateway exited.
         """
-        self._is_moved = True
+        self._is_handed_over = True
         for work in self.queue.drain():
             work.settle(PieceFault.MOVED)
 
     def submit(self, works: Sequence[PieceWork]) -> None:
-        """Queue pieces; a call goes out in a moment if a worker is free.
+        """Queue pieces; they are dispatched after a short delay.
 
-        One call's end sets off many requests' next stages, one after another
-        within one turn of the loop. Called at the first, a worker would make
-        that one's pieces alone, and the others would wait for a whole call.
+        The completion of one call starts the next stages of many requests, one after
+        another in one iteration of the event loop. If a worker were called at the
+        first, it would run only the pieces of that request, and the others would wait
+        for a whole call.
         """
-        if self._is_moved:
+        if self._is_handed_over:
             for work in works:
                 work.settle(PieceFault.MOVED)
             return
         self.queue.add(works)
-        if self._timer is None:
+        if self._window_timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(GATHER_S, self._gathered)
+            self._window_timer = loop.call_later(BATCH_WINDOW_S, self._end_window)
 
     def trigger(self) -> None:
-        """Send what can be sent: a worker may be free, or memory was freed."""
+        """Dispatch queued pieces, as a worker may be free or memory was freed."""
         if len(self.queue):
             self._dispatch()
 
     def n_on_time(self, now_s: float) -> int:
-        """Return how many waiting pieces can still be on time."""
+        """Return the number of waiting pieces that can still be on time."""
         callers = self._callers()
         if not callers:
             return 0
-        return self.queue.n_on_time(now_s + _soonest_s(callers, 1, now_s))
+        return self.queue.n_on_time(now_s + _shortest_call_s(callers, 1, now_s))
 
-    def _gathered(self) -> None:
-        self._timer = None
+    def _end_window(self) -> None:
+        self._window_timer = None
         self._dispatch()
 
     def _dispatch(self) -> None:
@@ -119,60 +125,62 @@
         free = [caller for caller in callers if caller.is_free(now_s)]
         if free:
             self._send(free, callers, now_s)
-        self._look_again()
+        self._schedule_check()
 
     def _send(
         self, free: list[WorkerCaller], callers: Sequence[WorkerCaller], now_s: float
     ) -> None:
-        """Send what waits to the workers that are free, one after another."""
-        look = DispatchSnapshot(callers=callers, free=free, now_s=now_s)
-        self.queue.drop_hopeless(now_s + look.shortest_call_s())
+        """Send queued pieces to the free workers, one worker after another."""
+        snapshot = DispatchSnapshot(callers=callers, free=free, now_s=now_s)
+        self.queue.drop_hopeless(now_s + snapshot.shortest_call_s())
         if not self._guard.has_no_crashes:
             self.queue.drop_blocked(self._guard.status)
         self.queue.allow_avoided({caller.worker.worker_id for caller in callers})
         first: PieceWork | None = None
         is_late = False
-        while len(self.queue) and look.has_free:
-            # With fewer free workers the soonest end comes later, which changes the
-            # most urgent piece only when it was on time and is not any more.
-            done_s = now_s + look.shortest_free_call_s()
+        while len(self.queue) and snapshot.has_free:
+            # With fewer free workers the earliest completion is later. That changes
+            # the most urgent piece only if it was on time and is not any more.
+            done_s = now_s + snapshot.shortest_free_call_s()
             if first is None or (not is_late and first.due_s < done_s):
                 first = self.queue.first(done_s)
                 is_late = first is not None and first.due_s < done_s
-            caller = look.take_next(first)
-            n_passed = look.n_skipped(caller)
+            caller = snapshot.take_next(first)
+            n_skipped = snapshot.n_skipped(caller)
             offer = caller.known.offer(
-                now_s, n_passed=n_passed, near_free_in_s=look.free_in_s
+                now_s, n_passed=n_skipped, near_free_in_s=snapshot.free_in_s
             )
             batch = self.queue.take_batch(offer, self._may_share())
             if batch:
                 caller.start(batch, n_waiting=len(self.queue))
-                look.refresh(caller)
+                snapshot.refresh(caller)
                 first = None
-            elif not n_passed:
+            elif not n_skipped:
                 caller.block(now_s)
 
     def _may_share(self) -> MayShare | None:
-        """Return what keeps suspects apart in a call; None if there are none."""
+        """Return the rule that isolates suspects in calls; None without suspects."""
         if self._guard.has_no_crashes:
             return None
         return CallSharing(
             standing=self._guard.status, is_running=self._guard.is_running
         ).may_share
 
-    def _look_again(self) -> None:
-        if len(self.queue) and self._looking is None:
+    def _schedule_check(self) -> None:
+        if len(self.queue) and self._check_timer is None:
             loop = asyncio.get_running_loop()
-            self._looking = loop.call_later(LOOK_S, self._look)
+            self._check_timer = loop.call_later(QUEUE_CHECK_PERIOD_S, self._check_queue)
 
-    def _look(self) -> None:
-        self._looking = None
+    def _check_queue(self) -> None:
+        self._check_timer = None
         callers = self._callers()
         if callers:
             now_s = time.monotonic()
-            self.queue.drop_hopeless(now_s + _soonest_s(callers, 1, now_s))
+            self.queue.drop_hopeless(now_s + _shortest_call_s(callers, 1, now_s))
         self.trigger()
 
 
-def _soonest_s(callers: Sequence[WorkerCaller], n_pieces: int, now_s: float) -> float:
+def _shortest_call_s(
+    callers: Sequence[WorkerCaller], n_pieces: int, now_s: float
+) -> float:
     return min([caller.known.call_s(n_pieces, now_s) for caller in callers])
--- a/src/trefoilpaddle/coordination/chain/target_calls.py
+++ b/src/trefoilpaddle/coordination/chain/target_calls.py
@@ -1,4 +1,4 @@
-"""What the request path asks of the client that speaks to workers."""
+"""Interface of the request path to the client that calls workers."""
 
 from collections.abc import AsyncIterator, Callable, Sequence
 from contextlib import AbstractAsyncContextManager
@@ -20,22 +20,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetCall:
-    """A request as it goes to a worker.
+    """A request as it is sent to a worker.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent.
+        The request as the caller sent it.
     account : str
         Client account that the caller's key belongs to; empty without keys.
     ends_s : float
-        Monotonic time at which the worker is to stop.
+        Monotonic time at which the worker must stop.
     inputs : tuple of str
-        Handles of the results that the request takes.
-    after_event : int
-        Number of the last event that the caller has; None without any.
-    urgency : int
-        0 to 9, where 0 goes first at a model worker.
+        Handles of the results that the request takes as inputs.
+    after_event : int or None
+        Number of the last event that the caller has received; None without any.
+    urgency : int or None
+        Rank at a model worker from 0, the most urgent, to 9; None for other requests.
     """
 
     request: CallerRequest
@@ -47,7 +47,7 @@
 
 
 class StreamBrokenError(Exception):
-    """A stream ended before its last event, or its events are out of order."""
+    """A stream ended before its last event, or an event is missing or repeated."""
 
 
 class OpenAnswer(Protocol):
@@ -58,19 +58,19 @@
         """Status and headers."""
 
     async def read(self) -> Result[bytes, CallFault]:
-        """Return the whole body, or the way in which it failed."""
+        """Return the complete body, or how reading it failed."""
 
     def events(self) -> AsyncIterator[StreamEvent]:
-        """Yield the events; raise StreamBrokenError unless the end is whole."""
+        """Yield the events; raise StreamBrokenError if the stream is incomplete."""
 
 
 class TargetCalls(Protocol):
-    """Speaks to workers; knows their protocol and decides nothing."""
+    """Client that implements the protocol of workers without making decisions."""
 
     def exchange(
         self, worker: Worker, call: TargetCall
     ) -> AbstractAsyncContextManager[Result[OpenAnswer, CallFault]]:
-        """Send a request; its connection is closed when the context ends."""
+        """Send a request; its connection is closed when the context exits."""
 
     async def run_pieces(
         self,
@@ -80,16 +80,16 @@
         timeout_s: float,
         on_sent: Callable[[], None],
     ) -> Result[list[PieceEnd], CallFault]:
-        """Have pieces made in one call; return one end for each, in order.
+        """Run pieces in one call; return one outcome for each, in order.
 
-        `on_sent` is called once the whole call is on its way to the worker.
+        `on_sent` is called once the complete call has been sent to the worker.
         """
 
     async def report(self, worker: Worker, *, timeout_s: float) -> WorkerReport | None:
-        """Return what a stage worker says it does and keeps; None without an answer."""
+        """Return a stage worker's status report; None if it does not answer."""
 
     async def is_listening(self, worker: Worker) -> bool | None:
-        """Return whether anything listens at a worker's address; None if unknown."""
+        """Return whether a process listens at a worker's address; None if unknown."""
 
     async def free_results(self, worker: Worker, handles: Sequence[str]) -> bool:
-        """Tell a worker that nobody will read these; True if it has freed them."""
+        """Free results at a worker; return True if it has freed them."""
--- a/src/trefoilpaddle/coordination/chain/watched_runs.py
+++ b/src/trefoilpaddle/coordination/chain/watched_runs.py
@@ -1,4 +1,4 @@
-"""How runs at workers ended, as those who sent them tell the guard."""
+"""Outcomes of runs at workers, as reported to the crash guard."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
@@ -12,7 +12,7 @@
 NOT_BEGUN: Final = frozenset(
     {PieceFault.LATE, PieceFault.INPUT_GONE, PieceFault.NO_MEMORY}
 )
-"""Ends of pieces at whose turn a worker did not begin them."""
+"""Faults of pieces that a worker did not begin when their turn came."""
 
 
 class WatchedRun:
@@ -21,7 +21,7 @@
     Attributes
     ----------
     end : RunEnd
-        How it ended; `RunEnd.LEFT` until that is known.
+        How the run ended; `RunEnd.LEFT` until that is known.
     """
 
     __slots__ = ("end",)
@@ -31,14 +31,14 @@
 
 
 class WatchedCall:
-    """The runs of the requests that one call carries pieces of.
+    """The runs of all requests with pieces in one call.
 
     Parameters
     ----------
     works : sequence of PieceWork
-        The pieces.
+        The pieces of the call.
     runs : mapping of str to WatchedRun
-        By what stands for their requests.
+        The runs by the fingerprints of their requests.
     """
 
     __slots__ = ("_runs", "_works")
@@ -50,7 +50,10 @@
         self._runs = runs
 
     def take(self, answer: Result[list[PieceEnd], CallFault]) -> None:
-        """Take how the call ended; pieces that were not begun clear nobody."""
+        """Record the outcome of the call.
+
+        A piece that was not begun does not clear its request.
+        """
         match answer:
             case Err(fault):
                 for run in self._runs.values():
--- a/src/trefoilpaddle/coordination/chain/worker_caller.py
+++ b/src/trefoilpaddle/coordination/chain/worker_caller.py
@@ -1,4 +1,4 @@
-"""Calls one stage worker, one call at a time, and asks what it holds."""
+"""Calls one stage worker, one call at a time, and requests its status reports."""
 
 import asyncio
 import time
@@ -24,43 +24,47 @@
 from .target_calls import TargetCalls
 from .watched_runs import WatchedCall
 
-HANG_RATIO: Final = 3.0
-"""A call that takes this many times what it should is given up as lost."""
+CALL_TIMEOUT_RATIO: Final = 3.0
+"""Multiple of its expected duration after which a call is abandoned as lost."""
 
-HANG_SLACK_S: Final = 0.6
-"""Added to that, so that a lost packet, sent again after 0.2 to 0.4 s, is borne."""
+CALL_TIMEOUT_SLACK_S: Final = 0.6
+"""Seconds added to that for a lost packet, retransmitted after 0.2 to 0.4 s."""
 
 REPORT_TIMEOUT_S: Final = 0.3
-"""Longest wait for a worker's report; about a call, which it might do meanwhile."""
+"""Timeout in seconds of a worker's report; about a call, which may run meanwhile."""
 
 INPUT_FETCH_S: Final = 0.04
-"""Time after a call was sent by which its worker has fetched all inputs.
+"""Seconds after a call was sent by which its worker has fetched all inputs.
 
-It begins with them when the call's turn comes, which is at once as it makes no
-other. Ten times what a megabyte and the ways take; a tenth of a call. Where it is
-not enough, the worker finds an input gone, and the chain is made once more.
+The worker fetches them when the call's turn comes, which is at once, as no other call
+runs. This is ten times the time to transfer a megabyte, including latencies, and a
+tenth of a call. If it is too short, the worker finds an input missing, and the chain
+is run once more.
 """
 
-ASK_AGAIN_S: Final = 0.5
-"""Time between reports while others keep results there and pieces wait for memory."""
+REPORT_PERIOD_S: Final = 0.5
+"""Minimum seconds between reports while pieces wait for memory at a worker.
+
+It applies while the worker holds results of other schedulers.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartedCall:
-    """A call that is on its way.
+    """A call in flight.
 
     Parameters
     ----------
     batch : list of PieceWork
-        What it carries.
+        The pieces of the call.
     began_s : float
         Monotonic time at which it was started.
     n_waiting : int
-        Pieces that waited behind it.
+        Pieces that were left in the queue.
     watched : WatchedCall
-        Takes how it ends.
+        Receives the outcome of the call.
     running : ExitStack
-        Closed at its end; until then its requests count as running.
+        Closed when the call ends; until then its requests count as running.
     """
 
     batch: list[PieceWork]
@@ -71,48 +75,50 @@
 
 
 class WorkerCaller:
-    """Sends the calls of one start of a worker.
+    """Sends calls to one worker process, from its start to its exit.
 
     Parameters
     ----------
     worker : Worker
         The worker.
     service : PieceService
-        What it runs.
+        The service that it runs.
     calls : TargetCalls
-        Speaks to it.
+        Client that calls the worker.
     workers : WorkerTable
-        Told when it falls silent.
+        Notified of failed and of answered calls.
     journal : Journal
-        Takes one decision for each call.
+        Receives one decision for each call.
     on_free : callable
         Called when the worker may be free for a call.
     on_freed : callable
-        Called with results that the worker has freed.
+        Called with the worker and the handles of results that it has freed.
     on_return : callable
-        Takes pieces that it has not begun, to be made elsewhere or later.
+        Called with pieces that the worker has not begun, to be queued again.
     guard : CrashGuard
         Watches the runs of pieces.
 
     Attributes
     ----------
     known : KnownWorker
-        What is learnt of it.
+        The estimated state of the worker.
+    worker : Worker
+        The worker.
     """
 
     __slots__ = (
-        "_asked_s",
         "_calls",
+        "_created_s",
         "_freeing",
         "_guard",
+        "_has_exited",
         "_in_flight",
-        "_is_asking",
-        "_is_ended",
-        "_met_s",
-        "_notes",
+        "_is_report_pending",
+        "_log",
         "_on_free",
         "_on_freed",
         "_on_return",
+        "_report_requested_s",
         "_tasks",
         "_workers",
         "known",
@@ -137,30 +143,33 @@
         self.known = KnownWorker(worker=worker, service=service)
         self._calls = calls
         self._workers = workers
-        self._notes = CallLog(worker=worker, journal=journal)
+        self._log = CallLog(worker=worker, journal=journal)
         self._on_free = on_free
         self._on_freed = on_freed
         self._on_return = on_return
         self._tasks: set[asyncio.Task[None]] = set()
         self._in_flight: list[PieceWork] = []
-        self._asked_s = 0.0
-        self._met_s = time.monotonic()
+        self._report_requested_s = 0.0
+        self._created_s = time.monotonic()
         self._freeing = ResultFreeing(
             worker=worker,
             calls=calls,
             workers=workers,
-            on_freed=self._take_freed,
+            on_freed=self._record_freed,
             is_short=self._is_memory_short,
         )
-        self._is_asking = False
-        self._is_ended = False
+        self._is_report_pending = False
+        self._has_exited = False
 
     def is_free(self, now_s: float) -> bool:
-        """Return True if it may be called now; begins to ask it where it must."""
+        """Return True if the worker may be called now.
+
+        Requests a status report first if the state of the worker is not known.
+        """
         if not self.known.may_be_called(now_s):
             return False
         if not self.known.is_current:
-            self._ask()
+            self._request_report()
             return False
         return self.known.busy_s(now_s) <= 0.0
 
@@ -170,9 +179,10 @@
         Parameters
         ----------
         batch : list of PieceWork
-            What it carries.
+            The pieces of the call.
         n_waiting : int
-            Pieces that wait behind it; if any do, it tells the worker's pace.
+            Pieces that are left in the queue. If there are any, the call is used to
+            estimate the worker's throughput.
         """
         now_s = time.monotonic()
         self._in_flight += batch
@@ -180,8 +190,8 @@
             work.worker_id = self.worker.worker_id
         self.known.begin_call(len(batch), now_s)
         self._freeing.flush()
-        # From here on and not from the task's first step: the same look at the queue
-        # goes on to the next free worker.
+        # The runs count as open from here on and not from the first step of the task,
+        # as the same dispatch continues with the next free worker.
         running = ExitStack()
         watched = running.enter_context(self._guard.running_call(self.worker, batch))
         call = StartedCall(
@@ -194,32 +204,38 @@
         self._spawn(self._call(call))
 
     def block(self, now_s: float) -> None:
-        """Count the time from now on as busy; ask it where others keep results."""
+        """Count the time from now on as busy, as no queued piece fits the worker.
+
+        Requests a report if the worker holds results of other schedulers.
+        """
         self.known.block(now_s)
         self._freeing.flush()
-        if self.known.memory.has_foreign(now_s) and now_s - self._asked_s > ASK_AGAIN_S:
-            self._ask()
+        if (
+            self.known.memory.has_foreign(now_s)
+            and now_s - self._report_requested_s > REPORT_PERIOD_S
+        ):
+            self._request_report()
 
     def free(self, handle: str) -> None:
-        """Free a result at the worker, together with others that come meanwhile."""
-        if not self._is_ended:
+        """Free a result at the worker, together with others freed at the same time."""
+        if not self._has_exited:
             self._freeing.free(handle)
 
     def _is_memory_short(self) -> bool:
-        """Return True if what is read should be freed at once.
+        """Return True if results should be freed as soon as they are read.
 
-        Also while results may be there of a scheduler that is gone, which nobody
-        told of: after a loss of all gateways they fill their makers.
+        Also True while the worker may hold unreported results of a scheduler that has
+        exited: after a loss of all gateways such results fill the workers' memory.
         """
         now_s = time.monotonic()
         memory = self.known.memory
-        is_new = now_s - self._met_s < memory.service.keep_s
+        is_new = now_s - self._created_s < memory.service.keep_s
         return is_new or memory.is_short(now_s)
 
-    def _take_freed(self, handles: list[str]) -> None:
-        """Count results as gone once the worker has answered.
+    def _record_freed(self, handles: list[str]) -> None:
+        """Count the memory of results as free once the worker has confirmed it.
 
-        A call that takes their memory before would find it still taken.
+        A call that relied on their memory earlier would find it still occupied.
         """
         for handle in handles:
             self.known.memory.free(handle)
@@ -227,12 +243,12 @@
         self._on_free()
 
     def mark_exited(self) -> None:
-        """Give up all that its process had: it has ended, and started again.
+        """Abandon all calls in flight, as the worker process has exited and restarted.
 
-        Calls to it have no answer any more, or one that was made before the end
-        and names results that are gone.
+        These calls get no response any more, or one that was sent before the exit and
+        names results that are lost.
         """
-        self._is_ended = True
+        self._has_exited = True
         for work in self._in_flight:
             work.settle(PieceFault.LOST)
 
@@ -245,15 +261,16 @@
         batch, began_s = call.batch, call.began_s
         n_bytes = sum(work.result_bytes for work in batch)
         expected_s = self.known.times.call_s(len(batch))
-        timeout_s = HANG_RATIO * expected_s + HANG_SLACK_S
-        # Not from now on: on a busy host the call itself may leave later than that,
-        # and results would be freed that its worker has still to fetch. Cancelled with
-        # the end of the call: one that is turned away ends at once, with none fetched.
+        timeout_s = CALL_TIMEOUT_RATIO * expected_s + CALL_TIMEOUT_SLACK_S
+        # The time does not start now: on a busy host the call itself may be sent later
+        # than that, and results would be freed that its worker has still to fetch. The
+        # timer is cancelled when the call ends: a call that the worker rejects ends at
+        # once, without any input fetched.
         fetching: list[asyncio.TimerHandle] = []
 
-        def note_sent() -> None:
+        def schedule_free() -> None:
             loop = asyncio.get_running_loop()
-            fetching.append(loop.call_later(INPUT_FETCH_S, _tell_fetched, batch))
+            fetching.append(loop.call_later(INPUT_FETCH_S, _notify_fetched, batch))
 
         kept_bytes = self.known.memory.own_bytes(began_s)
         self.known.memory.send(n_bytes)
@@ -261,7 +278,10 @@
             try:
                 with call.running:
                     answer = await self._calls.run_pieces(
-                        self.worker, batch, timeout_s=timeout_s, on_sent=note_sent
+                        self.worker,
+                        batch,
+                        timeout_s=timeout_s,
+                        on_sent=schedule_free,
                     )
                     call.watched.take(answer)
                 await self._guard.wait_for_exit_check(self.worker)
@@ -271,7 +291,7 @@
                     timer.cancel()
             match answer:
                 case Ok(ends):
-                    self._take(
+                    self._complete(
                         batch,
                         ends,
                         began_s,
@@ -279,19 +299,21 @@
                         kept_bytes=kept_bytes,
                     )
                 case Err(CallFault.FULL):
-                    self._put_back(batch, expected_s)
+                    self._requeue(batch, expected_s)
                 case Err(fault):
                     self._fail(batch, fault, began_s)
         except Exception:
-            # A fault here would leave the worker marked as busy for good.
-            logging.exception("a call of pieces at %s", self.worker.worker_id)
+            # An exception would leave the worker marked as busy forever.
+            logging.exception(
+                "call of pieces at worker %s failed", self.worker.worker_id
+            )
             self._fail(batch, CallFault.BROKEN, began_s)
-        ended = set(map(id, batch))
-        self._in_flight = [w for w in self._in_flight if id(w) not in ended]
+        ended_ids = set(map(id, batch))
+        self._in_flight = [w for w in self._in_flight if id(w) not in ended_ids]
         self.known.end_call(time.monotonic())
         self._on_free()
 
-    def _take(
+    def _complete(
         self,
         batch: list[PieceWork],
         ends: list[PieceEnd],
@@ -317,13 +339,13 @@
             else:
                 work.settle(end)
         if without_memory:
-            # Nothing was worked on. Sent again at once, these pieces are turned
-            # away again, call after call.
+            # These pieces were not begun. Sent again at once, they would be rejected
+            # again, call after call.
             least_bytes = min(work.result_bytes for work in without_memory)
             self.known.learn_full(least_bytes, now_s, own_bytes=kept_bytes + made_bytes)
             self._on_return(without_memory)
         faults = Counter(end.value for end in ends if isinstance(end, PieceFault))
-        self._notes.call(
+        self._log.record_call(
             CallSummary(
                 n_pieces=len(batch),
                 n_made=n_made,
@@ -335,20 +357,20 @@
             ratio=self.known.times.ratio,
         )
 
-    def _put_back(self, batch: list[PieceWork], expected_s: float) -> None:
-        """Take back a call that the worker had no place for; nothing was run.
+    def _requeue(self, batch: list[PieceWork], expected_s: float) -> None:
+        """Queue the pieces of a call again that the worker rejected without running.
 
-        Somebody else calls this worker as well: another gateway that takes
-        itself for its scheduler, or one that has ended meanwhile.
+        Another gateway calls this worker as well: one that regards itself as the
+        worker's scheduler, or one that has exited meanwhile.
         """
         self.known.pause(time.monotonic() + expected_s / 2)
         self._on_return(batch)
-        self._note_unmade(batch, CallFault.FULL, Reason.QUEUE_FULL, 0.0)
+        self._record_failure(batch, CallFault.FULL, Reason.QUEUE_FULL, 0.0)
 
-    def _note_unmade(
+    def _record_failure(
         self, batch: list[PieceWork], fault: CallFault, reason: Reason, took_s: float
     ) -> None:
-        self._notes.call(
+        self._log.record_call(
             CallSummary(
                 n_pieces=len(batch),
                 took_s=took_s,
@@ -365,38 +387,40 @@
         end = PieceFault.FULL if fault.has_not_run else PieceFault.LOST
         for work in batch:
             work.settle(end)
-        # It may have made them: what it keeps now only it can say.
+        # The worker may have computed the results; only a report shows what it holds.
         self.known.is_current = False
         reason = Reason.TARGET_DOWN if fault.has_not_run else Reason.CONNECTION_LOST
-        self._note_unmade(batch, fault, reason, took_s)
+        self._record_failure(batch, fault, reason, took_s)
 
-    def _ask(self) -> None:
-        if not self._is_asking:
-            self._is_asking = True
-            self._asked_s = time.monotonic()
-            self._spawn(self._send_ask())
+    def _request_report(self) -> None:
+        if not self._is_report_pending:
+            self._is_report_pending = True
+            self._report_requested_s = time.monotonic()
+            self._spawn(self._fetch_report())
 
-    async def _send_ask(self) -> None:
-        """Ask the worker what it does and keeps, before it is called.
+    async def _fetch_report(self) -> None:
+        """Request the worker's status report before it is called.
 
-        A scheduler that is gone has left results there, and calls that still
-        run. Not knowing them, the next one sends calls that find no memory.
+        A previous scheduler may have left results there, and calls that still run.
+        Without knowing them, this one would send calls that find no memory.
         """
         report: WorkerReport | None = None
         try:
             report = await self._calls.report(self.worker, timeout_s=REPORT_TIMEOUT_S)
         except Exception:
-            logging.exception("asking %s what it does", self.worker.worker_id)
+            logging.exception(
+                "status report of worker %s failed", self.worker.worker_id
+            )
         if report is not None:
             self.known.learn_report(report, time.monotonic())
         self.known.is_current = True
-        self._is_asking = False
-        self._notes.report(report)
+        self._is_report_pending = False
+        self._log.record_report(report)
         self._on_free()
 
 
-def _tell_fetched(batch: list[PieceWork]) -> None:
-    """Tell those whose worker has their inputs that these can be freed."""
+def _notify_fetched(batch: list[PieceWork]) -> None:
+    """Notify the chains of a call's pieces that their inputs have been fetched."""
     for work in batch:
         if work.on_fetched is not None and not work.end.cancelled():
             work.on_fetched()
--- a/src/trefoilpaddle/coordination/chain/worker_choice.py
+++ b/src/trefoilpaddle/coordination/chain/worker_choice.py
@@ -1,4 +1,4 @@
-"""Which worker runs a request: by what it has open, and by prompts it has read."""
+"""Chooses the worker of a request by open requests and by prompts already read."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from contextlib import contextmanager
@@ -12,39 +12,40 @@
 from ...state.rendezvous import highest
 
 READ_TOKENS_PER_S: Final = 50_000.0
-"""Prompt tokens that an engine reads in a second; published are 42,800 to 69,800.
+"""Prompt tokens that an engine reads per second; published are 42,800 to 69,800.
 
-Only the ratio to the other costs matters, and they are far apart.
+Only the ratio to the other costs matters, and these differ by large factors.
 """
 
-UNSEEN: Final = 2.0
-"""Weight of the tokens that this gateway has waiting at an engine.
+QUEUED_TOKENS_WEIGHT: Final = 2.0
+"""Weight of the tokens of this gateway that wait at an engine.
 
-Others have some there as well, which it does not see.
+Tokens of other gateways wait there as well, which this one does not know of.
 """
 
 CROSS_DOMAIN_COST_S_PER_BYTE: Final = 6.5e-9
-"""Seconds of reading that a byte of inputs from another failure domain weighs.
+"""Cost in seconds for each byte of inputs from another failure domain.
 
-Operators pay for 1.5 MB that cross as much as for 500 tokens read again.
+Operators pay as much for 1.5 MB that cross failure domains as for 500 tokens that
+are read again.
 """
 
 CROSS_DOMAIN_COST_REQUESTS: Final = 1.0
-"""Open requests at a plain worker that weigh as much as leaving the domain."""
+"""Cost of another failure domain, in open requests at a plain worker."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Need:
-    """What a request asks of a worker.
+    """What a request requires of a worker.
 
     Parameters
     ----------
     prompt : Prompt or None
-        Of a request for a model worker.
+        Prompt of a request for a model worker.
     input_bytes : float
-        Expected size of the results that it takes.
+        Expected size in bytes of the results that the request takes as inputs.
     input_domain : str
-        Failure domain where they lie; empty without any.
+        Failure domain where the inputs are stored; empty without any.
     """
 
     prompt: Prompt | None = None
@@ -53,35 +54,35 @@
 
 
 class OpenCounts:
-    """What this gateway has open at one start of a worker.
+    """Open requests of this gateway at one worker process.
 
     Attributes
     ----------
     n_open : int
-        Requests.
+        Number of open requests.
     n_unread : int
-        Tokens of their prompts that wait to be read.
-    is_over : bool
-        True once the worker is gone; what was open there counts no more.
+        Tokens of their prompts that the worker has not read yet.
+    is_removed : bool
+        True once the worker was removed; its requests do not count any more.
     """
 
-    __slots__ = ("is_over", "n_open", "n_unread")
+    __slots__ = ("is_removed", "n_open", "n_unread")
 
     def __init__(self) -> None:
         self.n_open = 0
         self.n_unread = 0
-        self.is_over = False
+        self.is_removed = False
 
 
 class WorkerChoice:
-    """Chooses workers for requests, from what this gateway did itself.
+    """Chooses workers for requests, based on this gateway's own requests only.
 
     Parameters
     ----------
     failure_domain : str
-        Where this gateway stands.
+        Failure domain of this gateway.
     workers : WorkerTable
-        Who may get work.
+        The listed workers.
     """
 
     __slots__ = ("_counts", "_failure_domain", "_record", "_workers")
@@ -96,16 +97,16 @@
     def choose(
         self, service: Service, need: Need, *, without: frozenset[str]
     ) -> Worker | None:
-        """Return the worker that should have the request next, or None.
+        """Return the worker that should run a request, or None if there is none.
 
         Parameters
         ----------
         service : Service
-            What the request runs on.
+            Service that runs the request.
         need : Need
-            What it asks.
+            What the request requires of a worker.
         without : frozenset of str
-            Workers that were tried already.
+            Excluded workers.
         """
         workers = self._workers.usable(service.name, without=without)
         if not workers:
@@ -117,7 +118,7 @@
 
     @contextmanager
     def open(self, worker: Worker, need: Need) -> Iterator["OpenRequest"]:
-        """Count a request as open at a worker while the context lasts."""
+        """Count a request as open at a worker while the context is open."""
         worker_id = worker.worker_id
         counts = self._counts.setdefault(worker_id, OpenCounts())
         counts.n_open += 1
@@ -133,26 +134,26 @@
                 del self._counts[worker_id]
 
     def n_open(self, worker_id: str) -> int:
-        """Return how many requests this gateway has open at a worker."""
+        """Return the number of open requests of this gateway at a worker."""
         counts = self._counts.get(worker_id)
         return 0 if counts is None else counts.n_open
 
     def unread_tokens(self, worker_id: str, prompt: Prompt) -> int:
-        """Return the tokens of a prompt that an engine has still to read."""
+        """Return the number of tokens of a prompt that an engine has yet to read."""
         return prompt.n_tokens - self._record.held_tokens(worker_id, prompt)
 
     def record_read(self, worker_id: str, prompt: Prompt) -> None:
-        """Remember that an engine has read a prompt."""
+        """Record that an engine has read a prompt."""
         self._record.note(worker_id, prompt)
 
     def _engine_costs_s(
         self, workers: Sequence[Worker], prompt: Prompt, need: Need
     ) -> Mapping[str, float]:
-        """Return what each engine costs, as seconds before the first event.
+        """Return the cost of each engine, in seconds before the first event.
 
-        All gateways hash a session to the same engine, so that its prompt is
-        read once in the fleet although they do not tell one another. The hash
-        counts as if the engine had read what is shared.
+        All gateways hash a session to the same engine, so that its prompt is read by
+        one engine only, although gateways do not exchange prompts. The engine that
+        the hash selects counts as if it had read the shared part of the prompt.
         """
         session = prompt.parts[-2].part_id if len(prompt.parts) > 1 else ""
         preferred_id = highest(session, [w.worker_id for w in workers], n=1)[0]
@@ -165,16 +166,16 @@
                 unread = min(unread, own)
             counts = self._counts.get(worker_id)
             n_waiting = 0 if counts is None else counts.n_unread
-            waiting = unread + UNSEEN * n_waiting
+            waiting = unread + QUEUED_TOKENS_WEIGHT * n_waiting
             costs[worker_id] = waiting / READ_TOKENS_PER_S
             if worker.failure_domain != (need.input_domain or self._failure_domain):
                 costs[worker_id] += CROSS_DOMAIN_COST_S_PER_BYTE * need.input_bytes
         return costs
 
     def _plain_cost(self, worker: Worker) -> float:
-        is_far = worker.failure_domain != self._failure_domain
+        is_other_domain = worker.failure_domain != self._failure_domain
         return self.n_open(worker.worker_id) + (
-            CROSS_DOMAIN_COST_REQUESTS if is_far else 0.0
+            CROSS_DOMAIN_COST_REQUESTS if is_other_domain else 0.0
         )
 
     def _on_leave(self, worker: Worker) -> None:
@@ -182,22 +183,22 @@
             self._record.forget(worker.worker_id)
             counts = self._counts.pop(worker.worker_id, None)
             if counts is not None:
-                counts.is_over = True
+                counts.is_removed = True
 
 
 class OpenRequest:
-    """A request that is open at a worker; its prompt waits until it is read.
+    """A request that is open at a worker, with the unread tokens of its prompt.
 
     Parameters
     ----------
     choice : WorkerChoice
-        Counts it.
+        Records the prompts that workers have read.
     worker_id : str
         The worker.
     counts : OpenCounts
-        Of its present start.
+        Open requests at the present worker process.
     prompt : Prompt or None
-        What it has to read.
+        The prompt that the worker has to read.
     """
 
     __slots__ = ("_choice", "_counts", "_n_unread", "_prompt", "_worker_id")
@@ -220,15 +221,16 @@
             counts.n_unread += self._n_unread
 
     def mark_read(self) -> None:
-        """Count its prompt as read: the first event has come.
+        """Record the prompt as read, as the first event has arrived.
 
-        What an earlier start has read, one that began since has not.
+        It is not recorded if the worker was removed meanwhile: a new process of the
+        worker has not read what the previous one has.
         """
-        if self._prompt is not None and not self._counts.is_over:
+        if self._prompt is not None and not self._counts.is_removed:
             self._choice.record_read(self._worker_id, self._prompt)
         self.end()
 
     def end(self) -> None:
-        """Count its prompt as waiting no more; further calls do nothing."""
+        """Stop counting the prompt as unread; further calls do nothing."""
         self._counts.n_unread -= self._n_unread
         self._n_unread = 0
--- a/src/trefoilpaddle/coordination/chain/worker_exchange.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exchange.py
@@ -1,4 +1,4 @@
-"""Sends a request to one worker and passes on what it answers."""
+"""Sends a request to one worker and passes its answer on to the caller."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,28 +20,36 @@
 from .worker_choice import Need, OpenRequest, WorkerChoice
 
 MAX_URGENCY: Final = 9
-"""Least urgent rank that a model worker knows."""
+"""Least urgent rank that a model worker accepts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkerFailed:
-    """A worker answered whole, with a status that is no success."""
+    """A complete answer of a worker whose status is not a success.
+
+    Parameters
+    ----------
+    head : AnswerHead
+        Status and headers.
+    body : bytes
+        The complete body.
+    """
 
     head: AnswerHead
     body: bytes
 
 
 class Inputs(Protocol):
-    """The results of a request's stages, made again where they are gone."""
+    """The results of a request's stages, which are recomputed if they are lost."""
 
     async def get(self) -> tuple[str, ...] | None:
-        """Return the handles of all, or None if they cannot be made again."""
+        """Return the handles of all inputs, or None if they cannot be recomputed."""
 
     def mark_read(self) -> None:
-        """Free them: a worker has read all of them."""
+        """Free the inputs, as a worker has read all of them."""
 
     def mark_lost(self) -> None:
-        """Take them for gone: a worker did not find one of them."""
+        """Regard the inputs as lost, as a worker did not find one of them."""
 
 
 SendOutcome = Answered | WorkerFailed | CallFault
@@ -55,20 +63,20 @@
     job : Job
         The request.
     inputs : Inputs
-        The results that it takes.
+        The stage results that the request takes as inputs.
     need : Need
-        What it asks of a worker.
+        What the request requires of a worker.
     workers, choice, calls
         As for the request path.
     delivery : Delivery
-        Told how far the request has come.
+        Records how far the request has come.
     guard : CrashGuard
-        Watches its runs.
+        Watches the runs of the request at workers.
 
     Attributes
     ----------
     n_sent : int
-        Workers that may have read any of the request.
+        Number of workers that may have read a part of the request.
     """
 
     __slots__ = (
@@ -110,7 +118,7 @@
     async def send(
         self, worker: Worker, handles: tuple[str, ...], sink: CallerSink
     ) -> SendOutcome:
-        """Send the request to one worker; return what came of it."""
+        """Send the request to one worker; return the outcome."""
         job = self._job
         call = TargetCall(
             request=job.request,
@@ -140,7 +148,7 @@
                 async with (
                     asyncio.timeout(
                         response_timeout_s(job, n_sent=n_before)
-                    ) as patience,
+                    ) as pause_limit,
                     self._calls.exchange(worker, call) as opened,
                 ):
                     match opened:
@@ -150,24 +158,26 @@
                             return fault
                         case Ok(answer):
                             self.n_sent += 1
-                            return await self._take(
-                                worker, at_worker, answer, sink, patience
+                            return await self._pass_on(
+                                worker, at_worker, answer, sink, pause_limit
                             )
             except TimeoutError:
-                # One that fell silent within its answer was counted already.
+                # A worker that stopped within its answer was counted already.
                 self.n_sent = n_before + 1
                 return CallFault.SILENT
 
-    async def _take(
+    async def _pass_on(
         self,
         worker: Worker,
         at_worker: OpenRequest,
         answer: OpenAnswer,
         sink: CallerSink,
-        patience: asyncio.Timeout,
+        pause_limit: asyncio.Timeout,
     ) -> SendOutcome:
         if answer.head.is_success and self._job.route.is_stream:
-            return await self._take_stream(worker, at_worker, answer, sink, patience)
+            return await self._pass_stream_on(
+                worker, at_worker, answer, sink, pause_limit
+            )
         match await answer.read():
             case Err(fault):
                 return fault
@@ -179,15 +189,15 @@
                 await sink.whole(answer.head, body)
                 return Answered()
 
-    async def _take_stream(
+    async def _pass_stream_on(
         self,
         worker: Worker,
         at_worker: OpenRequest,
         answer: OpenAnswer,
         sink: CallerSink,
-        patience: asyncio.Timeout,
+        pause_limit: asyncio.Timeout,
     ) -> SendOutcome:
-        """Pass events on as they come; each one renews the patience."""
+        """Pass events on as they arrive; each one restarts the event timeout."""
         loop = asyncio.get_running_loop()
         try:
             is_first = True
@@ -202,7 +212,7 @@
                     await sink.begin(answer.head)
                 self._last_event = event.number
                 await sink.event(event)
-                patience.reschedule(
+                pause_limit.reschedule(
                     loop.time() + event_timeout_s(self._job, n_sent=self.n_sent)
                 )
         except StreamBrokenError:
@@ -216,13 +226,20 @@
 async def in_order(
     events: AsyncIterator[StreamEvent], last: int | None
 ) -> AsyncIterator[StreamEvent]:
-    """Yield events that follow on `last` one by one; None lets any one be first.
+    """Yield events whose numbers follow `last` without a gap.
+
+    Parameters
+    ----------
+    events : async iterator of StreamEvent
+        The events of a worker.
+    last : int or None
+        Number of the last event before; None if any event may be the first.
 
     Raises
     ------
     StreamBrokenError
-        If a number is missing or comes twice; a caller must not get a stream
-        with a hole, or with parts of two runs that do not join.
+        If a number is missing or repeated. A caller must not get a stream with a gap,
+        or with parts of two runs that do not fit together.
     """
     async for event in events:
         if last is not None and event.number != last + 1:
--- a/src/trefoilpaddle/coordination/chain/worker_exits.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exits.py
@@ -1,7 +1,8 @@
-"""Finds out which workers have ended while requests ran there.
+"""Detects which workers have exited while requests ran there.
 
-A connection also breaks when it is reset or garbled, and a worker is silent when the
-way to it is cut. Only a process that is gone may have been ended by what ran there.
+A connection also breaks when it is reset or its data are corrupted, and a worker is
+unresponsive when the network is partitioned. Only a process that has exited may have
+been crashed by the requests that ran there.
 """
 
 import asyncio
@@ -20,28 +21,28 @@
 from ...state.journal import Decision, Event, Figure, Journal
 from .target_calls import TargetCalls
 
-PENDING_S: Final = 8.0
-"""How long a run without an answer waits for word of its worker's end.
+PENDING_RUN_S: Final = 8.0
+"""Seconds for which a run without an answer is kept for evidence of an exit.
 
-An entry lapses after three heartbeats of silence.
+A worker's entry expires after three missed heartbeats.
 """
 
-ENDED_S: Final = 1.0
-"""How long a known end explains further broken runs; a new start takes longer."""
+EXIT_VALIDITY_S: Final = 1.0
+"""Seconds for which a known exit explains further runs; a restart takes longer."""
 
-LOOK_GAP_S: Final = 0.2
-"""Least time between two looks at one worker whose answers break."""
+MIN_CHECK_INTERVAL_S: Final = 0.2
+"""Minimum seconds between two checks of a worker whose responses break."""
 
-N_NAMED: Final = 8
-"""Requests that one log line names."""
+MAX_NAMED: Final = 8
+"""Maximum number of requests that one log line names."""
 
-MAX_PENDING: Final = 4096
-"""Runs that wait for word of their workers, the oldest forgotten first."""
+MAX_PENDING_RUNS: Final = 4096
+"""Maximum number of runs kept for evidence; the oldest are dropped first."""
 
 
 @unique
 class Evidence(Enum):
-    """What says that a worker's process has ended."""
+    """Evidence that a worker's process has exited."""
 
     REFUSES = "its address refuses connections"
     RESTARTED = "a new start of it is listed"
@@ -50,41 +51,41 @@
     REPORTED = "a peer says so"
 
 
-# Entries also run out of workers that are cut off, or leave without a word before.
-EXPLAINS: Final = {
+# Entries also expire if a worker is disconnected, or leaves without announcing it.
+EVIDENCE_BY_RUN_END: Final = {
     RunEnd.BROKEN: frozenset(Evidence),
     RunEnd.LEFT: frozenset(Evidence) - {Evidence.EXPIRED},
     RunEnd.SILENT: frozenset(Evidence) - {Evidence.EXPIRED},
 }
-"""Which evidence turns a run without an answer into one that its worker ended under."""
+"""Evidence that attributes an exit to a run without an answer, by the run's end."""
 
 Start = tuple[str, int]
-"""Id of a worker, and when it began; the same id may begin again."""
+"""Id and start time of a worker process; a restarted worker keeps its id."""
 
-EndListener = Callable[[Worker, Sequence[OpenEndedRun]], None]
+ExitListener = Callable[[Worker, Sequence[OpenEndedRun]], None]
 
 
 class WorkerExits:
-    """Matches runs without an answer with evidence that their workers ended.
+    """Matches runs without an answer with evidence that their workers exited.
 
     Parameters
     ----------
     workers : WorkerTable
-        Tells of new starts and of entries that run out.
+        Notifies of restarted workers and of expired entries.
     calls : TargetCalls
-        Looks whether anything listens at a worker's address.
+        Checks whether a process listens at a worker's address.
     journal : Journal
-        Takes one decision for each end.
+        Receives one decision for each exit.
     on_ended : callable
-        Called with a worker and the runs that it ended under.
+        Called with a worker and the runs during which it exited.
     """
 
     __slots__ = (
         "_calls",
-        "_ended_s",
+        "_checked_s",
+        "_checks",
+        "_exits",
         "_journal",
-        "_looked_s",
-        "_looks",
         "_on_ended",
         "_pending",
         "_workers",
@@ -96,97 +97,101 @@
         workers: WorkerTable,
         calls: TargetCalls,
         journal: Journal,
-        on_ended: EndListener,
+        on_ended: ExitListener,
     ) -> None:
         self._workers = workers
         self._calls = calls
         self._journal = journal
         self._on_ended = on_ended
-        self._pending: deque[OpenEndedRun] = deque(maxlen=MAX_PENDING)
-        self._ended_s: dict[Start, tuple[float, Evidence]] = {}
-        self._looks: dict[Start, asyncio.Task[None]] = {}
-        self._looked_s: dict[Start, float] = {}
+        self._pending: deque[OpenEndedRun] = deque(maxlen=MAX_PENDING_RUNS)
+        self._exits: dict[Start, tuple[float, Evidence]] = {}
+        self._checks: dict[Start, asyncio.Task[None]] = {}
+        self._checked_s: dict[Start, float] = {}
         workers.end_listeners.append(self._on_restart)
         workers.leave_listeners.append(self._on_leave)
         workers.new_listeners.append(self._on_new)
 
     def record(self, run: OpenEndedRun) -> None:
-        """Take a run without an answer; begin to look whether its worker is gone."""
+        """Record a run without an answer; check whether its worker has exited."""
         self._forget_old(run.ended_s)
         worker = run.worker
         listed = self._workers.get(worker.worker_id)
         if listed is None or listed.is_leaving or listed.born_ms < worker.born_ms:
-            # A worker that leaves ends by itself, some without a word before.
+            # A worker that leaves exits by itself, in some cases without announcing it.
             return
         self._pending.append(run)
         if listed.born_ms > worker.born_ms:
             self.confirm(worker, Evidence.RESTARTED)
             return
-        known = self._ended_s.get(_start(worker))
+        known = self._exits.get(_start(worker))
         if known is not None:
             self.confirm(worker, known[1])
         elif run.end is RunEnd.BROKEN:
-            self._look(worker)
+            self._check(worker)
 
     def confirm(self, worker: Worker, evidence: Evidence) -> None:
-        """Take evidence that a worker's process has ended."""
+        """Attribute runs to the exit of a worker for which there is evidence."""
         now_s = time.monotonic()
         self._forget_old(now_s)
-        known = self._ended_s.get(_start(worker))
+        known = self._exits.get(_start(worker))
         if known is None or evidence is Evidence.REFUSES:
-            self._ended_s[_start(worker)] = (now_s, evidence)
+            self._exits[_start(worker)] = (now_s, evidence)
         found = [
             run
             for run in self._pending
-            if _start(run.worker) == _start(worker) and evidence in EXPLAINS[run.end]
+            if _start(run.worker) == _start(worker)
+            and evidence in EVIDENCE_BY_RUN_END[run.end]
         ]
         if not found:
             return
         taken = set(map(id, found))
         self._pending = deque(
-            (run for run in self._pending if id(run) not in taken), maxlen=MAX_PENDING
+            (run for run in self._pending if id(run) not in taken),
+            maxlen=MAX_PENDING_RUNS,
         )
-        self._note(worker, evidence, found)
+        self._record_exit(worker, evidence, found)
         self._on_ended(worker, found)
 
     async def wait_for_check(self, worker: Worker) -> None:
-        """Wait until the look at a worker whose answer broke is over."""
-        look = self._looks.get(_start(worker))
-        if look is not None:
-            await asyncio.wait({look})
+        """Wait until the check of a worker whose response broke is complete."""
+        check = self._checks.get(_start(worker))
+        if check is not None:
+            await asyncio.wait({check})
 
     def call_after_check(self, worker: Worker, callback: Callable[[], None]) -> None:
-        """Call back once the look at a worker is over; at once if there is none."""
-        look = self._looks.get(_start(worker))
-        if look is None:
+        """Call back once the check of a worker is complete; at once without a check."""
+        check = self._checks.get(_start(worker))
+        if check is None:
             callback()
         else:
-            look.add_done_callback(lambda _: callback())
+            check.add_done_callback(lambda _: callback())
 
-    def _look(self, worker: Worker) -> None:
+    def _check(self, worker: Worker) -> None:
         now_s = time.monotonic()
         start = _start(worker)
-        is_recent = now_s - self._looked_s.get(start, 0.0) < LOOK_GAP_S
-        if start in self._looks or is_recent:
+        is_recent = now_s - self._checked_s.get(start, 0.0) < MIN_CHECK_INTERVAL_S
+        if start in self._checks or is_recent:
             return
-        self._looked_s[start] = now_s
-        self._looks[start] = asyncio.create_task(self._send_look(worker))
+        self._checked_s[start] = now_s
+        self._checks[start] = asyncio.create_task(self._run_check(worker))
 
-    async def _send_look(self, worker: Worker) -> None:
+    async def _run_check(self, worker: Worker) -> None:
         try:
             match await self._calls.is_listening(worker):
                 case False:
                     self.confirm(worker, Evidence.REFUSES)
                 case True:
-                    self._note_alive(worker)
+                    self._record_alive(worker)
         except Exception:
-            # Nobody waits for this task's exception.
-            logging.exception("a look whether %s is gone", worker.worker_id)
+            # No caller awaits this task, so its exception would be lost.
+            logging.exception(
+                "checking whether worker %s has exited failed", worker.worker_id
+            )
         finally:
-            del self._looks[_start(worker)]
+            del self._checks[_start(worker)]
 
-    def _note_alive(self, worker: Worker) -> None:
-        """Take a worker that listens for one that has outlived its broken answers."""
+    def _record_alive(self, worker: Worker) -> None:
+        """Treat broken runs at a worker that still listens as unresponsive ones."""
         self._pending = deque(
             (
                 replace(run, end=RunEnd.SILENT)
@@ -194,47 +199,47 @@
                 else run
                 for run in self._pending
             ),
-            maxlen=MAX_PENDING,
+            maxlen=MAX_PENDING_RUNS,
         )
 
     def _on_restart(self, worker: Worker) -> None:
         self.confirm(worker, Evidence.RESTARTED)
 
     def _on_new(self, worker: Worker) -> None:
-        """Take a worker at the address of another for the end of that one."""
-        ended = {
+        """Treat a new worker at the address of another as evidence of its exit."""
+        exited = {
             _start(run.worker): run.worker
             for run in self._pending
             if run.worker.address == worker.address
             and run.worker.worker_id != worker.worker_id
         }
-        for before in ended.values():
-            self.confirm(before, Evidence.REPLACED)
+        for previous in exited.values():
+            self.confirm(previous, Evidence.REPLACED)
 
     def _on_leave(self, worker: Worker) -> None:
         if worker.is_leaving:
             kept = (
                 run for run in self._pending if _start(run.worker) != _start(worker)
             )
-            self._pending = deque(kept, maxlen=MAX_PENDING)
+            self._pending = deque(kept, maxlen=MAX_PENDING_RUNS)
         elif self._workers.get(worker.worker_id) is None:
             self.confirm(worker, Evidence.EXPIRED)
 
     def _forget_old(self, now_s: float) -> None:
-        while self._pending and now_s - self._pending[0].ended_s > PENDING_S:
+        while self._pending and now_s - self._pending[0].ended_s > PENDING_RUN_S:
             self._pending.popleft()
-        self._looked_s = {
-            start: looked_s
-            for start, looked_s in self._looked_s.items()
-            if now_s - looked_s < LOOK_GAP_S
+        self._checked_s = {
+            start: checked_s
+            for start, checked_s in self._checked_s.items()
+            if now_s - checked_s < MIN_CHECK_INTERVAL_S
         }
-        self._ended_s = {
+        self._exits = {
             start: known
-            for start, known in self._ended_s.items()
-            if now_s - known[0] < ENDED_S
+            for start, known in self._exits.items()
+            if now_s - known[0] < EXIT_VALIDITY_S
         }
 
-    def _note(
+    def _record_exit(
         self, worker: Worker, evidence: Evidence, runs: Sequence[OpenEndedRun]
     ) -> None:
         requests = sorted({run.fingerprint for run in runs})
@@ -244,12 +249,12 @@
                 stage=worker.service,
                 peer=worker.worker_id,
                 reason=Reason.CONNECTION_LOST,
-                detail=f"{evidence.value}; requests {' '.join(requests[:N_NAMED])}",
+                detail=f"{evidence.value}; requests {' '.join(requests[:MAX_NAMED])}",
                 figures=(Figure(name="n_running", value=len(requests)),),
             )
         )
 
 
 def _start(worker: Worker) -> Start:
-    """Return what tells the starts of workers apart."""
+    """Return a key that identifies one worker process."""
     return worker.worker_id, worker.born_ms
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -149,7 +149,7 @@
         """Return which of `works` are let in when so many find room."""
         left = iter(range(n_places))
         room = OverdueQueue(
-            has_capacity=lambda _: next(left, None) is not None, least_s=at_once
+            has_capacity=lambda _: next(left, None) is not None, unloaded_s=at_once
         )
         return await asyncio.gather(*(room.wait(each) for each in works))
 
@@ -159,12 +159,12 @@
 
     async def test_one_with_little_time_does_not_wait(self) -> None:
         # It would mostly be refused after seconds for which it waited in vain.
-        room = OverdueQueue(has_capacity=lambda _: True, least_s=lambda _: 0.1)
+        room = OverdueQueue(has_capacity=lambda _: True, unloaded_s=lambda _: 0.1)
         assert not room.may_wait(late("a", deadline_in_s=MIN_WAIT_S))
         assert room.may_wait(late("a"))
 
     async def test_a_caller_that_left_takes_no_place(self) -> None:
-        room = OverdueQueue(has_capacity=lambda _: True, least_s=at_once)
+        room = OverdueQueue(has_capacity=lambda _: True, unloaded_s=at_once)
         waiting = asyncio.create_task(room.wait(late("a")))
         await asyncio.sleep(0)
         waiting.cancel()
@@ -181,7 +181,7 @@
         def fail(_: ChainWork) -> bool:
             raise KeyError("unforeseen")
 
-        room = OverdueQueue(has_capacity=fail, least_s=at_once)
+        room = OverdueQueue(has_capacity=fail, unloaded_s=at_once)
         async with asyncio.timeout(2.0):
             assert not await room.wait(late("a", deadline_in_s=0.5))
 
