--- a/src/trefoilpaddle/coordination/chain/attempts.py
+++ b/src/trefoilpaddle/coordination/chain/attempts.py
@@ -116,7 +116,7 @@
         while True:
             refusal = self._guard.refusal(self._job.fingerprint)
             if refusal is not None:
-                return self._delivery.end(
+                return self._delivery.failure_outcome(
                     refusal.reason, retry_after_s=refusal.retry_after_s
                 )
             worker = self._choose()
@@ -167,7 +167,7 @@
         else:
             self._delivery.may_have_run = True
         if fault is not CallFault.FULL and fault is not CallFault.INPUTS_GONE:
-            self._workers.suspect(worker)
+            self._workers.mark_suspect(worker)
 
     def _may_go_on(self, reason: Reason, worker: Worker) -> bool:
         """Return True if the request may go to another worker, and count it."""
@@ -194,13 +194,13 @@
 
     def _end(self, reason: Reason) -> Outcome:
         """Return the end of a request that no worker has answered."""
-        return self._delivery.end(reason, retry_after_s=FULL_RETRY_S)
+        return self._delivery.failure_outcome(reason, retry_after_s=FULL_RETRY_S)
 
     async def _pass_on(self, failed: WorkerFailed, sink: CallerSink) -> Outcome:
         """Give the caller a worker's failure as it is, if nothing went before."""
         if self._delivery.is_begun:
             return Failed(reason=Reason.TARGET_FAILED, is_begun=True)
-        self._delivery.begin()
+        self._delivery.begin_answer()
         await sink.whole(failed.head, failed.body)
         return Answered()
 
--- a/src/trefoilpaddle/coordination/chain/cell_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/cell_dispatch.py
@@ -7,7 +7,7 @@
 
 from ...state.chain.cell_handover import CellHandover
 from ...state.chain.piece_times import MIN_PACE_PER_S
-from ...state.chain.piece_work import PieceMade, PieceWork
+from ...state.chain.piece_work import PieceResult, PieceWork
 from ...state.chain.routes import PieceService, RouteTable
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Journal
@@ -131,7 +131,7 @@
         self.on_freed: Callable[[Worker, list[str]], None] | None = None
         self.table = table
         workers.leave_listeners.append(self._on_leave)
-        workers.end_listeners.append(self._on_end)
+        workers.restart_listeners.append(self._on_end)
 
     def close(self) -> None:
         """Hear of workers no more: another scheduler of the cell has begun here.
@@ -140,7 +140,7 @@
         would be kept for good, with all that it knew of its workers.
         """
         self._workers.leave_listeners.remove(self._on_leave)
-        self._workers.end_listeners.remove(self._on_end)
+        self._workers.restart_listeners.remove(self._on_end)
 
     def has_worker(self, service: str) -> bool:
         """Return True if a worker of the service may get work."""
@@ -222,7 +222,7 @@
             if caller is not None:
                 caller.known.take_over(taken, now_s)
 
-    def adopt(self, made: PieceMade, n_bytes: float) -> None:
+    def adopt(self, made: PieceResult, n_bytes: float) -> None:
         """Count a result of a chain that came from the scheduler before."""
         caller = self._caller_of(made)
         if caller is not None:
@@ -242,13 +242,13 @@
         caller = self._callers.get(worker_id)
         return "" if caller is None else caller.worker.failure_domain
 
-    def free(self, made: PieceMade) -> None:
+    def free(self, made: PieceResult) -> None:
         """Free a result that all who need it have read."""
         caller = self._caller_of(made)
         if caller is not None:
             caller.free(made.handle)
 
-    def _caller_of(self, made: PieceMade) -> WorkerCaller | None:
+    def _caller_of(self, made: PieceResult) -> WorkerCaller | None:
         """Return the caller of a result's maker; None if its start has ended."""
         worker = self._workers.get(made.worker_id)
         caller = None if worker is None else self._caller(worker)
--- a/src/trefoilpaddle/coordination/chain/cell_map.py
+++ b/src/trefoilpaddle/coordination/chain/cell_map.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ...state.chain.cells import Cell, cells_of, workers_borne
+from ...state.chain.cells import Cell, cells_of, worker_capacity
 from ...state.chain.routes import PieceService, RouteTable
 from ...state.chain.workers import WorkerTable
 from .scheduler_links import SchedulerLinks
@@ -97,4 +97,4 @@
 
     def _n_borne(self, region: str) -> int:
         """Return how many stage workers the strongest gateway of a region bears."""
-        return workers_borne(self._links.most_millicores(region))
+        return worker_capacity(self._links.most_millicores(region))
--- a/src/trefoilpaddle/coordination/chain/cell_schedulers.py
+++ b/src/trefoilpaddle/coordination/chain/cell_schedulers.py
@@ -19,7 +19,7 @@
 from ...protocol.gen.stage.ttypes import Hello
 from ...protocol.reasons import Reason
 from ...state.chain.cells import Cell
-from ...state.chain.chain_work import ChainEnd, ChainFailed, ChainMoved, ChainWork
+from ...state.chain.chain_work import ChainFailed, ChainMoved, ChainOutcome, ChainWork
 from ...state.chain.routes import RouteTable
 from ...state.chain.workers import Worker
 from ...state.journal import Decision, Event, Figure, Journal
@@ -93,7 +93,7 @@
         self._journal: Journal = process.journal
         self._by_cell: dict[str, ChainScheduler] = {}
         self._cells: dict[str, Cell] = {}
-        self._running: dict[str, asyncio.Task[ChainEnd]] = {}
+        self._running: dict[str, asyncio.Task[ChainOutcome]] = {}
         process.server.answer(RunChain, self._answer, timeout_s=CHAIN_ANSWER_S)
         process.server.answer(TakeCell, self._take)
         process.message_listeners.append(self._on_message)
@@ -136,10 +136,10 @@
                 scheduler.dispatch.failure_domains = cell.failure_domains
                 self._cells[cell.name] = cell
 
-    async def run(self, cell: Cell, work: ChainWork) -> ChainEnd:
+    async def run(self, cell: Cell, work: ChainWork) -> ChainOutcome:
         """Run a chain here until it ends or is freed."""
         if self._has_given_up and cell.name not in self._by_cell:
-            return ChainMoved(successor=NOBODY, made=work.made)
+            return ChainMoved(successor=NOBODY, completed_pieces=work.completed_pieces)
         task = asyncio.create_task(self.of(cell).run(work))
         self._running[work.request_id] = task
         try:
--- a/src/trefoilpaddle/coordination/chain/chain_execution.py
+++ b/src/trefoilpaddle/coordination/chain/chain_execution.py
@@ -8,14 +8,14 @@
 from ...protocol.reasons import Reason
 from ...state.chain.chain_progress import ChainProgress
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.fingerprint import stage_fingerprint
-from ...state.chain.piece_work import PieceFault, PieceMade, PieceWork
+from ...state.chain.piece_work import PieceFault, PieceResult, PieceWork
 from ...state.chain.repeat_budget import RepeatBudgets
 from ...state.journal import Decision, Event, Figure, Journal
 from .admission import Reservations
@@ -98,8 +98,8 @@
         self._journal = journal
         self._is_moved = False
         self._progress = ChainProgress(work=work)
-        for each in work.made:
-            dispatch.adopt(each.made, work.stages[each.stage].result_bytes)
+        for each in work.completed_pieces:
+            dispatch.adopt(each.result, work.stages[each.stage].result_bytes)
         self._reserved = {
             number
             for number in range(len(work.stages))
@@ -108,7 +108,7 @@
         for number in self._reserved:
             reservations.add(work.stages[number].service, work.n_pieces[number])
 
-    async def run(self) -> ChainEnd:
+    async def run(self) -> ChainOutcome:
         """Make all stages; return the handles that the request takes.
 
         Where another gateway has taken over meanwhile, return what there is.
@@ -130,15 +130,15 @@
             return ChainFailed(reason=reason, is_begun=True)
         if self._is_moved:
             # The next scheduler frees it.
-            made = self._progress.take_all()
-            return ChainMoved(successor="", is_admitted=True, made=made)
+            made = self._progress.pop_all()
+            return ChainMoved(successor="", is_admitted=True, completed_pieces=made)
         return self._result()
 
-    def _result(self) -> ChainMade:
+    def _result(self) -> ChainCompleted:
         last = self._work.last_stages()
         n_bytes = self._progress.bytes_by_domain(last, self._dispatch.failure_domain_of)
         most = n_bytes.most_common(1)
-        return ChainMade(
+        return ChainCompleted(
             handles=tuple(
                 made.handle for stage in last for made in self._progress.results(stage)
             ),
@@ -155,7 +155,7 @@
 
     def free_all(self) -> None:
         """Free every result that is still kept for this request."""
-        for number in self._progress.stages():
+        for number in self._progress.kept_stages():
             self._free_stage(number)
 
     async def _run_stage(
@@ -181,7 +181,7 @@
                 self._note(number, fault, time.monotonic() - began_s)
                 if fault is not None:
                     raise StageFaultError(fault)
-                self._progress.finish(number)
+                self._progress.mark_done(number)
                 self._free_read(number)
         ended[number].set_result(None)
 
@@ -234,7 +234,7 @@
         service = self._work.stages[number].service
         avoided: frozenset[str] = frozenset()
         n_tries = 0
-        while missing := self._progress.missing(number):
+        while missing := self._progress.missing_pieces(number):
             if not self._dispatch.has_worker(service):
                 return Reason.NO_TARGET
             if not self._progress.has_inputs(number):
@@ -262,22 +262,22 @@
         faults: dict[PieceFault, PieceWork] = {}
         try:
             for work in works:
-                match await work.end:
+                match await work.outcome:
                     case PieceFault() as fault:
                         faults.setdefault(fault, work)
-                        self._progress.forget_fetched(number, work.piece)
-                    case PieceMade():
+                        self._progress.clear_fetched(number, work.piece)
+                    case PieceResult():
                         continue
         finally:
             # A caller that left, or a sibling that failed, ends this wait:
             # what is still queued must not be made for nobody.
             for work in works:
-                if work.is_open:
-                    work.end.cancel()
-                elif not work.end.cancelled():
-                    ended = work.end.result()
-                    if isinstance(ended, PieceMade):
-                        self._progress.note_made(number, work.piece, ended)
+                if work.is_pending:
+                    work.outcome.cancel()
+                elif not work.outcome.cancelled():
+                    ended = work.outcome.result()
+                    if isinstance(ended, PieceResult):
+                        self._progress.record_result(number, work.piece, ended)
         return faults
 
     def _pieces(
@@ -300,10 +300,10 @@
                 result_bytes=plan.result_bytes,
                 due_s=self._due_of(number),
                 deadline_s=self._work.deadline_s,
-                near=near,
-                far_s=far_s(n_bytes),
+                preferred_domain=near,
+                cross_domain_wait_s=far_s(n_bytes),
                 queued_s=time.monotonic(),
-                avoided=avoided,
+                excluded_workers=avoided,
                 on_fetched=functools.partial(self._note_fetched, number, piece),
             )
             for piece in missing
@@ -317,12 +317,12 @@
         """
         plan = self._work.stages[number]
         if not plan.after:
-            return self._work.near, n_pieces * plan.result_bytes
+            return self._work.preferred_domain, n_pieces * plan.result_bytes
         n_bytes = self._progress.bytes_by_domain(
             plan.after, self._dispatch.failure_domain_of
         )
         if not n_bytes:
-            return self._work.near, 0.0
+            return self._work.preferred_domain, 0.0
         return n_bytes.most_common(1)[0][0], n_pieces * float(n_bytes.total())
 
     def _may_try_again(
@@ -342,7 +342,7 @@
         if n_tries >= MAX_TRIES:
             return REASON_OF[fault]
         is_free = faults.keys() <= RETRIED_FREELY
-        if is_free or self._budgets.of(service).spend(now_s):
+        if is_free or self._budgets.for_service(service).spend(now_s):
             return None
         return Reason.RETRY_BUDGET
 
@@ -352,16 +352,16 @@
         Results wait at their makers, whose memory binds before their time does.
         Kept until the next stage is made, they take it for a whole call longer.
         """
-        if self._progress.note_fetched(number, piece):
+        if self._progress.record_fetched(number, piece):
             self._free_read(number)
 
     def _free_read(self, number: int) -> None:
         """Free what a stage was the last to read."""
-        for before in self._progress.readable(number):
+        for before in self._progress.fully_read_stages(number):
             self._free_stage(before)
 
     def _free_stage(self, number: int) -> None:
-        for made in self._progress.take_stage(number):
+        for made in self._progress.pop_stage(number):
             self._dispatch.free(made)
 
     def _due_of(self, number: int) -> float:
--- a/src/trefoilpaddle/coordination/chain/chain_inputs.py
+++ b/src/trefoilpaddle/coordination/chain/chain_inputs.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from ...state.chain.chain_work import ChainMade
+from ...state.chain.chain_work import ChainCompleted
 from .running_chain import RunningChain
 
 
@@ -19,7 +19,7 @@
     ----------
     chain : RunningChain
         Makes them.
-    made : ChainMade
+    made : ChainCompleted
         What it has made.
     on_first_read : callable
         Called with the seconds until the first worker had read them.
@@ -34,11 +34,11 @@
         self,
         *,
         chain: RunningChain,
-        made: ChainMade,
+        made: ChainCompleted,
         on_first_read: Callable[[float], None],
     ) -> None:
         self._chain = chain
-        self._made: ChainMade | None = made
+        self._made: ChainCompleted | None = made
         self._n_runs = 1
         self._began_s = time.monotonic()
         self._on_first_read = on_first_read
@@ -50,7 +50,7 @@
                 return None
             self._n_runs += 1
             end = await self._chain.run()
-            self._made = end if isinstance(end, ChainMade) else None
+            self._made = end if isinstance(end, ChainCompleted) else None
         return None if self._made is None else self._made.handles
 
     def read(self) -> None:
--- a/src/trefoilpaddle/coordination/chain/chain_router.py
+++ b/src/trefoilpaddle/coordination/chain/chain_router.py
@@ -13,8 +13,8 @@
 from ...protocol.reasons import Reason
 from ...state.chain.cells import Cell
 from ...state.chain.chain_work import (
-    ChainEnd,
     ChainFailed,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.repeat_budget import RepeatBudgets
@@ -104,7 +104,7 @@
         """Take for stage workers those that `table` has make pieces."""
         self._cells.put_in_force(table)
 
-    async def run(self, work: ChainWork, place: Place) -> ChainEnd:
+    async def run(self, work: ChainWork, place: Place) -> ChainOutcome:
         """Run a chain at one place."""
         if place.link is None:
             return await self._schedulers.run(place.cell, work)
@@ -162,7 +162,9 @@
     def may_repeat(self, services: set[str]) -> bool:
         """Take a repeat of each service; return False if one has none left."""
         now_s = time.monotonic()
-        return all(self._budgets.of(service).spend(now_s) for service in services)
+        return all(
+            self._budgets.for_service(service).spend(now_s) for service in services
+        )
 
     def note_refusal(self, place: Place, finish_s: float) -> None:
         """Remember that a cell was full."""
--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -12,12 +12,12 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.bearable_waits import BearableWaits
+from ...state.chain.bearable_waits import TolerableWaits
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.refused_chains import RefusedChains
@@ -98,7 +98,7 @@
         self._journal = journal
         self._reservations = Reservations()
         self._refused = RefusedChains()
-        self._waits = BearableWaits()
+        self._waits = TolerableWaits()
         self._overdue = OverdueQueue(
             has_capacity=self._has_capacity_for_late,
             least_s=lambda work: least_s(work, self.dispatch),
@@ -109,7 +109,7 @@
         self.began_s = time.monotonic()
         self.successor = ""
 
-    async def run(self, work: ChainWork) -> ChainEnd:
+    async def run(self, work: ChainWork) -> ChainOutcome:
         """Make all stages of `work`, or refuse it before any is begun.
 
         One that would be late is refused at once when it comes first. One that
@@ -117,7 +117,9 @@
         are kept until `free`.
         """
         if self.successor:
-            return ChainMoved(successor=self.successor, made=work.made)
+            return ChainMoved(
+                successor=self.successor, completed_pieces=work.completed_pieces
+            )
         refusal = await self._refusal(work)
         if refusal is not None:
             return refusal
@@ -167,7 +169,7 @@
             self._note(event, Reason.NONE, work, finish_s, limit_s, detail)
             return None
         now_s = time.monotonic()
-        self._refused.note(work.piece_key, work.due_s, now_s)
+        self._refused.record(work.piece_key, work.due_s, now_s)
         reason = Reason.PREDICTED_LATE
         self._note(Event.REFUSED, reason, work, finish_s, limit_s, detail)
         return ChainFailed(
@@ -183,9 +185,9 @@
         Not of one of which the scheduler before has made a part.
         """
         left_s = work.deadline_s - now_s
-        return not work.made and least_s(work, self.dispatch) > left_s
+        return not work.completed_pieces and least_s(work, self.dispatch) > left_s
 
-    async def _execute(self, work: ChainWork) -> ChainEnd:
+    async def _execute(self, work: ChainWork) -> ChainOutcome:
         execution = ChainExecution(
             work=work,
             dispatch=self.dispatch,
@@ -197,7 +199,7 @@
         is_made = False
         try:
             end = await execution.run()
-            is_made = isinstance(end, ChainMade)
+            is_made = isinstance(end, ChainCompleted)
             return end
         finally:
             if is_made:
@@ -217,7 +219,7 @@
         now_s = time.monotonic()
         finish_s = forecast_s(work, self.dispatch, self._reservations)
         services = frozenset(plan.service for plan in work.stages)
-        wait_s = self._waits.of_more_urgent(ALL_PRIORITIES, services, now_s)
+        wait_s = self._waits.min_of_more_urgent_s(ALL_PRIORITIES, services, now_s)
         limit_s = least_s(work, self.dispatch) + LATE_SHARE * min(
             wait_s, MAX_LATE_WAIT_S
         )
@@ -235,10 +237,10 @@
         unhindered_s = least_s(work, self.dispatch)
         left_s = work.due_s - now_s
         services = frozenset(plan.service for plan in work.stages)
-        urgent_wait_s = self._waits.of_more_urgent(work.priority, services, now_s)
+        urgent_wait_s = self._waits.min_of_more_urgent_s(work.priority, services, now_s)
         limit_s = allowed_s(work, left_s, unhindered_s, urgent_wait_s)
         if first_due_s is None:
-            self._waits.note(
+            self._waits.record(
                 work.route,
                 priority=work.priority,
                 services=services,
--- a/src/trefoilpaddle/coordination/chain/chain_wire.py
+++ b/src/trefoilpaddle/coordination/chain/chain_wire.py
@@ -8,14 +8,14 @@
 from ...state.chain.cell_handover import CellHandover, HeldResult, WorkerHandover
 from ...state.chain.cells import Cell
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
     StagePiece,
 )
-from ...state.chain.piece_work import PieceMade
+from ...state.chain.piece_work import PieceResult
 from ...state.chain.routes import StagePlan
 
 
@@ -41,9 +41,9 @@
         deadline_in_ms=int((work.deadline_s - now_s) * MS_PER_S),
         must_be_on_time=work.must_be_on_time,
         priority=work.priority,
-        near=work.near,
+        near=work.preferred_domain,
         fingerprint=work.fingerprint,
-        made=_made_to_wire(work.made),
+        made=_made_to_wire(work.completed_pieces),
     )
 
 
@@ -67,9 +67,9 @@
         deadline_s=now_s + question.deadline_in_ms / MS_PER_S,
         must_be_on_time=question.must_be_on_time,
         priority=question.priority,
-        near=question.near,
+        preferred_domain=question.near,
         fingerprint=question.fingerprint,
-        made=_made_from_wire(question.made),
+        completed_pieces=_made_from_wire(question.made),
     )
 
 
@@ -78,10 +78,10 @@
     return Cell(name=question.cell, failure_domains=frozenset(question.failure_domains))
 
 
-def end_to_wire(end: ChainEnd) -> wire.ChainAnswer:
+def end_to_wire(end: ChainOutcome) -> wire.ChainAnswer:
     """Return an end as it is sent."""
     match end:
-        case ChainMade():
+        case ChainCompleted():
             return wire.ChainAnswer(
                 is_made=True,
                 handles=list(end.handles),
@@ -98,21 +98,21 @@
             return wire.ChainAnswer(
                 moved_to=end.successor,
                 is_begun=end.is_admitted,
-                made=_made_to_wire(end.made),
+                made=_made_to_wire(end.completed_pieces),
             )
 
 
-def end_from_wire(answer: wire.ChainAnswer) -> ChainEnd:
+def end_from_wire(answer: wire.ChainAnswer) -> ChainOutcome:
     """Return the end that was sent."""
     if answer.is_made:
-        return ChainMade(
+        return ChainCompleted(
             handles=tuple(answer.handles), failure_domain=answer.failure_domain
         )
     if answer.moved_to:
         return ChainMoved(
             successor=answer.moved_to,
             is_admitted=answer.is_begun,
-            made=_made_from_wire(answer.made),
+            completed_pieces=_made_from_wire(answer.made),
         )
     return ChainFailed(
         reason=reason_from_wire(answer.reason),
@@ -138,7 +138,7 @@
                     wire.HeldResult(
                         handle=held.handle,
                         n_bytes=held.n_bytes,
-                        left_ms=int(held.left_s * MS_PER_S),
+                        left_ms=int(held.expires_in_s * MS_PER_S),
                     )
                     for held in worker.held
                 ],
@@ -162,7 +162,7 @@
                     HeldResult(
                         handle=held.handle,
                         n_bytes=held.n_bytes,
-                        left_s=held.left_ms / MS_PER_S,
+                        expires_in_s=held.left_ms / MS_PER_S,
                     )
                     for held in worker.held
                 ),
@@ -177,9 +177,9 @@
         wire.MadePiece(
             stage=each.stage,
             piece=each.piece,
-            handle=each.made.handle,
-            worker_id=each.made.worker_id,
-            born_ms=each.made.born_ms,
+            handle=each.result.handle,
+            worker_id=each.result.worker_id,
+            born_ms=each.result.born_ms,
         )
         for each in made
     ]
@@ -190,7 +190,7 @@
         StagePiece(
             stage=each.stage,
             piece=each.piece,
-            made=PieceMade(
+            result=PieceResult(
                 handle=each.handle, worker_id=each.worker_id, born_ms=each.born_ms
             ),
         )
--- a/src/trefoilpaddle/coordination/chain/crash_guard.py
+++ b/src/trefoilpaddle/coordination/chain/crash_guard.py
@@ -10,12 +10,12 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.apart_runs import ApartRun, ApartRuns
-from ...state.chain.crash_book import Crash, CrashBook, Standing
-from ...state.chain.end_rate import EndRate
+from ...state.chain.apart_runs import IsolatedRun, IsolatedRuns
+from ...state.chain.crash_book import Crash, CrashRegistry, CrashStatus
+from ...state.chain.end_rate import ExitRate
 from ...state.chain.piece_work import PieceWork
 from ...state.chain.requests import Refused
-from ...state.chain.worker_runs import OpenEndedRun, RunEnd
+from ...state.chain.worker_runs import RunOutcome, UnansweredRun
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Decision, Event, Figure, Journal
 from .crash_relay import CrashRelay
@@ -29,8 +29,8 @@
 RUN_ID_BITS: Final = 62
 
 NOTED: Final = {
-    Standing.SUSPECT: Event.REQUEST_SUSPECTED,
-    Standing.BLOCKED: Event.REQUEST_BLOCKED,
+    CrashStatus.SUSPECT: Event.REQUEST_SUSPECTED,
+    CrashStatus.BLOCKED: Event.REQUEST_BLOCKED,
 }
 """Events of requests whose standing has become worse."""
 
@@ -46,7 +46,7 @@
         Speaks to workers.
     journal : Journal
         Takes decisions.
-    book : CrashBook
+    book : CrashRegistry
         What is remembered.
     relay : CrashRelay
         Tells other gateways, and hears them.
@@ -69,16 +69,16 @@
         workers: WorkerTable,
         calls: TargetCalls,
         journal: Journal,
-        book: CrashBook,
+        book: CrashRegistry,
         relay: CrashRelay,
     ) -> None:
         self._workers = workers
         self._journal = journal
         self._book = book
         self._relay = relay
-        self._apart = ApartRuns()
+        self._apart = IsolatedRuns()
         self._n_open: Counter[str] = Counter()
-        self._rate = EndRate()
+        self._rate = ExitRate()
         self._ends = WorkerEnds(
             workers=workers, calls=calls, journal=journal, on_ended=self._on_ended
         )
@@ -88,10 +88,10 @@
 
     def refusal(self, fingerprint: str) -> Refused | None:
         """Return why a request may not be sent to a worker now, or None."""
-        match self._book.standing(fingerprint):
-            case Standing.BLOCKED:
+        match self._book.status(fingerprint):
+            case CrashStatus.BLOCKED:
                 return Refused(reason=Reason.CRASHES_WORKERS)
-            case Standing.SUSPECT if self._apart.is_open(fingerprint):
+            case CrashStatus.SUSPECT if self._apart.is_running(fingerprint):
                 return Refused(reason=Reason.RUNS_APART, retry_after_s=APART_RETRY_S)
             case _:
                 return None
@@ -108,17 +108,17 @@
         """True while no request is known to have crashed a worker."""
         return not len(self._book)
 
-    def standing(self, fingerprint: str) -> Standing:
+    def standing(self, fingerprint: str) -> CrashStatus:
         """Return what may be done with a request now."""
-        return self._book.standing(fingerprint)
+        return self._book.status(fingerprint)
 
     def is_running(self, fingerprint: str) -> bool:
         """Return True while a request runs from here, or as a suspect from anywhere."""
-        return fingerprint in self._n_open or self._apart.is_open(fingerprint)
+        return fingerprint in self._n_open or self._apart.is_running(fingerprint)
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Return True if a request is to run apart from others."""
-        return self._book.standing(fingerprint) is Standing.SUSPECT
+        return self._book.status(fingerprint) is CrashStatus.SUSPECT
 
     def workers_apart(self) -> frozenset[str]:
         """Return the workers at which suspects run; others go elsewhere."""
@@ -136,9 +136,9 @@
             return
         level = self._book.level(fingerprint)
         self._n_open[fingerprint] += 1
-        apart: ApartRun | None = None
+        apart: IsolatedRun | None = None
         if self.is_suspect(fingerprint):
-            apart = ApartRun(
+            apart = IsolatedRun(
                 run_id=random.getrandbits(RUN_ID_BITS),
                 fingerprint=fingerprint,
                 worker_id=worker.worker_id,
@@ -191,34 +191,36 @@
         if is_known:
             self._note(Event.REQUEST_CLEARED, fingerprint)
 
-    def _close(self, fingerprint: str, apart: ApartRun | None) -> None:
+    def _close(self, fingerprint: str, apart: IsolatedRun | None) -> None:
         self._n_open[fingerprint] -= 1
         if not self._n_open[fingerprint]:
             del self._n_open[fingerprint]
         if apart is not None:
-            self._tell_apart(replace(apart, for_s=0.0))
+            self._tell_apart(replace(apart, isolation_s=0.0))
 
-    def _end(self, worker: Worker, fingerprint: str, level: int, end: RunEnd) -> None:
+    def _end(
+        self, worker: Worker, fingerprint: str, level: int, end: RunOutcome
+    ) -> None:
         match end:
-            case RunEnd.NOT_RUN:
+            case RunOutcome.NOT_RUN:
                 return
-            case RunEnd.ANSWERED:
-                if self._book.standing(fingerprint) is not Standing.CLEAR:
+            case RunOutcome.ANSWERED:
+                if self._book.status(fingerprint) is not CrashStatus.CLEAR:
                     self.clear(fingerprint)
-            case RunEnd.REFUSED:
+            case RunOutcome.REFUSED:
                 self._ends.confirm(worker, Evidence.REFUSES)
-            case RunEnd.BROKEN | RunEnd.SILENT | RunEnd.LEFT:
+            case RunOutcome.BROKEN | RunOutcome.SILENT | RunOutcome.LEFT:
                 self._ends.note(
-                    OpenEndedRun(
+                    UnansweredRun(
                         worker=worker,
                         fingerprint=fingerprint,
                         level=level,
                         ended_s=time.monotonic(),
-                        end=end,
+                        outcome=end,
                     )
                 )
 
-    def _on_ended(self, worker: Worker, runs: Sequence[OpenEndedRun]) -> None:
+    def _on_ended(self, worker: Worker, runs: Sequence[UnansweredRun]) -> None:
         for run in runs:
             crash = Crash(
                 worker_id=worker.worker_id,
@@ -241,22 +243,22 @@
             self._ends.confirm(worker, Evidence.TOLD)
 
     def _take(self, fingerprint: str, crash: Crash) -> None:
-        if not self._rate.takes(crash.worker_id, crash.ended_s):
+        if not self._rate.record_exit(crash.worker_id, crash.ended_s):
             return
-        before = self._book.standing(fingerprint)
-        if not self._book.note(fingerprint, crash):
+        before = self._book.status(fingerprint)
+        if not self._book.record(fingerprint, crash):
             return
         self._relay.tell_crash(fingerprint)
-        standing = self._book.standing(fingerprint)
+        standing = self._book.status(fingerprint)
         if standing is not before and standing in NOTED:
             self._note(NOTED[standing], fingerprint)
 
-    def hear_run(self, run: ApartRun) -> bool:
+    def hear_run(self, run: IsolatedRun) -> bool:
         """Take in where a peer runs a suspect; return True if it was news."""
-        return self._apart.hear(run)
+        return self._apart.record(run)
 
-    def _tell_apart(self, run: ApartRun) -> None:
-        self._apart.hear(run)
+    def _tell_apart(self, run: IsolatedRun) -> None:
+        self._apart.record(run)
         self._relay.tell_run(run)
 
     def _note(self, event: Event, fingerprint: str) -> None:
--- a/src/trefoilpaddle/coordination/chain/crash_relay.py
+++ b/src/trefoilpaddle/coordination/chain/crash_relay.py
@@ -15,8 +15,8 @@
     SuspectRun,
     WorkerCrash,
 )
-from ...state.chain.apart_runs import ApartRun
-from ...state.chain.crash_book import Crash, CrashBook
+from ...state.chain.apart_runs import IsolatedRun
+from ...state.chain.crash_book import Crash, CrashRegistry
 from ...state.chain.fingerprint import is_fingerprint
 from ...transport.connection import Address, Connection
 from ...transport.link import Link
@@ -41,7 +41,7 @@
         Hears peers.
     links : callable
         Returns the links on which news go out.
-    book : CrashBook
+    book : CrashRegistry
         What is remembered.
 
     Attributes
@@ -67,17 +67,17 @@
         *,
         process: OwnProcess,
         links: Callable[[], Sequence[Link]],
-        book: CrashBook,
+        book: CrashRegistry,
     ) -> None:
         self._links = links
         self._book = book
         self._crashed: dict[str, None] = {}
         self._cleared: dict[str, None] = {}
-        self._runs: dict[int, ApartRun] = {}
+        self._runs: dict[int, IsolatedRun] = {}
         self._is_due = asyncio.Event()
         self.on_crash: Callable[[str, Crash], None] = _ignore_crash
         self.on_clear: Callable[[str], None] = _ignore
-        self.on_run: Callable[[ApartRun], bool] = _ignore_run
+        self.on_run: Callable[[IsolatedRun], bool] = _ignore_run
         process.message_listeners.append(self._on_message)
 
     def tell_crash(self, fingerprint: str) -> None:
@@ -90,7 +90,7 @@
         self._cleared[fingerprint] = None
         self._is_due.set()
 
-    def tell_run(self, run: ApartRun) -> None:
+    def tell_run(self, run: IsolatedRun) -> None:
         """Pass on that a run is kept apart, or has ended."""
         self._runs[run.run_id] = run
         self._is_due.set()
@@ -192,21 +192,21 @@
     )
 
 
-def _run_to_wire(run: ApartRun) -> SuspectRun:
+def _run_to_wire(run: IsolatedRun) -> SuspectRun:
     return SuspectRun(
         run_id=run.run_id,
         fingerprint=run.fingerprint,
         worker_id=run.worker_id,
-        for_ms=int(run.for_s * MS_PER_S),
+        for_ms=int(run.isolation_s * MS_PER_S),
     )
 
 
-def _run_from_wire(run: SuspectRun) -> ApartRun:
-    return ApartRun(
+def _run_from_wire(run: SuspectRun) -> IsolatedRun:
+    return IsolatedRun(
         run_id=run.run_id,
         fingerprint=run.fingerprint,
         worker_id=run.worker_id,
-        for_s=max(0, run.for_ms) / MS_PER_S,
+        isolation_s=max(0, run.for_ms) / MS_PER_S,
     )
 
 
@@ -218,5 +218,5 @@
     pass
 
 
-def _ignore_run(run: ApartRun) -> bool:
+def _ignore_run(run: IsolatedRun) -> bool:
     return False
--- a/src/trefoilpaddle/coordination/chain/dispatch_look.py
+++ b/src/trefoilpaddle/coordination/chain/dispatch_look.py
@@ -107,8 +107,8 @@
         """
         found: list[tuple[float, int, str, int]] = []
         for domain, group in self._free.items():
-            is_far = first is not None and first.near != domain
-            far_s = first.far_s if first is not None and is_far else 0.0
+            is_far = first is not None and first.preferred_domain != domain
+            far_s = first.cross_domain_wait_s if first is not None and is_far else 0.0
             number = _first_of_least(group, far_s)
             found.append((group[0][0] + far_s, group[number][1], domain, number))
         _, at, domain, number = min(found)
--- a/src/trefoilpaddle/coordination/chain/job.py
+++ b/src/trefoilpaddle/coordination/chain/job.py
@@ -5,7 +5,7 @@
 
 from ...state.chain.fingerprint import stage_fingerprint
 from ...state.chain.requests import CallerRequest
-from ...state.chain.routes import Account, PlainService, Repeat, Route, Service
+from ...state.chain.routes import Account, PlainService, RepeatPolicy, Route, Service
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -45,12 +45,14 @@
         Callers of streams leave long before their deadlines if no event comes. What
         was made for one that is gone then took the places of others.
         """
-        return min(self.deadline_s, self.request.came_s + self.route.event_patience_s)
+        return min(
+            self.deadline_s, self.request.received_s + self.route.event_timeout_s
+        )
 
     @property
     def may_repeat(self) -> bool:
         """True if it may run again after it has, or may have, run."""
-        return self.route.repeat is Repeat.IDEMPOTENT or self.route.is_resumable
+        return self.route.repeat is RepeatPolicy.IDEMPOTENT or self.route.is_resumable
 
     def worker_service(self) -> Service:
         """Return what is published of its service; a plain one if nothing is."""
--- a/src/trefoilpaddle/coordination/chain/planned_stop.py
+++ b/src/trefoilpaddle/coordination/chain/planned_stop.py
@@ -135,7 +135,7 @@
 
     def _ends_s(self, delivery: Delivery, deadline_s: float) -> tuple[float, Reason]:
         """Return when a request must be answered, and why then."""
-        stop_s = self.answer_until_s if delivery.is_out else self.send_until_s
+        stop_s = self.answer_until_s if delivery.is_in_progress else self.send_until_s
         if stop_s < deadline_s:
             return stop_s, Reason.STOPPING
         return deadline_s, Reason.DEADLINE_PASSED
--- a/src/trefoilpaddle/coordination/chain/request_notes.py
+++ b/src/trefoilpaddle/coordination/chain/request_notes.py
@@ -64,7 +64,7 @@
         self._note(
             Event.REQUEST_CUT,
             reason=Reason.STOPPING,
-            detail=f"waited for {delivery.waits_for()}",
+            detail=f"waited for {delivery.waiting_for()}",
             figures=(left,),
         )
 
@@ -76,7 +76,7 @@
         detail: str = "",
         figures: tuple[Figure, ...] = (),
     ) -> None:
-        took_s = time.monotonic() - self._request.came_s
+        took_s = time.monotonic() - self._request.received_s
         self._journal.record(
             Decision(
                 event=event,
--- a/src/trefoilpaddle/coordination/chain/request_path.py
+++ b/src/trefoilpaddle/coordination/chain/request_path.py
@@ -9,7 +9,7 @@
 from absl import logging
 
 from ...protocol.reasons import Reason
-from ...state.chain.chain_work import ChainFailed, ChainMade, ChainMoved, ChainWork
+from ...state.chain.chain_work import ChainCompleted, ChainFailed, ChainMoved, ChainWork
 from ...state.chain.delivery import Delivery
 from ...state.chain.engine_times import EngineTimes
 from ...state.chain.fingerprint import fingerprint_of
@@ -163,7 +163,7 @@
         account = self._account(table, route, request)
         if account is None:
             return Refused(reason=Reason.UNAUTHORISED)
-        deadline_s = min(request.deadline_s, request.came_s + route.timeout_s)
+        deadline_s = min(request.deadline_s, request.received_s + route.timeout_s)
         if deadline_s <= time.monotonic():
             return Refused(reason=Reason.DEADLINE_PASSED)
         job = Job(
@@ -184,13 +184,13 @@
         except AnswerDueError as due:
             is_stop = due.reason is Reason.STOPPING
             retry_after_s = ELSEWHERE_S if is_stop else UNKNOWN_RETRY_S
-            return delivery.end(due.reason, retry_after_s=retry_after_s)
+            return delivery.failure_outcome(due.reason, retry_after_s=retry_after_s)
 
     async def _run(self, job: Job, delivery: Delivery, sink: CallerSink) -> Outcome:
         now_s = time.monotonic()
-        self._budgets.of(job.service).earn(now_s)
+        self._budgets.for_service(job.service).earn(now_s)
         for stage in {stage.service for stage in job.route.stages}:
-            self._budgets.of(stage).earn(now_s)
+            self._budgets.for_service(stage).earn(now_s)
         engine_s = self._engine_times.expected_s(job.route.name)
         work = ChainWork(
             request_id=job.request.request_id,
@@ -198,11 +198,11 @@
             stages=job.route.stages,
             n_pieces=_pieces(job.request, job.route),
             piece_key=job.request.piece_key,
-            due_s=job.request.came_s + job.route.target_latency_s - engine_s,
+            due_s=job.request.received_s + job.route.target_latency_s - engine_s,
             # One that would be made too late to be sent, or for a caller to wait for
             # its first event, is refused now.
             deadline_s=min(self._made_by_s(job, engine_s), self._stop.send_until_s),
-            near=self._near(job),
+            preferred_domain=self._near(job),
             priority=job.priority,
             fingerprint=job.fingerprint,
         )
@@ -217,7 +217,7 @@
                         reason=failed.reason,
                         retry_after_s=failed.retry_after_s or UNKNOWN_RETRY_S,
                     )
-                case ChainMade(failure_domain=domain) as made:
+                case ChainCompleted(failure_domain=domain) as made:
                     inputs = ChainInputs(
                         chain=chain,
                         made=made,
@@ -236,7 +236,7 @@
                         workers=self._workers,
                         choice=self._choice,
                         calls=self._calls,
-                        budget=self._budgets.of(job.service),
+                        budget=self._budgets.for_service(job.service),
                         journal=self._journal,
                         delivery=delivery,
                         guard=self._guard,
--- a/src/trefoilpaddle/coordination/chain/running_chain.py
+++ b/src/trefoilpaddle/coordination/chain/running_chain.py
@@ -7,10 +7,10 @@
 
 from ...protocol.reasons import Reason
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from .chain_router import ChainRouter
@@ -57,7 +57,7 @@
         self._has_run = False
         self._place: Place | None = None
 
-    async def run(self) -> ChainEnd:
+    async def run(self) -> ChainOutcome:
         """Run it where it can be on time; return its last end.
 
         Run once more, it is done whether it will be on time or not: what was
@@ -79,13 +79,15 @@
                 end = await self._try_places(replace(work, must_be_on_time=False))
         return end
 
-    async def _try_places(self, work: ChainWork) -> ChainEnd:
+    async def _try_places(self, work: ChainWork) -> ChainOutcome:
         """Run it at the first place that takes it; return its last end."""
         services = _services(work)
         if not services:
-            return ChainMade(handles=())
-        end: ChainEnd = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
-        for place in await self._router.connected_places(services, work.near):
+            return ChainCompleted(handles=())
+        end: ChainOutcome = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
+        for place in await self._router.connected_places(
+            services, work.preferred_domain
+        ):
             end = await self._follow(work, place)
             if not isinstance(end, ChainFailed) or end.is_begun:
                 return end
@@ -94,7 +96,7 @@
             self._place = None
         return end
 
-    async def _follow(self, work: ChainWork, place: Place) -> ChainEnd:
+    async def _follow(self, work: ChainWork, place: Place) -> ChainOutcome:
         """Run it at a place, and where its cell goes meanwhile; return its end."""
         for _ in range(MAX_MOVES):
             self._place = place
@@ -103,13 +105,19 @@
                 return end
             # What was admitted before is not judged again.
             must_be_on_time = work.must_be_on_time and not end.is_admitted
-            work = replace(work, made=end.made, must_be_on_time=must_be_on_time)
+            work = replace(
+                work,
+                completed_pieces=end.completed_pieces,
+                must_be_on_time=must_be_on_time,
+            )
             moved = self._router.links.place_of(place.cell, end.successor)
             if moved is None:
                 await self._router.links.connect(place.cell)
                 moved = self._router.links.place(place.cell)
             place = moved
-        return ChainFailed(reason=Reason.PEER_SILENT, is_begun=bool(work.made))
+        return ChainFailed(
+            reason=Reason.PEER_SILENT, is_begun=bool(work.completed_pieces)
+        )
 
     def free(self) -> None:
         """Free what the chain has made; further calls do nothing."""
--- a/src/trefoilpaddle/coordination/chain/service_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/service_dispatch.py
@@ -73,7 +73,7 @@
         """
         self._is_moved = True
         for work in self.queue.drain():
-            work.settle(PieceFault.MOVED)
+            work.resolve(PieceFault.MOVED)
 
     def submit(self, works: Sequence[PieceWork]) -> None:
         """Queue pieces; a call goes out in a moment if a worker is free.
@@ -84,7 +84,7 @@
         """
         if self._is_moved:
             for work in works:
-                work.settle(PieceFault.MOVED)
+                work.resolve(PieceFault.MOVED)
             return
         self.queue.add(works)
         if self._timer is None:
@@ -114,7 +114,7 @@
         callers = self._callers()
         if not callers:
             for work in self.queue.drain():
-                work.settle(PieceFault.NO_WORKER)
+                work.resolve(PieceFault.NO_WORKER)
             return
         free = [caller for caller in callers if caller.is_free(now_s)]
         if free:
@@ -126,10 +126,10 @@
     ) -> None:
         """Send what waits to the workers that are free, one after another."""
         look = DispatchLook(callers=callers, free=free, now_s=now_s)
-        self.queue.drop_hopeless(now_s + look.soonest_s())
+        self.queue.drop_unservable(now_s + look.soonest_s())
         if not self._guard.is_quiet:
             self.queue.drop_blocked(self._guard.standing)
-        self.queue.allow_avoided({caller.worker.worker_id for caller in callers})
+        self.queue.allow_excluded({caller.worker.worker_id for caller in callers})
         first: PieceWork | None = None
         is_late = False
         while len(self.queue) and look.has_free:
@@ -137,12 +137,12 @@
             # most urgent piece only when it was on time and is not any more.
             done_s = now_s + look.soonest_free_s()
             if first is None or (not is_late and first.due_s < done_s):
-                first = self.queue.first(done_s)
+                first = self.queue.most_urgent(done_s)
                 is_late = first is not None and first.due_s < done_s
             caller = look.take_next(first)
             n_passed = look.n_passed(caller)
             offer = caller.known.offer(
-                now_s, n_passed=n_passed, near_free_in_s=look.free_in_s
+                now_s, n_skipped=n_passed, free_in_s_by_domain=look.free_in_s
             )
             batch = self.queue.take_batch(offer, self._may_share())
             if batch:
@@ -157,7 +157,7 @@
         if self._guard.is_quiet:
             return None
         return CallSharing(
-            standing=self._guard.standing, is_running=self._guard.is_running
+            status=self._guard.standing, is_running=self._guard.is_running
         ).may_share
 
     def _look_again(self) -> None:
@@ -170,7 +170,7 @@
         callers = self._callers()
         if callers:
             now_s = time.monotonic()
-            self.queue.drop_hopeless(now_s + _soonest_s(callers, 1, now_s))
+            self.queue.drop_unservable(now_s + _soonest_s(callers, 1, now_s))
         self.wake()
 
 
--- a/src/trefoilpaddle/coordination/chain/target_calls.py
+++ b/src/trefoilpaddle/coordination/chain/target_calls.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from ...state.chain.piece_work import PieceEnd, PieceWork
+from ...state.chain.piece_work import PieceOutcome, PieceWork
 from ...state.chain.requests import CallerRequest
 from ...state.chain.target_answers import (
     AnswerHead,
@@ -79,7 +79,7 @@
         *,
         timeout_s: float,
         on_sent: Callable[[], None],
-    ) -> Result[list[PieceEnd], CallFault]:
+    ) -> Result[list[PieceOutcome], CallFault]:
         """Have pieces made in one call; return one end for each, in order.
 
         `on_sent` is called once the whole call is on its way to the worker.
--- a/src/trefoilpaddle/coordination/chain/watched_runs.py
+++ b/src/trefoilpaddle/coordination/chain/watched_runs.py
@@ -5,9 +5,9 @@
 
 from result import Err, Ok, Result
 
-from ...state.chain.piece_work import PieceEnd, PieceFault, PieceWork
+from ...state.chain.piece_work import PieceFault, PieceOutcome, PieceWork
 from ...state.chain.target_answers import CallFault
-from ...state.chain.worker_runs import RunEnd, end_of_fault
+from ...state.chain.worker_runs import RunOutcome, outcome_of_fault
 
 NOT_BEGUN: Final = frozenset(
     {PieceFault.LATE, PieceFault.INPUT_GONE, PieceFault.NO_MEMORY}
@@ -20,14 +20,14 @@
 
     Attributes
     ----------
-    end : RunEnd
-        How it ended; `RunEnd.LEFT` until that is known.
+    end : RunOutcome
+        How it ended; `RunOutcome.LEFT` until that is known.
     """
 
     __slots__ = ("end",)
 
     def __init__(self) -> None:
-        self.end = RunEnd.LEFT
+        self.end = RunOutcome.LEFT
 
 
 class WatchedCall:
@@ -49,12 +49,12 @@
         self._works = works
         self._runs = runs
 
-    def take(self, answer: Result[list[PieceEnd], CallFault]) -> None:
+    def take(self, answer: Result[list[PieceOutcome], CallFault]) -> None:
         """Take how the call ended; pieces that were not begun clear nobody."""
         match answer:
             case Err(fault):
                 for run in self._runs.values():
-                    run.end = end_of_fault(fault)
+                    run.end = outcome_of_fault(fault)
             case Ok(ends):
                 begun = {
                     work.fingerprint
@@ -63,4 +63,4 @@
                 }
                 for fingerprint, run in self._runs.items():
                     is_begun = fingerprint in begun
-                    run.end = RunEnd.ANSWERED if is_begun else RunEnd.NOT_RUN
+                    run.end = RunOutcome.ANSWERED if is_begun else RunOutcome.NOT_RUN
--- a/src/trefoilpaddle/coordination/chain/worker_caller.py
+++ b/src/trefoilpaddle/coordination/chain/worker_caller.py
@@ -13,7 +13,7 @@
 
 from ...protocol.reasons import Reason
 from ...state.chain.known_worker import KnownWorker
-from ...state.chain.piece_work import PieceEnd, PieceFault, PieceMade, PieceWork
+from ...state.chain.piece_work import PieceFault, PieceOutcome, PieceResult, PieceWork
 from ...state.chain.routes import PieceService
 from ...state.chain.target_answers import CallFault, WorkerReport
 from ...state.chain.workers import Worker, WorkerTable
@@ -195,9 +195,12 @@
 
     def block(self, now_s: float) -> None:
         """Count the time from now on as busy; ask it where others keep results."""
-        self.known.block(now_s)
+        self.known.mark_blocked(now_s)
         self._freeing.look()
-        if self.known.memory.has_foreign(now_s) and now_s - self._asked_s > ASK_AGAIN_S:
+        if (
+            self.known.memory.has_external_results(now_s)
+            and now_s - self._asked_s > ASK_AGAIN_S
+        ):
             self._ask()
 
     def free(self, handle: str) -> None:
@@ -213,8 +216,8 @@
         """
         now_s = time.monotonic()
         memory = self.known.memory
-        is_new = now_s - self._met_s < memory.service.keep_s
-        return is_new or memory.is_short(now_s)
+        is_new = now_s - self._met_s < memory.service.retention_s
+        return is_new or memory.is_low(now_s)
 
     def _take_freed(self, handles: list[str]) -> None:
         """Count results as gone once the worker has answered.
@@ -234,7 +237,7 @@
         """
         self._is_ended = True
         for work in self._in_flight:
-            work.settle(PieceFault.LOST)
+            work.resolve(PieceFault.LOST)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -256,7 +259,7 @@
             fetching.append(loop.call_later(FETCH_S, _tell_fetched, batch))
 
         kept_bytes = self.known.memory.own_bytes(began_s)
-        self.known.memory.send(n_bytes)
+        self.known.memory.begin_call(n_bytes)
         try:
             try:
                 with call.running:
@@ -294,28 +297,28 @@
     def _take(
         self,
         batch: list[PieceWork],
-        ends: list[PieceEnd],
+        ends: list[PieceOutcome],
         began_s: float,
         *,
         n_waiting: int,
         kept_bytes: float,
     ) -> None:
         now_s = time.monotonic()
-        self._workers.trust(self.worker)
-        n_made = sum(1 for end in ends if isinstance(end, PieceMade))
+        self._workers.clear_suspicion(self.worker)
+        n_made = sum(1 for end in ends if isinstance(end, PieceResult))
         self.known.learn_call(n_made, n_waiting=n_waiting, began_s=began_s, now_s=now_s)
         without_memory = []
         made_bytes = 0.0
         for work, end in zip(batch, ends, strict=True):
-            if isinstance(end, PieceMade):
+            if isinstance(end, PieceResult):
                 made_bytes += work.result_bytes
                 self.known.memory.keep(end.handle, work.result_bytes, now_s)
-                if not work.is_open:
+                if not work.is_pending:
                     self.free(end.handle)
             if end is PieceFault.NO_MEMORY:
                 without_memory.append(work)
             else:
-                work.settle(end)
+                work.resolve(end)
         if without_memory:
             # Nothing was worked on. Sent again at once, these pieces are turned
             # away again, call after call.
@@ -361,10 +364,10 @@
 
     def _fail(self, batch: list[PieceWork], fault: CallFault, began_s: float) -> None:
         took_s = time.monotonic() - began_s
-        self._workers.suspect(self.worker)
+        self._workers.mark_suspect(self.worker)
         end = PieceFault.FULL if fault.has_not_run else PieceFault.LOST
         for work in batch:
-            work.settle(end)
+            work.resolve(end)
         # It may have made them: what it keeps now only it can say.
         self.known.is_current = False
         reason = Reason.TARGET_DOWN if fault.has_not_run else Reason.CONNECTION_LOST
@@ -398,5 +401,5 @@
 def _tell_fetched(batch: list[PieceWork]) -> None:
     """Tell those whose worker has their inputs that these can be freed."""
     for work in batch:
-        if work.on_fetched is not None and not work.end.cancelled():
+        if work.on_fetched is not None and not work.outcome.cancelled():
             work.on_fetched()
--- a/src/trefoilpaddle/coordination/chain/worker_choice.py
+++ b/src/trefoilpaddle/coordination/chain/worker_choice.py
@@ -107,7 +107,7 @@
         without : frozenset of str
             Workers that were tried already.
         """
-        workers = self._workers.usable(service.name, without=without)
+        workers = self._workers.usable(service.name, excluded=without)
         if not workers:
             return None
         if isinstance(service, EngineService) and need.prompt is not None:
@@ -143,7 +143,7 @@
 
     def note_read(self, worker_id: str, prompt: Prompt) -> None:
         """Remember that an engine has read a prompt."""
-        self._record.note(worker_id, prompt)
+        self._record.record(worker_id, prompt)
 
     def _engine_costs_s(
         self, workers: Sequence[Worker], prompt: Prompt, need: Need
--- a/src/trefoilpaddle/coordination/chain/worker_ends.py
+++ b/src/trefoilpaddle/coordination/chain/worker_ends.py
@@ -15,7 +15,7 @@
 from absl import logging
 
 from ...protocol.reasons import Reason
-from ...state.chain.worker_runs import OpenEndedRun, RunEnd
+from ...state.chain.worker_runs import RunOutcome, UnansweredRun
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Decision, Event, Figure, Journal
 from .target_calls import TargetCalls
@@ -52,16 +52,16 @@
 
 # Entries also run out of workers that are cut off, or leave without a word before.
 EXPLAINS: Final = {
-    RunEnd.BROKEN: frozenset(Evidence),
-    RunEnd.LEFT: frozenset(Evidence) - {Evidence.LAPSED},
-    RunEnd.SILENT: frozenset(Evidence) - {Evidence.LAPSED},
+    RunOutcome.BROKEN: frozenset(Evidence),
+    RunOutcome.LEFT: frozenset(Evidence) - {Evidence.LAPSED},
+    RunOutcome.SILENT: frozenset(Evidence) - {Evidence.LAPSED},
 }
 """Which evidence turns a run without an answer into one that its worker ended under."""
 
 Start = tuple[str, int]
 """Id of a worker, and when it began; the same id may begin again."""
 
-EndListener = Callable[[Worker, Sequence[OpenEndedRun]], None]
+EndListener = Callable[[Worker, Sequence[UnansweredRun]], None]
 
 
 class WorkerEnds:
@@ -102,15 +102,15 @@
         self._calls = calls
         self._journal = journal
         self._on_ended = on_ended
-        self._pending: deque[OpenEndedRun] = deque(maxlen=MAX_PENDING)
+        self._pending: deque[UnansweredRun] = deque(maxlen=MAX_PENDING)
         self._ended_s: dict[Start, tuple[float, Evidence]] = {}
         self._looks: dict[Start, asyncio.Task[None]] = {}
         self._looked_s: dict[Start, float] = {}
-        workers.end_listeners.append(self._on_restart)
+        workers.restart_listeners.append(self._on_restart)
         workers.leave_listeners.append(self._on_leave)
         workers.new_listeners.append(self._on_new)
 
-    def note(self, run: OpenEndedRun) -> None:
+    def note(self, run: UnansweredRun) -> None:
         """Take a run without an answer; begin to look whether its worker is gone."""
         self._forget_old(run.ended_s)
         worker = run.worker
@@ -125,7 +125,7 @@
         known = self._ended_s.get(_start(worker))
         if known is not None:
             self.confirm(worker, known[1])
-        elif run.end is RunEnd.BROKEN:
+        elif run.outcome is RunOutcome.BROKEN:
             self._look(worker)
 
     def confirm(self, worker: Worker, evidence: Evidence) -> None:
@@ -138,7 +138,8 @@
         found = [
             run
             for run in self._pending
-            if _start(run.worker) == _start(worker) and evidence in EXPLAINS[run.end]
+            if _start(run.worker) == _start(worker)
+            and evidence in EXPLAINS[run.outcome]
         ]
         if not found:
             return
@@ -189,8 +190,9 @@
         """Take a worker that listens for one that has outlived its broken answers."""
         self._pending = deque(
             (
-                replace(run, end=RunEnd.SILENT)
-                if _start(run.worker) == _start(worker) and run.end is RunEnd.BROKEN
+                replace(run, outcome=RunOutcome.SILENT)
+                if _start(run.worker) == _start(worker)
+                and run.outcome is RunOutcome.BROKEN
                 else run
                 for run in self._pending
             ),
@@ -235,7 +237,7 @@
         }
 
     def _note(
-        self, worker: Worker, evidence: Evidence, runs: Sequence[OpenEndedRun]
+        self, worker: Worker, evidence: Evidence, runs: Sequence[UnansweredRun]
     ) -> None:
         requests = sorted({run.fingerprint for run in runs})
         self._journal.record(
--- a/src/trefoilpaddle/coordination/chain/worker_exchange.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exchange.py
@@ -10,7 +10,7 @@
 from ...state.chain.delivery import Delivery
 from ...state.chain.requests import Answered
 from ...state.chain.target_answers import AnswerHead, CallFault, StreamEvent
-from ...state.chain.worker_runs import RunEnd, end_of_fault
+from ...state.chain.worker_runs import RunOutcome, outcome_of_fault
 from ...state.chain.workers import Worker, WorkerTable
 from .caller_sink import CallerSink
 from .crash_guard import CrashGuard
@@ -123,7 +123,9 @@
         with self._guard.running(worker, job.fingerprint) as run:
             sent = await self._exchange(worker, call, sink)
             run.end = (
-                end_of_fault(sent) if isinstance(sent, CallFault) else RunEnd.ANSWERED
+                outcome_of_fault(sent)
+                if isinstance(sent, CallFault)
+                else RunOutcome.ANSWERED
             )
             return sent
 
@@ -170,10 +172,10 @@
             case Err(fault):
                 return fault
             case Ok(body):
-                self._workers.trust(worker)
+                self._workers.clear_suspicion(worker)
                 if not answer.head.is_success:
                     return WorkerFailed(head=answer.head, body=body)
-                self._delivery.begin()
+                self._delivery.begin_answer()
                 await sink.whole(answer.head, body)
                 return Answered()
 
@@ -192,11 +194,11 @@
             async for event in in_order(answer.events(), self._last_event):
                 if is_first:
                     is_first = False
-                    self._workers.trust(worker)
+                    self._workers.clear_suspicion(worker)
                     at_worker.read()
                     self._inputs.read()
                 if not self._delivery.is_begun:
-                    self._delivery.begin()
+                    self._delivery.begin_answer()
                     await sink.begin(answer.head)
                 self._last_event = event.number
                 await sink.event(event)
--- a/src/trefoilpaddle/coordination/published/doubted_entries.py
+++ b/src/trefoilpaddle/coordination/published/doubted_entries.py
@@ -88,7 +88,7 @@
         known = self._workers.get(worker.worker_id)
         if known is None:
             # An address is given to another worker only when its first one is gone.
-            return self._workers.is_gone(worker) or worker.address in taken
+            return self._workers.is_removed(worker) or worker.address in taken
         if known == worker or worker.born_ms > known.born_ms:
             return False
         # A worker that leaves never takes that back, whichever is the later word.
--- a/src/trefoilpaddle/state/chain/bearable_waits.py
+++ b/src/trefoilpaddle/state/chain/bearable_waits.py
@@ -6,7 +6,7 @@
 SMOOTHING: Final = 0.1
 """Weight of the newest chain; ten replace most of what was learnt."""
 
-KEEP_S: Final = 5.0
+ROUTE_EXPIRY_S: Final = 5.0
 """A route without a chain for so long needs no time left; a burst lasts about that."""
 
 MAX_ROUTES: Final = 2000
@@ -35,7 +35,7 @@
     seen_s: float
 
 
-class BearableWaits:
+class TolerableWaits:
     """The waits that the routes of one cell can bear."""
 
     __slots__ = ("_by_route",)
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self._by_route: dict[str, RouteWait] = {}
 
-    def note(
+    def record(
         self,
         route: str,
         *,
@@ -66,7 +66,7 @@
         known.wait_s += SMOOTHING * (wait_s - known.wait_s)
         known.seen_s = now_s
 
-    def of_more_urgent(
+    def min_of_more_urgent_s(
         self, priority: int, services: frozenset[str], now_s: float
     ) -> float:
         """Return the least wait that a more urgent route can bear.
@@ -77,7 +77,7 @@
             known.wait_s
             for known in self._by_route.values()
             if known.priority < priority
-            and now_s - known.seen_s < KEEP_S
+            and now_s - known.seen_s < ROUTE_EXPIRY_S
             and not services.isdisjoint(known.services)
         )
         return min(waits_s, default=float("inf"))
--- a/src/trefoilpaddle/state/chain/call_sharing.py
+++ b/src/trefoilpaddle/state/chain/call_sharing.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from .crash_book import Standing
+from .crash_book import CrashStatus
 from .piece_work import PieceWork
 
 MAX_WATCHED: Final = 8
@@ -19,22 +19,22 @@
 
     Parameters
     ----------
-    standing : callable
+    status : callable
         Returns what may be done with a request.
     is_running : callable
         Returns True while a request runs at some worker. One that has crashed a
         worker waits until then: its pieces would crash as many as they reach.
     """
 
-    __slots__ = ("_alone", "_is_running", "_n_taken", "_standing", "_watched")
+    __slots__ = ("_alone", "_is_running", "_n_taken", "_status", "_watched")
 
     def __init__(
         self,
         *,
-        standing: Callable[[str], Standing],
+        status: Callable[[str], CrashStatus],
         is_running: Callable[[str], bool],
     ) -> None:
-        self._standing = standing
+        self._status = status
         self._is_running = is_running
         self._alone = ""
         self._n_taken = 0
@@ -45,21 +45,21 @@
         fingerprint = work.fingerprint
         if self._alone:
             return fingerprint == self._alone
-        match self._standing(fingerprint):
-            case Standing.SUSPECT:
+        match self._status(fingerprint):
+            case CrashStatus.SUSPECT:
                 if self._n_taken or self._is_running(fingerprint):
                     return False
                 self._alone = fingerprint
-            case Standing.WATCHED:
+            case CrashStatus.WATCHED:
                 if self._is_running(fingerprint):
                     return False
                 self._watched.add(fingerprint)
                 if len(self._watched) > MAX_WATCHED:
                     self._watched.remove(fingerprint)
                     return False
-            case Standing.BLOCKED:
+            case CrashStatus.BLOCKED:
                 return False
-            case Standing.CLEAR:
+            case CrashStatus.CLEAR:
                 pass
         self._n_taken += 1
         return True
--- a/src/trefoilpaddle/state/chain/cell_handover.py
+++ b/src/trefoilpaddle/state/chain/cell_handover.py
@@ -13,13 +13,13 @@
         Names it.
     n_bytes : float
         Its expected size.
-    left_s : float
+    expires_in_s : float
         Seconds until it runs out.
     """
 
     handle: str
     n_bytes: float
-    left_s: float
+    expires_in_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/trefoilpaddle/state/chain/cells.py
+++ b/src/trefoilpaddle/state/chain/cells.py
@@ -7,7 +7,7 @@
 
 from .workers import Worker
 
-MOST_WORKERS: Final = 64
+MAX_WORKERS_PER_CELL: Final = 64
 """About as many stage workers are one cell at most, however strong its scheduler is.
 
 In one cell the load of all failure domains is shared out, and a lost worker's is
@@ -37,7 +37,7 @@
     failure_domains: frozenset[str]
 
 
-def workers_borne(millicores: int) -> int:
+def worker_capacity(millicores: int) -> int:
     """Return how many stage workers a scheduler with so much processor bears.
 
     Parameters
@@ -46,14 +46,14 @@
         What its process may use, in thousandths of a core; 0 if untold.
     """
     if not millicores:
-        return MOST_WORKERS
-    return min(MOST_WORKERS, max(1, millicores * WORKERS_PER_CORE // 1000))
+        return MAX_WORKERS_PER_CELL
+    return min(MAX_WORKERS_PER_CELL, max(1, millicores * WORKERS_PER_CORE // 1000))
 
 
 def cells_of(
     workers: Iterable[Worker],
     region_of: Mapping[str, str],
-    n_borne: Callable[[str], int] = lambda _: MOST_WORKERS,
+    n_borne: Callable[[str], int] = lambda _: MAX_WORKERS_PER_CELL,
 ) -> list[Cell]:
     """Return the cells that stage workers make up, the same for the same workers.
 
--- a/src/trefoilpaddle/state/chain/chain_progress.py
+++ b/src/trefoilpaddle/state/chain/chain_progress.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 
 from .chain_work import ChainWork, StagePiece
-from .piece_work import PieceMade
+from .piece_work import PieceResult
 
 
 class ChainProgress:
@@ -20,10 +20,10 @@
 
     def __init__(self, *, work: ChainWork) -> None:
         self._work = work
-        self._made: dict[int, dict[int, PieceMade]] = {}
+        self._made: dict[int, dict[int, PieceResult]] = {}
         self._fetched: dict[int, set[int]] = {}
-        for each in work.made:
-            self.note_made(each.stage, each.piece, each.made)
+        for each in work.completed_pieces:
+            self.record_result(each.stage, each.piece, each.result)
         self._done = set(range(len(work.stages))) - self._needed()
 
     def _needed(self) -> set[int]:
@@ -50,30 +50,30 @@
         """Return True if a stage need not be run any more."""
         return number in self._done
 
-    def finish(self, number: int) -> None:
+    def mark_done(self, number: int) -> None:
         """Count a stage as done."""
         self._done.add(number)
 
-    def missing(self, number: int) -> list[int]:
+    def missing_pieces(self, number: int) -> list[int]:
         """Return the pieces of a stage that are not made."""
         made = self._made.get(number, {})
         return [n for n in range(self._work.n_pieces[number]) if n not in made]
 
-    def note_made(self, number: int, piece: int, made: PieceMade) -> None:
+    def record_result(self, number: int, piece: int, made: PieceResult) -> None:
         """Take in a result."""
         self._made.setdefault(number, {})[piece] = made
 
-    def note_fetched(self, number: int, piece: int) -> bool:
+    def record_fetched(self, number: int, piece: int) -> bool:
         """Take in that a worker has the inputs of a piece; True once all have."""
         fetched = self._fetched.setdefault(number, set())
         fetched.add(piece)
         return len(fetched) == self._work.n_pieces[number]
 
-    def forget_fetched(self, number: int, piece: int) -> None:
+    def clear_fetched(self, number: int, piece: int) -> None:
         """Take back that a worker has the inputs of a piece: it must be sent again."""
         self._fetched.get(number, set()).discard(piece)
 
-    def results(self, number: int) -> list[PieceMade]:
+    def results(self, number: int) -> list[PieceResult]:
         """Return what is made and kept of a stage, by piece."""
         made = self._made.get(number, {})
         return [made[piece] for piece in sorted(made)]
@@ -97,7 +97,7 @@
             for made in self.results(before)
         )
 
-    def readable(self, number: int) -> Iterator[int]:
+    def fully_read_stages(self, number: int) -> Iterator[int]:
         """Yield the stages whose results a stage was the last to read.
 
         Called once the stage is done, or once the workers of all of its pieces
@@ -116,23 +116,23 @@
         fetched = self._fetched.get(number, set())
         return number in self._done or len(fetched) == self._work.n_pieces[number]
 
-    def take_stage(self, number: int) -> list[PieceMade]:
+    def pop_stage(self, number: int) -> list[PieceResult]:
         """Return what is kept of a stage and forget it."""
         results = self.results(number)
         self._made.pop(number, None)
         return results
 
-    def take_all(self) -> tuple[StagePiece, ...]:
+    def pop_all(self) -> tuple[StagePiece, ...]:
         """Return all that is kept and forget it."""
         taken = tuple(
-            StagePiece(stage=number, piece=piece, made=made)
+            StagePiece(stage=number, piece=piece, result=made)
             for number, by_piece in self._made.items()
             for piece, made in by_piece.items()
         )
         self._made.clear()
         return taken
 
-    def stages(self) -> list[int]:
+    def kept_stages(self) -> list[int]:
         """Return the stages of which something is kept."""
         return list(self._made)
 
--- a/src/trefoilpaddle/state/chain/chain_work.py
+++ b/src/trefoilpaddle/state/chain/chain_work.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from ...protocol.reasons import Reason
-from .piece_work import PieceMade
+from .piece_work import PieceResult
 from .routes import StagePlan
 
 
@@ -15,13 +15,13 @@
     ----------
     stage, piece : int
         Their numbers.
-    made : PieceMade
+    result : PieceResult
         Its result.
     """
 
     stage: int
     piece: int
-    made: PieceMade
+    result: PieceResult
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,7 +44,7 @@
         Monotonic time by which all should be done.
     deadline_s : float
         Monotonic time after which nobody waits.
-    near : str
+    preferred_domain : str
         Failure domain of its gateway, whose workers go first.
     priority : int
         0 is the most urgent.
@@ -52,7 +52,7 @@
         The same for all attempts of the request.
     must_be_on_time : bool
         Refuse it if it cannot be done by `due_s`.
-    made : tuple of StagePiece
+    completed_pieces : tuple of StagePiece
         What the scheduler before has made of it.
     """
 
@@ -63,11 +63,11 @@
     piece_key: str
     due_s: float
     deadline_s: float
-    near: str = ""
+    preferred_domain: str = ""
     priority: int = 0
     fingerprint: str = ""
     must_be_on_time: bool = True
-    made: tuple[StagePiece, ...] = ()
+    completed_pieces: tuple[StagePiece, ...] = ()
 
     def last_stages(self) -> tuple[int, ...]:
         """Return the stages whose results the request itself takes."""
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ChainMade:
+class ChainCompleted:
     """All stages are done.
 
     Parameters
@@ -130,13 +130,13 @@
         That gateway.
     is_admitted : bool
         True if the chain had been admitted before.
-    made : tuple of StagePiece
+    completed_pieces : tuple of StagePiece
         What there is of it.
     """
 
     successor: str
     is_admitted: bool = False
-    made: tuple[StagePiece, ...] = ()
+    completed_pieces: tuple[StagePiece, ...] = ()
 
 
-ChainEnd = ChainMade | ChainFailed | ChainMoved
+ChainOutcome = ChainCompleted | ChainFailed | ChainMoved
--- a/src/trefoilpaddle/state/chain/crash_book.py
+++ b/src/trefoilpaddle/state/chain/crash_book.py
@@ -17,13 +17,13 @@
 After that it is tried once more, alone, so that one that was only unlucky is cleared.
 """
 
-REMEMBER_S: Final = 86400.0
+RETENTION_S: Final = 86400.0
 """How long a crash is remembered."""
 
 MAX_REQUESTS: Final = 2048
 """Requests that are remembered, those with the fewest crashes forgotten first."""
 
-MAX_OF_ACCOUNT: Final = 256
+MAX_REQUESTS_PER_ACCOUNT: Final = 256
 """The same of one client account: twice what runs at the largest worker."""
 
 MAX_LEVEL: Final = 8
@@ -34,7 +34,7 @@
 
 
 @unique
-class Standing(Enum):
+class CrashStatus(Enum):
     """What may be done with a request."""
 
     CLEAR = "clear"
@@ -81,12 +81,12 @@
         """Return how many crashes there were, one after another."""
         return max(self.crashes, default=0)
 
-    def last_s(self) -> float:
+    def last_crash_s(self) -> float:
         """Return the time of the last crash."""
         return max(crash.ended_s for crash in self.crashes.values())
 
 
-class CrashBook:
+class CrashRegistry:
     """Remembers crashes by request, bounded in count and time.
 
     A request that ends well anywhere is cleared of all its crashes: one that
@@ -103,10 +103,10 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note(self, fingerprint: str, crash: Crash) -> bool:
+    def record(self, fingerprint: str, crash: Crash) -> bool:
         """Take in a crash; return True if it was news."""
         now_s = time.monotonic()
-        is_old = now_s - crash.ended_s > REMEMBER_S
+        is_old = now_s - crash.ended_s > RETENTION_S
         if is_old or crash.level > MAX_LEVEL or self.is_cleared(fingerprint, crash):
             return False
         record = self._records.get(fingerprint)
@@ -135,20 +135,20 @@
         cleared_s = self._cleared_s.get(fingerprint)
         return cleared_s is not None and crash.ended_s <= cleared_s
 
-    def standing(self, fingerprint: str) -> Standing:
+    def status(self, fingerprint: str) -> CrashStatus:
         """Return what may be done with a request now."""
         record = self._records.get(fingerprint)
         if record is None:
-            return Standing.CLEAR
-        age_s = time.monotonic() - record.last_s()
+            return CrashStatus.CLEAR
+        age_s = time.monotonic() - record.last_crash_s()
         level = record.level()
-        if age_s > REMEMBER_S:
+        if age_s > RETENTION_S:
             self._forget(fingerprint)
-            return Standing.CLEAR
+            return CrashStatus.CLEAR
         if level >= BLOCK_AFTER:
-            is_over = age_s > BLOCK_S.get(level, REMEMBER_S)
-            return Standing.SUSPECT if is_over else Standing.BLOCKED
-        return Standing.SUSPECT if level == BLOCK_AFTER - 1 else Standing.WATCHED
+            is_over = age_s > BLOCK_S.get(level, RETENTION_S)
+            return CrashStatus.SUSPECT if is_over else CrashStatus.BLOCKED
+        return CrashStatus.SUSPECT if level == BLOCK_AFTER - 1 else CrashStatus.WATCHED
 
     def level(self, fingerprint: str) -> int:
         """Return how many crashes of a request there were, one after another."""
@@ -170,7 +170,7 @@
         What one client account sends takes the place of its own records only.
         """
         account = account_part(fingerprint)
-        if self._of_account[account] >= MAX_OF_ACCOUNT:
+        if self._of_account[account] >= MAX_REQUESTS_PER_ACCOUNT:
             return self._drop_least(account)
         if len(self._records) < MAX_REQUESTS:
             return True
@@ -188,7 +188,7 @@
         """
         least = min(
             (
-                (record.level(), record.last_s(), fingerprint)
+                (record.level(), record.last_crash_s(), fingerprint)
                 for fingerprint, record in self._records.items()
                 if account_part(fingerprint) == account
             ),
@@ -207,4 +207,4 @@
 
 
 def _is_old(record: CrashRecord, now_s: float) -> bool:
-    return now_s - record.last_s() > REMEMBER_S
+    return now_s - record.last_crash_s() > RETENTION_S
--- a/src/trefoilpaddle/state/chain/delivery.py
+++ b/src/trefoilpaddle/state/chain/delivery.py
@@ -32,7 +32,7 @@
         self.may_have_run = False
         self.is_begun = False
 
-    def begin(self) -> None:
+    def begin_answer(self) -> None:
         """Count the answer as begun, before its first byte is written."""
         self.is_begun = True
         self.on_change()
@@ -55,11 +55,11 @@
             self.on_change()
 
     @property
-    def is_out(self) -> bool:
+    def is_in_progress(self) -> bool:
         """True if a worker has it now, or its answer has begun."""
         return self._is_at_worker or self.is_begun
 
-    def waits_for(self) -> str:
+    def waiting_for(self) -> str:
         """Return in a word what the request waits for, for the log."""
         if self.is_begun:
             return "the rest of its answer"
@@ -69,11 +69,13 @@
             return "another attempt"
         return "its stages or a worker"
 
-    def end(self, reason: Reason, *, retry_after_s: float) -> Refused | Failed:
+    def failure_outcome(
+        self, reason: Reason, *, retry_after_s: float
+    ) -> Refused | Failed:
         """Return the end of a request that no worker has answered.
 
         Only one that no worker can have begun is said to have not run.
         """
-        if self.is_out or self.may_have_run:
+        if self.is_in_progress or self.may_have_run:
             return Failed(reason=reason, is_begun=self.is_begun)
         return Refused(reason=reason, retry_after_s=retry_after_s)
--- a/src/trefoilpaddle/state/chain/end_rate.py
+++ b/src/trefoilpaddle/state/chain/end_rate.py
@@ -3,10 +3,10 @@
 from collections import deque
 from typing import Final
 
-WITHIN_S: Final = 1.0
+WINDOW_S: Final = 1.0
 """Ends within this time are counted together."""
 
-MAX_ENDED: Final = 16
+MAX_ATTRIBUTED_EXITS: Final = 16
 """Workers that end within that time and may have been crashed by a request.
 
 More lose their power, or their way, together. What ran there is not to blame, and news
@@ -14,27 +14,27 @@
 """
 
 
-MAX_KNOWN: Final = 64
+MAX_REMEMBERED_EXITS: Final = 64
 """Ends that are remembered to be counted together with others."""
 
 
-class EndRate:
+class ExitRate:
     """The workers that have ended last."""
 
     __slots__ = ("_ends",)
 
     def __init__(self) -> None:
-        self._ends: deque[tuple[str, float]] = deque(maxlen=MAX_KNOWN)
+        self._ends: deque[tuple[str, float]] = deque(maxlen=MAX_REMEMBERED_EXITS)
 
-    def takes(self, worker_id: str, ended_s: float) -> bool:
+    def record_exit(self, worker_id: str, ended_s: float) -> bool:
         """Count the end of a worker; return False if it is one of too many.
 
         By the time of the end: what peers remember of hours comes in one message.
         """
         together = {
-            known for known, at_s in self._ends if abs(at_s - ended_s) < WITHIN_S
+            known for known, at_s in self._ends if abs(at_s - ended_s) < WINDOW_S
         }
         if worker_id not in together:
             together.add(worker_id)
             self._ends.append((worker_id, ended_s))
-        return len(together) <= MAX_ENDED
+        return len(together) <= MAX_ATTRIBUTED_EXITS
--- a/src/trefoilpaddle/state/chain/engine_times.py
+++ b/src/trefoilpaddle/state/chain/engine_times.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-FIRST_S: Final = 0.3
+DEFAULT_FIRST_EVENT_S: Final = 0.3
 """Taken until something was measured: a long prompt and a step at a full engine."""
 
 SMOOTHING: Final = 0.1
@@ -13,7 +13,7 @@
 MARGIN: Final = 1.5
 """Times the mean that are left for it: nine requests in ten need less."""
 
-HALF_S: Final = 5.0
+HALF_LIFE_S: Final = 5.0
 """Time without a request in which half of what exceeds `FIRST_S` is forgotten.
 
 With engines taken for too slow, all requests are refused, and none would show better.
@@ -51,10 +51,10 @@
         """Return the seconds to leave for the engine."""
         learnt = self._learnt.get(route)
         if learnt is None:
-            return MARGIN * FIRST_S
-        left: float = 0.5 ** ((time.monotonic() - learnt.learnt_s) / HALF_S)
-        more_s = max(0.0, learnt.mean_s - FIRST_S)
-        return MARGIN * (min(learnt.mean_s, FIRST_S) + left * more_s)
+            return MARGIN * DEFAULT_FIRST_EVENT_S
+        left: float = 0.5 ** ((time.monotonic() - learnt.learnt_s) / HALF_LIFE_S)
+        more_s = max(0.0, learnt.mean_s - DEFAULT_FIRST_EVENT_S)
+        return MARGIN * (min(learnt.mean_s, DEFAULT_FIRST_EVENT_S) + left * more_s)
 
     def learn(self, route: str, took_s: float) -> None:
         """Take in one request's time."""
--- a/src/trefoilpaddle/state/chain/fingerprint.py
+++ b/src/trefoilpaddle/state/chain/fingerprint.py
@@ -12,7 +12,9 @@
 REQUEST_BYTES: Final = 12
 """Part that tells the requests of an account apart."""
 
-FORM: Final = re.compile(f"[0-9a-f]{{{2 * (ACCOUNT_BYTES + REQUEST_BYTES)}}}")
+FINGERPRINT_PATTERN: Final = re.compile(
+    f"[0-9a-f]{{{2 * (ACCOUNT_BYTES + REQUEST_BYTES)}}}"
+)
 
 
 def fingerprint_of(request: CallerRequest, account: str) -> str:
@@ -57,4 +59,4 @@
 
 def is_fingerprint(text: str) -> bool:
     """Return True if `text`, which a peer sent, can be a fingerprint."""
-    return FORM.fullmatch(text) is not None
+    return FINGERPRINT_PATTERN.fullmatch(text) is not None
--- a/src/trefoilpaddle/state/chain/known_worker.py
+++ b/src/trefoilpaddle/state/chain/known_worker.py
@@ -11,10 +11,10 @@
 from .target_answers import WorkerReport
 from .workers import Worker
 
-TURN_S: Final = 0.02
+TURNAROUND_S: Final = 0.02
 """Pause after a call up to which the worker counts as not idle: some round trips."""
 
-FIRST_SHARE: Final = 0.25
+FIRST_CALL_SHARE: Final = 0.25
 """Part of its places that the first call to a worker fills that was only asked.
 
 Its report may hide a memory that results of a scheduler which is gone have filled.
@@ -83,32 +83,32 @@
         return self.times.published_s(n_pieces) * self.times.idle_ratio(now_s)
 
     def offer(
-        self, now_s: float, *, n_passed: int, near_free_in_s: Mapping[str, float]
+        self, now_s: float, *, n_skipped: int, free_in_s_by_domain: Mapping[str, float]
     ) -> CallOffer:
         """Return what it offers to the pieces that wait."""
         return CallOffer(
             worker_id=self._worker.worker_id,
             failure_domain=self._worker.failure_domain,
-            n_places=self._n_places(),
+            max_pieces=self._max_pieces(),
             free_bytes=self.memory.free_bytes(now_s),
             is_empty=self.memory.is_empty(now_s),
             done_s=now_s + self.call_s(1, now_s),
-            n_passed=n_passed,
-            near_free_in_s=near_free_in_s,
+            n_skipped=n_skipped,
+            free_in_s_by_domain=free_in_s_by_domain,
             now_s=now_s,
         )
 
-    def _n_places(self) -> int:
+    def _max_pieces(self) -> int:
         """Return how many pieces its next call may carry."""
         if self._is_proven:
             return self._service.batch
-        return max(1, int(FIRST_SHARE * self._service.batch))
+        return max(1, int(FIRST_CALL_SHARE * self._service.batch))
 
     def begin_call(self, n_pieces: int, now_s: float) -> None:
         """Count a call as sent."""
         self._n_calls += 1
         # Without a pause in which nothing waited, its turn began with the last end.
-        if now_s - self.times.ended_s < TURN_S:
+        if now_s - self.times.ended_s < TURNAROUND_S:
             self._waiting_since_s = self.times.ended_s
         self._busy_until_s = now_s + self.call_s(n_pieces, now_s)
 
@@ -118,7 +118,7 @@
         if not self._n_calls:
             self._busy_until_s = min(self._busy_until_s, now_s)
 
-    def block(self, now_s: float) -> None:
+    def mark_blocked(self, now_s: float) -> None:
         """Count the time from now on as busy: what waits does not fit.
 
         Not from the last call on: after a while without any, a piece that waited
@@ -199,4 +199,4 @@
         self._is_proven = True
         self._busy_until_s = max(self._busy_until_s, now_s + handover.busy_s)
         self.times.take_over(handover.ratio, handover.busy_per_s)
-        self.memory.adopt(handover.held, now_s)
+        self.memory.take_over(handover.held, now_s)
--- a/src/trefoilpaddle/state/chain/piece_queue.py
+++ b/src/trefoilpaddle/state/chain/piece_queue.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .crash_book import Standing
+from .crash_book import CrashStatus
 from .piece_work import PieceFault, PieceWork
 
 MayShare = Callable[[PieceWork], bool]
@@ -26,7 +26,7 @@
         The worker.
     failure_domain : str
         Where it stands; pieces that belong there go first.
-    n_places : int
+    max_pieces : int
         Pieces that its call takes.
     free_bytes : float
         Memory that it has left for results.
@@ -34,9 +34,9 @@
         True if it keeps no result at all.
     done_s : float
         Monotonic time at which a call with one piece would end.
-    n_passed : int
+    n_skipped : int
         Most urgent pieces that other workers have done sooner.
-    near_free_in_s : mapping of str to float
+    free_in_s_by_domain : mapping of str to float
         Seconds until a worker of each other failure domain is free.
     now_s : float
         Monotonic time.
@@ -44,25 +44,25 @@
 
     worker_id: str
     failure_domain: str
-    n_places: int
+    max_pieces: int
     free_bytes: float
     is_empty: bool
     done_s: float
-    n_passed: int = 0
-    near_free_in_s: Mapping[str, float] = field(default_factory=dict)
+    n_skipped: int = 0
+    free_in_s_by_domain: Mapping[str, float] = field(default_factory=dict)
     now_s: float = 0.0
 
     def may_take(self, work: PieceWork) -> bool:
         """Return True unless a piece should go on waiting for a nearer worker."""
-        if self.worker_id in work.avoided:
+        if self.worker_id in work.excluded_workers:
             return False
-        if work.near == self.failure_domain:
+        if work.preferred_domain == self.failure_domain:
             return True
-        near_s = self.near_free_in_s.get(work.near)
+        near_s = self.free_in_s_by_domain.get(work.preferred_domain)
         if near_s is None:
             return True
         waited_s = self.now_s - work.queued_s
-        return waited_s + near_s > work.far_s
+        return waited_s + near_s > work.cross_domain_wait_s
 
 
 class PieceQueue:
@@ -82,11 +82,11 @@
 
     def drain(self) -> list[PieceWork]:
         """Empty the queue; return what waited and is still wanted."""
-        waiting = [work for work in self._waiting if work.is_open]
+        waiting = [work for work in self._waiting if work.is_pending]
         self._waiting.clear()
         return waiting
 
-    def drop_hopeless(self, done_s: float) -> None:
+    def drop_unservable(self, done_s: float) -> None:
         """Take out what nobody waits for; tell what cannot be done by its deadline.
 
         Parameters
@@ -94,28 +94,28 @@
         done_s : float
             Monotonic time at which the next call could end at the soonest.
         """
-        waiting = [work for work in self._waiting if work.is_open]
+        waiting = [work for work in self._waiting if work.is_pending]
         self._waiting = [work for work in waiting if work.deadline_s >= done_s]
         for work in waiting:
             if work.deadline_s < done_s:
-                work.settle(PieceFault.LATE)
+                work.resolve(PieceFault.LATE)
 
-    def allow_avoided(self, worker_ids: set[str]) -> None:
+    def allow_excluded(self, worker_ids: set[str]) -> None:
         """Let pieces go to workers that have failed them where there are no others."""
         for work in self._waiting:
-            if work.avoided and work.avoided >= worker_ids:
-                work.avoided = frozenset()
+            if work.excluded_workers and work.excluded_workers >= worker_ids:
+                work.excluded_workers = frozenset()
 
-    def first(self, done_s: float) -> PieceWork | None:
+    def most_urgent(self, done_s: float) -> PieceWork | None:
         """Return the most urgent piece, or None."""
         return min(self._waiting, key=lambda w: _order(w, "", done_s), default=None)
 
-    def drop_blocked(self, standing: Callable[[str], Standing]) -> None:
+    def drop_blocked(self, status: Callable[[str], CrashStatus]) -> None:
         """Give up the pieces of requests that are sent to no worker."""
         for work in self._waiting:
-            if standing(work.fingerprint) is Standing.BLOCKED:
-                work.settle(PieceFault.CRASHES_WORKERS)
-        self._waiting = [work for work in self._waiting if work.is_open]
+            if status(work.fingerprint) is CrashStatus.BLOCKED:
+                work.resolve(PieceFault.CRASHES_WORKERS)
+        self._waiting = [work for work in self._waiting if work.is_pending]
 
     def take_batch(
         self, offer: CallOffer, may_share: MayShare | None = None
@@ -145,13 +145,13 @@
         """
         wanted = [work for work in self._waiting if offer.may_take(work)]
         wanted.sort(key=lambda w: _order(w, offer.failure_domain, offer.done_s))
-        wanted = wanted[offer.n_passed :]
+        wanted = wanted[offer.n_skipped :]
         if may_share is not None:
             wanted = list(filter(may_share, wanted))
         batch: list[PieceWork] = []
         free_bytes = offer.free_bytes
         for group in _by_stage(wanted):
-            part = _fitting(group, free_bytes, offer.n_places - len(batch))
+            part = _fitting(group, free_bytes, offer.max_pieces - len(batch))
             # A stage is of use only when all of its pieces are there. A part
             # that rides ahead takes memory from others and speeds nothing up.
             if len(part) == len(group) or not batch:
@@ -165,7 +165,9 @@
 
     def n_on_time(self, done_s: float) -> int:
         """Return how many waiting pieces can still be on time; they go first."""
-        on_time = [w for w in self._waiting if w.due_s >= done_s and not w.end.done()]
+        on_time = [
+            w for w in self._waiting if w.due_s >= done_s and not w.outcome.done()
+        ]
         return len(on_time)
 
 
@@ -198,5 +200,7 @@
 def _order(work: PieceWork, failure_domain: str, done_s: float) -> tuple[bool, float]:
     """Return the place of a piece; one that belongs in the domain comes sooner."""
     is_late = work.due_s < done_s
-    near_s = work.far_s if work.near == failure_domain else 0.0
+    near_s = (
+        work.cross_domain_wait_s if work.preferred_domain == failure_domain else 0.0
+    )
     return is_late, (work.deadline_s if is_late else work.due_s) - near_s
--- a/src/trefoilpaddle/state/chain/piece_times.py
+++ b/src/trefoilpaddle/state/chain/piece_times.py
@@ -11,7 +11,7 @@
 MAX_RATIO: Final = 8.0
 """Learnt slowness of a worker is cut here; beyond, it is as good as away."""
 
-FIRST_PACE_SHARE: Final = 0.65
+INITIAL_PACE_SHARE: Final = 0.65
 """Part of the pace with full calls that is believed until calls have shown it.
 
 Calls are rarely full, and memory for results binds. With all of it a new scheduler
@@ -24,7 +24,7 @@
 MIN_CALL_S: Final = 1e-3
 """Shortest time that a call is taken to have, so that ratios stay finite."""
 
-RELAX_S: Final = 2.0
+RATIO_HALF_LIFE_S: Final = 2.0
 """Time in which half of a worker's learnt slowness is forgotten while it idles.
 
 A slow worker is given little, so calls do not tell that it has recovered.
@@ -58,7 +58,7 @@
         self._ended_s = 0.0
         self.ratio = 1.0
         full_per_s = service.batch / self.published_s(service.batch)
-        self.busy_per_s = FIRST_PACE_SHARE * full_per_s
+        self.busy_per_s = INITIAL_PACE_SHARE * full_per_s
 
     def published_s(self, n_pieces: int) -> float:
         """Return the published seconds of a call with `n_pieces`."""
@@ -73,7 +73,7 @@
         if self.ratio <= 1.0:
             return self.ratio
         idle_s = max(0.0, now_s - self._ended_s)
-        return 1.0 + (self.ratio - 1.0) * math.exp2(-idle_s / RELAX_S)
+        return 1.0 + (self.ratio - 1.0) * math.exp2(-idle_s / RATIO_HALF_LIFE_S)
 
     def take_over(self, ratio: float, busy_per_s: float) -> None:
         """Go on from what another scheduler has learnt."""
--- a/src/trefoilpaddle/state/chain/piece_work.py
+++ b/src/trefoilpaddle/state/chain/piece_work.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PieceMade:
+class PieceResult:
     """A piece whose result waits at its maker.
 
     Parameters
@@ -49,7 +49,7 @@
     born_ms: int = 0
 
 
-PieceEnd = PieceMade | PieceFault
+PieceOutcome = PieceResult | PieceFault
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -78,19 +78,19 @@
         Monotonic time by which it should be done for the request to be on time.
     deadline_s : float
         Monotonic time after which nobody waits for it.
-    near : str
+    preferred_domain : str
         Failure domain where it should be made; empty for any.
-    far_s : float
+    cross_domain_wait_s : float
         Wait that is borne for being made there.
     queued_s : float
         Monotonic time at which it was queued first.
-    avoided : frozenset of str
+    excluded_workers : frozenset of str
         Workers that have failed it; others go first.
     worker_id : str
         Worker that it was sent to last; empty before.
     on_fetched : callable
         Called once its worker has fetched its inputs.
-    end : asyncio.Future of PieceEnd
+    outcome : asyncio.Future of PieceOutcome
         Set when it is made or given up.
     """
 
@@ -105,22 +105,22 @@
     result_bytes: float = 0.0
     due_s: float
     deadline_s: float
-    near: str = ""
-    far_s: float = 0.0
+    preferred_domain: str = ""
+    cross_domain_wait_s: float = 0.0
     queued_s: float = 0.0
-    avoided: frozenset[str] = frozenset()
+    excluded_workers: frozenset[str] = frozenset()
     worker_id: str = ""
     on_fetched: Callable[[], None] | None = None
-    end: "asyncio.Future[PieceEnd]" = field(
+    outcome: "asyncio.Future[PieceOutcome]" = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
-    def settle(self, end: PieceEnd) -> None:
+    def resolve(self, outcome: PieceOutcome) -> None:
         """Tell the waiting request how it ended, if it still waits."""
-        if not self.end.done():
-            self.end.set_result(end)
+        if not self.outcome.done():
+            self.outcome.set_result(outcome)
 
     @property
-    def is_open(self) -> bool:
+    def is_pending(self) -> bool:
         """True while somebody waits for it."""
-        return not self.end.done()
+        return not self.outcome.done()
--- a/src/trefoilpaddle/state/chain/prompt_record.py
+++ b/src/trefoilpaddle/state/chain/prompt_record.py
@@ -13,7 +13,7 @@
 MAX_HOLDERS: Final = 1_000
 """Engines remembered for each prefix; more than a fleet of 910 workers has at all."""
 
-PREFIX_KEEP_S: Final = 60.0
+PREFIX_RETENTION_S: Final = 60.0
 """Age after which a prefix is taken as evicted; engines turn over faster under load."""
 
 
@@ -24,10 +24,10 @@
 
     def __init__(self) -> None:
         self._holders: PrefixHolders[str] = PrefixHolders(
-            n_prefixes=MAX_PREFIXES, n_holders=MAX_HOLDERS, keep_s=PREFIX_KEEP_S
+            n_prefixes=MAX_PREFIXES, n_holders=MAX_HOLDERS, keep_s=PREFIX_RETENTION_S
         )
 
-    def note(self, worker_id: str, prompt: Prompt) -> None:
+    def record(self, worker_id: str, prompt: Prompt) -> None:
         """Remember that an engine has read a prompt."""
         prefixes = (prefix for prefix, _ in _prefixes(prompt))
         self._holders.note(prefixes, worker_id, time.monotonic())
--- a/src/trefoilpaddle/state/chain/refused_chains.py
+++ b/src/trefoilpaddle/state/chain/refused_chains.py
@@ -4,14 +4,14 @@
 from collections import OrderedDict
 from typing import Final
 
-REMEMBER_S: Final = 10.0
+RETENTION_S: Final = 10.0
 """How long a refused chain is known again; callers come back within a third of
 their deadline, and the longest is twenty seconds."""
 
 MAX_REMEMBERED: Final = 20_000
 """Refused chains remembered; ten seconds of the most that one scheduler can refuse."""
 
-CALM_AFTER_S: Final = 1.0
+OVERLOAD_GAP_S: Final = 1.0
 """Without a refusal for this long, the load that caused them is over."""
 
 MIN_RETRY_AFTER_S: Final = 0.3
@@ -37,13 +37,13 @@
     def first_due_s(self, key: str, now_s: float) -> float | None:
         """Return when a chain was due that is here again; None for a new one."""
         known = self._due_s.get(key)
-        if known is None or now_s - known[0] > REMEMBER_S:
+        if known is None or now_s - known[0] > RETENTION_S:
             return None
         return known[1]
 
-    def note(self, key: str, due_s: float, now_s: float) -> None:
+    def record(self, key: str, due_s: float, now_s: float) -> None:
         """Remember a refusal; the first due time of a chain stays."""
-        if now_s - self._last_s > CALM_AFTER_S:
+        if now_s - self._last_s > OVERLOAD_GAP_S:
             self._began_s = now_s
         self._last_s = now_s
         first_s = self.first_due_s(key, now_s)
--- a/src/trefoilpaddle/state/chain/repeat_budget.py
+++ b/src/trefoilpaddle/state/chain/repeat_budget.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final
 
-SAFETY: Final = 0.8
+SAFETY_FACTOR: Final = 0.8
 """Part of the published share that is used.
 
 Gateways count their own windows, which slide against one another, and a
@@ -65,7 +65,7 @@
         self._forget(self._requests_s, now_s)
         self._forget(self._repeats_s, now_s)
         share = self._slack / max(1, self._n_gateways())
-        allowed = SAFETY * (self._ratio * len(self._requests_s) + share)
+        allowed = SAFETY_FACTOR * (self._ratio * len(self._requests_s) + share)
         if len(self._repeats_s) + 1 > allowed:
             return False
         self._repeats_s.append(now_s)
@@ -101,7 +101,7 @@
         self._window_s = window_s
         self._by_service: dict[str, RepeatBudget] = {}
 
-    def of(self, service: str) -> RepeatBudget:
+    def for_service(self, service: str) -> RepeatBudget:
         """Return the budget of a service."""
         budget = self._by_service.get(service)
         if budget is None:
--- a/src/trefoilpaddle/state/chain/requests.py
+++ b/src/trefoilpaddle/state/chain/requests.py
@@ -53,7 +53,7 @@
         Whole.
     body_digest : bytes
         Hash of the body.
-    came_s : float
+    received_s : float
         Monotonic time at which its first byte was read.
     deadline_s : float
         Monotonic time until which the caller waits.
@@ -77,7 +77,7 @@
     headers: tuple[Header, ...]
     body: bytes
     body_digest: bytes
-    came_s: float
+    received_s: float
     deadline_s: float
     key: str = ""
     prompt: Prompt | None = None
--- a/src/trefoilpaddle/state/chain/result_memory.py
+++ b/src/trefoilpaddle/state/chain/result_memory.py
@@ -7,20 +7,20 @@
 from .cell_handover import HeldResult
 from .routes import PieceService
 
-TRY_S: Final = 0.5
+PROBE_INTERVAL_S: Final = 0.5
 """Time after which memory for one more result is tried where one found none.
 
 An eighth of the time after which results run out that nobody frees, as published
 so far: at most eight results find none after a scheduler is lost.
 """
 
-FIT_SHARE: Final = 0.9
+ASSUMED_FREE_SHARE: Final = 0.9
 """Part of a result that found no memory which is believed to be free after all.
 
 Smaller results of other stages often fit where a large one does not.
 """
 
-SHORT_SHARE: Final = 0.5
+LOW_MEMORY_SHARE: Final = 0.5
 """Part of the memory from which on it counts as short: a full call or two are left."""
 
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ForeignResults:
+class ExternalResults:
     """What others than this scheduler are believed to keep at a worker.
 
     Parameters
@@ -100,17 +100,17 @@
         self._kept_bytes: float | None = 0.0
         self._first_over_s = float("inf")
         self._sent_bytes = 0.0
-        self._foreign = ForeignResults()
+        self._foreign = ExternalResults()
 
     def is_empty(self, now_s: float) -> bool:
         """Return True if nothing is known to be kept."""
         return not self.used_bytes(now_s)
 
-    def is_short(self, now_s: float) -> bool:
+    def is_low(self, now_s: float) -> bool:
         """Return True if so much is kept that what is read should go at once."""
-        return self.used_bytes(now_s) > SHORT_SHARE * self.service.memory_bytes
+        return self.used_bytes(now_s) > LOW_MEMORY_SHARE * self.service.memory_bytes
 
-    def send(self, n_bytes: float) -> None:
+    def begin_call(self, n_bytes: float) -> None:
         """Count the results of a call from its sending on."""
         self._sent_bytes += n_bytes
 
@@ -120,7 +120,7 @@
 
     def keep(self, handle: str, n_bytes: float, now_s: float) -> None:
         """Count a result that waits at the worker from now on."""
-        self._put(handle, n_bytes, now_s + self.service.keep_s)
+        self._put(handle, n_bytes, now_s + self.service.retention_s)
 
     def free(self, handle: str) -> None:
         """Count a result as gone from the worker."""
@@ -141,8 +141,8 @@
         # What is left of it cannot be kept longer than it could before.
         until_s = self._foreign.until_s
         if n_bytes > known_bytes:
-            until_s = now_s + self.service.keep_s
-        self._foreign = ForeignResults(
+            until_s = now_s + self.service.retention_s
+        self._foreign = ExternalResults(
             n_bytes=n_bytes,
             at_s=now_s,
             until_s=until_s,
@@ -169,14 +169,14 @@
             What this scheduler's results took when it found none.
         """
         free_bytes = self.service.memory_bytes - own_bytes
-        self._foreign = ForeignResults(
-            n_bytes=max(0.0, free_bytes - FIT_SHARE * result_bytes),
+        self._foreign = ExternalResults(
+            n_bytes=max(0.0, free_bytes - ASSUMED_FREE_SHARE * result_bytes),
             at_s=now_s,
-            until_s=now_s + self.service.keep_s,
-            freed_per_s=result_bytes / TRY_S,
+            until_s=now_s + self.service.retention_s,
+            freed_per_s=result_bytes / PROBE_INTERVAL_S,
         )
 
-    def has_foreign(self, now_s: float) -> bool:
+    def has_external_results(self, now_s: float) -> bool:
         """Return True while others are believed to keep something there."""
         return self._foreign.bytes_at(now_s) > 0.0
 
@@ -192,14 +192,16 @@
         """Return the results of this scheduler that wait there."""
         self._drop_over(now_s)
         return tuple(
-            HeldResult(handle=handle, n_bytes=kept.n_bytes, left_s=kept.until_s - now_s)
+            HeldResult(
+                handle=handle, n_bytes=kept.n_bytes, expires_in_s=kept.until_s - now_s
+            )
             for handle, kept in self._kept.items()
         )
 
-    def adopt(self, held: Iterable[HeldResult], now_s: float) -> None:
+    def take_over(self, held: Iterable[HeldResult], now_s: float) -> None:
         """Count what another scheduler has had made."""
         for each in held:
-            self._put(each.handle, each.n_bytes, now_s + each.left_s)
+            self._put(each.handle, each.n_bytes, now_s + each.expires_in_s)
 
     def own_bytes(self, now_s: float) -> float:
         """Return the bytes of this scheduler's results, those of calls included."""
--- a/src/trefoilpaddle/state/chain/routes.py
+++ b/src/trefoilpaddle/state/chain/routes.py
@@ -6,7 +6,7 @@
 
 
 @unique
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """What may be done with a request that may have run already."""
 
     IDEMPOTENT = "idempotent"
@@ -65,7 +65,7 @@
     target_latency_s : float
         Time from the caller's sending within which the answer, or the first
         event of it, is worth its full value.
-    event_patience_s : float
+    event_timeout_s : float
         Time after which callers of a stream have left if no event came; they wait as
         long for the first. Endless for other answers.
     priority : int
@@ -80,13 +80,13 @@
     host: str
     prefix: str
     splits: tuple[Split, ...]
-    repeat: Repeat
+    repeat: RepeatPolicy
     is_stream: bool = False
     is_resumable: bool = False
     max_attempts: int = 1
     timeout_s: float
     target_latency_s: float
-    event_patience_s: float = float("inf")
+    event_timeout_s: float = float("inf")
     priority: int = 0
     stages: tuple[StagePlan, ...] = ()
     is_public: bool = False
@@ -135,7 +135,7 @@
         Time of a call, whatever it carries, and of each piece in it.
     memory_bytes : float
         Memory of one worker for results that wait to be read.
-    keep_s : float
+    retention_s : float
         How long after its call a result is kept unless it is freed before.
     """
 
@@ -145,7 +145,7 @@
     call_s: float
     piece_s: float
     memory_bytes: float
-    keep_s: float
+    retention_s: float
 
 
 Service = PlainService | EngineService | PieceService
--- a/src/trefoilpaddle/state/chain/worker_runs.py
+++ b/src/trefoilpaddle/state/chain/worker_runs.py
@@ -8,7 +8,7 @@
 
 
 @unique
-class RunEnd(Enum):
+class RunOutcome(Enum):
     """How the run of a request at a worker ended, as its gateway saw it."""
 
     ANSWERED = "answered"
@@ -25,21 +25,21 @@
     """The caller left; what became of the run was not seen."""
 
 
-def end_of_fault(fault: CallFault) -> RunEnd:
+def outcome_of_fault(fault: CallFault) -> RunOutcome:
     """Return how a run ended that a call's fault ended."""
     match fault:
         case CallFault.REFUSED:
-            return RunEnd.REFUSED
+            return RunOutcome.REFUSED
         case CallFault.BROKEN:
-            return RunEnd.BROKEN
+            return RunOutcome.BROKEN
         case CallFault.SILENT:
-            return RunEnd.SILENT
+            return RunOutcome.SILENT
         case _:
-            return RunEnd.NOT_RUN
+            return RunOutcome.NOT_RUN
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OpenEndedRun:
+class UnansweredRun:
     """A run that has no answer; its worker may have ended under it.
 
     Parameters
@@ -52,7 +52,7 @@
         Crashes of the request that were known as it began.
     ended_s : float
         Monotonic time of its end.
-    end : RunEnd
+    outcome : RunOutcome
         How it ended.
     """
 
@@ -60,4 +60,4 @@
     fingerprint: str
     level: int
     ended_s: float
-    end: RunEnd
+    outcome: RunOutcome
--- a/src/trefoilpaddle/state/chain/workers.py
+++ b/src/trefoilpaddle/state/chain/workers.py
@@ -16,7 +16,7 @@
 """
 
 
-MAX_GONE: Final = 4096
+MAX_REMOVED: Final = 4096
 """Workers that are gone whose start is remembered; weeks of replacements."""
 
 
@@ -95,7 +95,7 @@
         Rises whenever what is listed changes.
     leave_listeners : list of callable
         Called with each worker that may get no more work.
-    end_listeners : list of callable
+    restart_listeners : list of callable
         Called with each worker that has started again since: what it held and
         what it was doing are gone. Its leave listeners are called after.
     new_listeners : list of callable
@@ -109,9 +109,9 @@
         "_suspect_until_s",
         "_usable",
         "digest",
-        "end_listeners",
         "leave_listeners",
         "new_listeners",
+        "restart_listeners",
         "version",
     )
 
@@ -124,7 +124,7 @@
         self.digest = 0
         self.version = 0
         self.leave_listeners: list[Callable[[Worker], None]] = []
-        self.end_listeners: list[Callable[[Worker], None]] = []
+        self.restart_listeners: list[Callable[[Worker], None]] = []
         self.new_listeners: list[Callable[[Worker], None]] = []
 
     def __len__(self) -> int:
@@ -140,7 +140,7 @@
         if known == worker or worker.born_ms < self._newest_born_ms(worker.worker_id):
             return False
         if known is not None and worker.born_ms > known.born_ms:
-            for listener in self.end_listeners:
+            for listener in self.restart_listeners:
                 listener(known)
             self.remove(worker.worker_id)
             known = None
@@ -169,7 +169,7 @@
         self._suspect_until_s.pop(worker_id, None)
         self._gone_born_ms[worker_id] = worker.born_ms
         self._gone_born_ms.move_to_end(worker_id)
-        while len(self._gone_born_ms) > MAX_GONE:
+        while len(self._gone_born_ms) > MAX_REMOVED:
             self._gone_born_ms.popitem(last=False)
         self._note_change()
         self._tell_leaving(worker)
@@ -179,7 +179,7 @@
         """Return a worker that is listed, or None."""
         return self._by_id.get(worker_id)
 
-    def is_gone(self, worker: Worker) -> bool:
+    def is_removed(self, worker: Worker) -> bool:
         """Return True if this start of a worker was listed and is no more."""
         gone_born_ms = self._gone_born_ms.get(worker.worker_id)
         if gone_born_ms is None or worker.worker_id in self._by_id:
@@ -194,7 +194,7 @@
         """Return all listed workers."""
         return list(self._by_id.values())
 
-    def suspect(self, worker: Worker, for_s: float = SUSPECT_S) -> None:
+    def mark_suspect(self, worker: Worker, for_s: float = SUSPECT_S) -> None:
         """Pass over a worker that did not answer, for a while.
 
         A call to an earlier start that breaks says nothing of this one.
@@ -203,7 +203,7 @@
             self._suspect_until_s[worker.worker_id] = time.monotonic() + for_s
             self._usable.pop(worker.service, None)
 
-    def trust(self, worker: Worker) -> None:
+    def clear_suspicion(self, worker: Worker) -> None:
         """Use a worker again: it has answered."""
         if worker.worker_id in self._suspect_until_s and worker.is_same_start(
             self._by_id.get(worker.worker_id)
@@ -221,7 +221,7 @@
         return list(self._by_service.get(service, {}).values())
 
     def usable(
-        self, service: str, *, without: Collection[str] = ()
+        self, service: str, *, excluded: Collection[str] = ()
     ) -> Sequence[Worker]:
         """Return the workers of a service that may get work.
 
@@ -229,22 +229,22 @@
         is worth more than refusing all. The same object is returned until another
         worker may get work.
         """
-        if without:
-            return self._find_usable(service, without)
+        if excluded:
+            return self._find_usable(service, excluded)
         known = self._usable.get(service)
         if known is None or time.monotonic() >= known.until_s:
             known = UsableWorkers(
-                workers=self._find_usable(service, without),
+                workers=self._find_usable(service, excluded),
                 until_s=self._next_trusted_s(service),
             )
             self._usable[service] = known
         return known.workers
 
-    def _find_usable(self, service: str, without: Collection[str]) -> list[Worker]:
+    def _find_usable(self, service: str, excluded: Collection[str]) -> list[Worker]:
         listed = [
             worker
             for worker in self._by_service.get(service, {}).values()
-            if not worker.is_leaving and worker.worker_id not in without
+            if not worker.is_leaving and worker.worker_id not in excluded
         ]
         trusted = [w for w in listed if not self.is_suspect(w.worker_id)]
         return trusted or listed
--- a/tests/chain/__main__.py
+++ b/tests/chain/__main__.py
@@ -24,7 +24,7 @@
 )
 from trefoilpaddle.replay.fleet_measure import numbers_of
 from trefoilpaddle.state.chain import known_worker
-from trefoilpaddle.state.chain.bearable_waits import BearableWaits
+from trefoilpaddle.state.chain.bearable_waits import TolerableWaits
 
 from ..published.store_costs import print_costs
 from .cell_loads import BUSY_DAY, TIGHT_DAY, UNEVEN_DAY, Load
@@ -46,9 +46,11 @@
     "overdue_queue": lambda patch: patch.setattr(overdue_queue, "MAX_WAITING", 0),
     "near_workers": _without_distance,
     "urgent_shares": lambda patch: patch.setattr(
-        BearableWaits, "of_more_urgent", lambda *_: float("inf")
+        TolerableWaits, "min_of_more_urgent_s", lambda *_: float("inf")
+    ),
+    "small_first_call": lambda patch: patch.setattr(
+        known_worker, "FIRST_CALL_SHARE", 1.0
     ),
-    "small_first_call": lambda patch: patch.setattr(known_worker, "FIRST_SHARE", 1.0),
 }
 
 
--- a/tests/chain/cell_loads.py
+++ b/tests/chain/cell_loads.py
@@ -77,7 +77,7 @@
         call_s=0.2,
         piece_s=0.017,
         memory_bytes=22e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
     PieceService(
         name="check",
@@ -86,7 +86,7 @@
         call_s=0.2,
         piece_s=0.004,
         memory_bytes=5.6e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
     PieceService(
         name="draw",
@@ -95,7 +95,7 @@
         call_s=0.2,
         piece_s=0.0027,
         memory_bytes=0.84e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
 )
 LONG = Kind(
@@ -160,7 +160,7 @@
         call_s=0.24,
         piece_s=0.05,
         memory_bytes=4.8e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
     PieceService(
         name="check",
@@ -169,7 +169,7 @@
         call_s=0.24,
         piece_s=0.015,
         memory_bytes=1.4e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
     PieceService(
         name="draw",
@@ -178,7 +178,7 @@
         call_s=0.24,
         piece_s=0.011,
         memory_bytes=0.2e6,
-        keep_s=4.0,
+        retention_s=4.0,
     ),
 )
 CASE = Kind(
--- a/tests/chain/cell_model.py
+++ b/tests/chain/cell_model.py
@@ -17,11 +17,11 @@
 
 from trefoilpaddle.coordination.chain.cell_dispatch import CellDispatch
 from trefoilpaddle.coordination.chain.chain_scheduler import ChainScheduler
-from trefoilpaddle.state.chain.chain_work import ChainEnd, ChainFailed, ChainWork
+from trefoilpaddle.state.chain.chain_work import ChainFailed, ChainOutcome, ChainWork
 from trefoilpaddle.state.chain.piece_work import (
-    PieceEnd,
     PieceFault,
-    PieceMade,
+    PieceOutcome,
+    PieceResult,
     PieceWork,
 )
 from trefoilpaddle.state.chain.target_answers import CallFault, WorkerReport
@@ -139,7 +139,7 @@
         timeout_s: float,
         on_sent: Callable[[], None],
         gateway: str = "",
-    ) -> Result[list[PieceEnd], CallFault]:
+    ) -> Result[list[PieceOutcome], CallFault]:
         began_s = time.monotonic()
         on_sent()
         service = self._services[at.service]
@@ -152,7 +152,7 @@
         async with self._locks.setdefault(at.worker_id, asyncio.Lock()):
             self._count_far(at, works)
             self._drop_over(kept)
-            ends: list[PieceEnd] = []
+            ends: list[PieceOutcome] = []
             took_s = service.call_s
             for work in works:
                 name = f"{at.worker_id}/{work.request_id}.{work.stage}.{work.piece}"
@@ -161,9 +161,9 @@
                     ends.append(PieceFault.NO_MEMORY)
                     continue
                 kept[name] = n_bytes
-                self._until_s[name] = time.monotonic() + service.keep_s + took_s
+                self._until_s[name] = time.monotonic() + service.retention_s + took_s
                 took_s += service.piece_s * self._work[work.route, work.stage]
-                ends.append(PieceMade(handle=name, worker_id=at.worker_id))
+                ends.append(PieceResult(handle=name, worker_id=at.worker_id))
             await asyncio.sleep(took_s * self._rng.uniform(1.0, 1.14))
         self._n_calls[at.worker_id] -= 1
         self._outcome.n_calls[at.service] += 1
@@ -232,7 +232,7 @@
 class Chain:
     """How a chain ended, and what frees its results."""
 
-    end: ChainEnd
+    end: ChainOutcome
     free: Callable[[], object] = lambda: None
 
 
@@ -347,7 +347,7 @@
             deadline_s=min(
                 began_s + kind.deadline_s, came_s + kind.patience_s - kind.engine_s
             ),
-            near=self._rng.choice("abcd"),
+            preferred_domain=self._rng.choice("abcd"),
             priority=kind.priority,
         )
 
--- a/tests/chain/crash_costs.py
+++ b/tests/chain/crash_costs.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from trefoilpaddle.state.chain.worker_runs import RunEnd
+from trefoilpaddle.state.chain.worker_runs import RunOutcome
 
 from .crash_fleet import crash_fleet
 
@@ -14,7 +14,7 @@
         began_s = time.monotonic()
         await asyncio.gather(
             *(
-                fleet.run_at(n % n_gateways, "w0", f"{n:032x}", RunEnd.BROKEN)
+                fleet.run_at(n % n_gateways, "w0", f"{n:032x}", RunOutcome.BROKEN)
                 for n in range(n_requests)
             )
         )
--- a/tests/chain/crash_fleet.py
+++ b/tests/chain/crash_fleet.py
@@ -11,8 +11,8 @@
 from trefoilpaddle.coordination.chain.crash_relay import CrashRelay
 from trefoilpaddle.coordination.members.overlay import neighbours
 from trefoilpaddle.protocol.frames import Message, decode, encode
-from trefoilpaddle.state.chain.crash_book import CrashBook, Standing
-from trefoilpaddle.state.chain.worker_runs import RunEnd
+from trefoilpaddle.state.chain.crash_book import CrashRegistry, CrashStatus
+from trefoilpaddle.state.chain.worker_runs import RunOutcome
 from trefoilpaddle.state.chain.workers import WorkerTable
 from trefoilpaddle.transport.connection import Address
 
@@ -31,7 +31,7 @@
         self.workers = WorkerTable()
         for each in range(n_workers):
             self.workers.put(replace(worker(f"w{each}"), born_ms=1))
-        self.book = CrashBook()
+        self.book = CrashRegistry()
         self.notes = journal()
         self.relay = CrashRelay(
             process=self.process, links=lambda: self.links, book=self.book
@@ -94,7 +94,7 @@
             ]
 
     async def run_at(
-        self, number: int, worker_id: str, fingerprint: str, end: RunEnd
+        self, number: int, worker_id: str, fingerprint: str, end: RunOutcome
     ) -> None:
         """Run a request at a worker; one that ends broken ends the worker."""
         gateway = self.every[number]
@@ -103,7 +103,7 @@
         with gateway.guard.running(at, fingerprint) as run:
             await asyncio.sleep(0.002)
             run.end = end
-            if end is RunEnd.BROKEN:
+            if end is RunOutcome.BROKEN:
                 self.calls.refusing.add(worker_id)
         await gateway.guard.settled(at)
 
@@ -115,9 +115,9 @@
             assert known is not None
             gateway.workers.put(replace(known, born_ms=known.born_ms + 1))
 
-    def standings(self, fingerprint: str) -> set[Standing]:
+    def standings(self, fingerprint: str) -> set[CrashStatus]:
         """Return what the gateways hold of a request."""
-        return {gateway.book.standing(fingerprint) for gateway in self.every}
+        return {gateway.book.status(fingerprint) for gateway in self.every}
 
 
 @contextlib.asynccontextmanager
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -18,14 +18,14 @@
     TargetCalls,
 )
 from trefoilpaddle.roles.process import Identity, Process
-from trefoilpaddle.state.chain.crash_book import CrashBook
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceMade, PieceWork
+from trefoilpaddle.state.chain.crash_book import CrashRegistry
+from trefoilpaddle.state.chain.piece_work import PieceOutcome, PieceResult, PieceWork
 from trefoilpaddle.state.chain.repeat_budget import RepeatBudgets
 from trefoilpaddle.state.chain.requests import CallerRequest
 from trefoilpaddle.state.chain.routes import (
     PieceService,
     PlainService,
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     Split,
@@ -63,7 +63,7 @@
         "call_s": 0.02,
         "piece_s": 0.001,
         "memory_bytes": 1e6,
-        "keep_s": 4.0,
+        "retention_s": 4.0,
     }
     return PieceService(name=name, **(known | fields))  # type: ignore[arg-type]
 
@@ -74,7 +74,7 @@
         "host": "h",
         "prefix": "/",
         "splits": (Split(service="plain", weight=1.0),),
-        "repeat": Repeat.NON_IDEMPOTENT,
+        "repeat": RepeatPolicy.NON_IDEMPOTENT,
         "timeout_s": 2.0,
         "target_latency_s": 0.5,
     }
@@ -101,7 +101,7 @@
         "headers": (),
         "body": b"",
         "body_digest": b"",
-        "came_s": now_s,
+        "received_s": now_s,
         "deadline_s": now_s + 2.0,
     }
     return CallerRequest(**(known | fields))  # type: ignore[arg-type]
@@ -146,9 +146,9 @@
     sent: list[tuple[str, TargetCall]] = field(default_factory=list)
     batches: list[list[PieceWork]] = field(default_factory=list)
     freed: list[str] = field(default_factory=list)
-    make: Callable[[Worker, Sequence[PieceWork]], list[PieceEnd] | CallFault] | None = (
-        None
-    )
+    make: (
+        Callable[[Worker, Sequence[PieceWork]], list[PieceOutcome] | CallFault] | None
+    ) = None
     call_s: float = 0.01
     sending_s: float = 0.0
     free_gate: asyncio.Event | None = None
@@ -176,7 +176,7 @@
         *,
         timeout_s: float,
         on_sent: Callable[[], None],
-    ) -> Result[list[PieceEnd], CallFault]:
+    ) -> Result[list[PieceOutcome], CallFault]:
         self.batches.append(list(works))
         if self.sending_s:
             await asyncio.sleep(self.sending_s)
@@ -204,9 +204,9 @@
         return True
 
 
-def made(worker: Worker, work: PieceWork) -> PieceMade:
+def made(worker: Worker, work: PieceWork) -> PieceResult:
     handle = f"{worker.worker_id}/{work.request_id}.{work.stage}.{work.piece}"
-    return PieceMade(handle=handle, worker_id=worker.worker_id)
+    return PieceResult(handle=handle, worker_id=worker.worker_id)
 
 
 @dataclass
@@ -251,7 +251,7 @@
 
 
 def crash_guard(calls: TargetCalls, workers: WorkerTable) -> CrashGuard:
-    book = CrashBook()
+    book = CrashRegistry()
     return CrashGuard(
         workers=workers,
         calls=calls,
--- a/tests/chain/fleet_model.py
+++ b/tests/chain/fleet_model.py
@@ -25,7 +25,7 @@
 from trefoilpaddle.protocol.gen.stage.ttypes import Hello
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.chain_work import ChainFailed, ChainWork
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceWork
+from trefoilpaddle.state.chain.piece_work import PieceOutcome, PieceWork
 from trefoilpaddle.state.chain.target_answers import CallFault, WorkerReport
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 from trefoilpaddle.state.members import MemberRecord
@@ -148,7 +148,7 @@
         *,
         timeout_s: float,
         on_sent: Callable[[], None],
-    ) -> Result[list[PieceEnd], CallFault]:
+    ) -> Result[list[PieceOutcome], CallFault]:
         if not self._own.is_up:
             return Err(CallFault.UNREACHABLE)
         # A worker goes on with a call whose caller is gone.
--- a/tests/chain/test_answer_bound.py
+++ b/tests/chain/test_answer_bound.py
@@ -38,7 +38,7 @@
 
 async def for_the_rest(delivery: Delivery) -> None:
     with delivery.at_worker():
-        delivery.begin()
+        delivery.begin_answer()
         await asyncio.sleep(LONG_S)
 
 
@@ -55,7 +55,7 @@
         async with stop.bounding(delivery, deadline_s):
             await wait(delivery)
     except AnswerDueError as due:
-        return delivery.end(due.reason, retry_after_s=0.0)
+        return delivery.failure_outcome(due.reason, retry_after_s=0.0)
     raise AssertionError("it went on to its own end")
 
 
--- a/tests/chain/test_attempts.py
+++ b/tests/chain/test_attempts.py
@@ -10,11 +10,11 @@
 from trefoilpaddle.coordination.chain.job import Job
 from trefoilpaddle.coordination.chain.worker_choice import Need, WorkerChoice
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.chain.apart_runs import ApartRun
+from trefoilpaddle.state.chain.apart_runs import IsolatedRun
 from trefoilpaddle.state.chain.crash_book import Crash
 from trefoilpaddle.state.chain.delivery import Delivery
 from trefoilpaddle.state.chain.requests import Answered, Failed, Refused
-from trefoilpaddle.state.chain.routes import Account, Repeat, Route
+from trefoilpaddle.state.chain.routes import Account, RepeatPolicy, Route
 from trefoilpaddle.state.chain.target_answers import AnswerHead, CallFault
 from trefoilpaddle.state.chain.workers import WorkerTable
 
@@ -81,7 +81,7 @@
         )
         guard.hear_crash(FINGERPRINT, crash)
     for run_id, worker_id in enumerate(apart):
-        run = ApartRun(run_id=run_id, fingerprint="0" * 32, worker_id=worker_id)
+        run = IsolatedRun(run_id=run_id, fingerprint="0" * 32, worker_id=worker_id)
         guard.hear_run(run)
     job = Job(
         request=request(),
@@ -99,14 +99,14 @@
         workers=workers,
         choice=WorkerChoice(failure_domain="here", workers=workers),
         calls=calls,
-        budget=budgets(slack=slack, ratio=0.0).of("plain"),
+        budget=budgets(slack=slack, ratio=0.0).for_service("plain"),
         journal=journal(),
         delivery=Delivery(),
         guard=guard,
     )
 
 
-IDEMPOTENT = route(repeat=Repeat.IDEMPOTENT, max_attempts=2)
+IDEMPOTENT = route(repeat=RepeatPolicy.IDEMPOTENT, max_attempts=2)
 ONCE = route(max_attempts=3)
 STREAM = route(is_stream=True, is_resumable=True, max_attempts=2)
 STREAM_ONCE = route(is_stream=True, max_attempts=2)
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -21,7 +21,7 @@
     WAIT_SHARE,
     OverdueQueue,
 )
-from trefoilpaddle.state.chain.bearable_waits import KEEP_S, BearableWaits
+from trefoilpaddle.state.chain.bearable_waits import ROUTE_EXPIRY_S, TolerableWaits
 from trefoilpaddle.state.chain.chain_work import ChainWork
 
 from .__main__ import worth_in_time
@@ -110,7 +110,9 @@
         # Over seeds, as one differs from the next by 0.03.
         chosen = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         with monkeypatch.context() as patch:
-            patch.setattr(BearableWaits, "of_more_urgent", lambda *_: float("inf"))
+            patch.setattr(
+                TolerableWaits, "min_of_more_urgent_s", lambda *_: float("inf")
+            )
             alone = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         assert share(chosen, "urgent") > share(alone, "urgent")
         assert share(chosen, "urgent") > share(chosen, "chat") > 0.25
@@ -118,13 +120,13 @@
 
 class TestBearableWaits:
     def test_only_more_urgent_routes_of_the_same_services_count(self) -> None:
-        waits = BearableWaits()
+        waits = TolerableWaits()
         for route, priority, service, wait_s in (
             ("first", 0, "s", 0.4),
             ("other", 0, "t", 0.1),
             ("equal", 2, "s", 0.2),
         ):
-            waits.note(
+            waits.record(
                 route,
                 priority=priority,
                 services=frozenset({service}),
@@ -132,9 +134,11 @@
                 now_s=0.0,
             )
         services = frozenset({"s"})
-        assert waits.of_more_urgent(2, services, 1.0) == 0.4
-        assert waits.of_more_urgent(0, services, 1.0) == float("inf")
-        assert waits.of_more_urgent(2, services, KEEP_S + 1) == float("inf")
+        assert waits.min_of_more_urgent_s(2, services, 1.0) == 0.4
+        assert waits.min_of_more_urgent_s(0, services, 1.0) == float("inf")
+        assert waits.min_of_more_urgent_s(2, services, ROUTE_EXPIRY_S + 1) == float(
+            "inf"
+        )
 
 
 class TestShares:
--- a/tests/chain/test_cell_handover.py
+++ b/tests/chain/test_cell_handover.py
@@ -13,10 +13,10 @@
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.cells import Cell, cells_of
 from trefoilpaddle.state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from trefoilpaddle.state.chain.workers import WorkerTable
@@ -102,7 +102,9 @@
         """Return True if a chain is made at one of its cells."""
         try:
             async with asyncio.timeout(LONG_S):
-                return isinstance(await self.schedulers.run(cell, work()), ChainMade)
+                return isinstance(
+                    await self.schedulers.run(cell, work()), ChainCompleted
+                )
         except TimeoutError:
             return False
 
@@ -153,7 +155,7 @@
         # A gateway that stops has handed its cell over; four seconds later another
         # still sends it a chain. It began to schedule the cell again, beside its
         # successor, and took that chain with it when it went.
-        async def run() -> ChainEnd:
+        async def run() -> ChainOutcome:
             rig = Rig()
             cell = rig.cells[0]
             rig.own.stopping.set()
@@ -172,7 +174,7 @@
         # Nobody takes the cell of a gateway that stops. It went on scheduling while
         # its sessions closed: its log said that it asked workers in vain, and the
         # chains of others ended with it, what was made of them lost.
-        async def run() -> tuple[ChainEnd, ChainEnd]:
+        async def run() -> tuple[ChainOutcome, ChainOutcome]:
             rig = Rig(call_s=0.5)
             cell = rig.cells[0]
             begun = asyncio.create_task(rig.schedulers.run(cell, work("a")))
@@ -186,7 +188,7 @@
 
         with monkeypatch.context() as time_patch:
             begun, late = run_virtual(time_patch, run())
-        assert isinstance(begun, ChainMoved) and begun.made
+        assert isinstance(begun, ChainMoved) and begun.completed_pieces
         assert isinstance(late, ChainMoved)
 
     def test_a_chain_that_crosses_the_end_goes_back_at_once(
@@ -195,7 +197,7 @@
         # A gateway sends a chain to one whose process ends, of a cell which that one
         # has not scheduled before. A scheduler was begun for it, whose calls end with
         # the process; the chain would be made again, out of the budget.
-        async def run() -> ChainEnd:
+        async def run() -> ChainOutcome:
             rig = Rig()
             rig.own.stopping.set()
             rig.router.give_up_all()
@@ -221,7 +223,7 @@
             def is_over(self) -> bool:
                 return False
 
-            async def run(self, work: ChainWork) -> ChainEnd:
+            async def run(self, work: ChainWork) -> ChainOutcome:
                 try:
                     await asyncio.sleep(LONG_S)
                 except asyncio.CancelledError:
--- a/tests/chain/test_cells.py
+++ b/tests/chain/test_cells.py
@@ -5,12 +5,12 @@
 
 from trefoilpaddle.coordination.chain.cell_schedulers import CellSchedulers
 from trefoilpaddle.state.chain.cells import (
-    MOST_WORKERS,
+    MAX_WORKERS_PER_CELL,
     Cell,
     cells_of,
-    workers_borne,
+    worker_capacity,
 )
-from trefoilpaddle.state.chain.chain_work import ChainMade
+from trefoilpaddle.state.chain.chain_work import ChainCompleted
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 
 from .fakes import (
@@ -42,7 +42,7 @@
         ]
 
     def test_a_region_with_many_is_cut_into_whole_domains(self) -> None:
-        cells = cells_of(listed_in("ab", n_each=MOST_WORKERS), REGIONS)
+        cells = cells_of(listed_in("ab", n_each=MAX_WORKERS_PER_CELL), REGIONS)
         assert [(cell.name, sorted(cell.failure_domains)) for cell in cells] == [
             ("north", ["a"]),
             ("north/1", ["b"]),
@@ -53,7 +53,7 @@
     # among it, while 17 gateways and a fifth of the stage workers idled.
     def test_weak_hosts_share_a_region(self) -> None:
         listed = listed_in("abcdef", n_each=3)
-        cells = cells_of(listed, SIX, lambda _: workers_borne(120))
+        cells = cells_of(listed, SIX, lambda _: worker_capacity(120))
         assert [sorted(cell.failure_domains) for cell in cells] == [
             ["a", "d"],
             ["b", "e"],
@@ -62,10 +62,10 @@
 
     def test_strong_hosts_share_none(self) -> None:
         listed = listed_in("abcdef", n_each=9)
-        assert len(cells_of(listed, SIX, lambda _: workers_borne(2150))) == 1
+        assert len(cells_of(listed, SIX, lambda _: worker_capacity(2150))) == 1
 
     def test_hosts_that_tell_nothing_count_as_usual_ones(self) -> None:
-        assert workers_borne(0) == MOST_WORKERS
+        assert worker_capacity(0) == MAX_WORKERS_PER_CELL
 
     # A quarter more workers are added within two seconds. A region that was cut anew
     # by each of them gave its chains from scheduler to scheduler all the while.
@@ -105,7 +105,7 @@
         workers = WorkerTable()
         routes = table(services=[piece_service("s")])
         guard = crash_guard(FakeCalls(), workers)
-        n_leave, n_end = len(workers.leave_listeners), len(workers.end_listeners)
+        n_leave, n_end = len(workers.leave_listeners), len(workers.restart_listeners)
         schedulers = CellSchedulers(
             process=process("a"),
             make=lambda _: scheduler(FakeCalls(), workers, routes, journal(), guard),
@@ -114,7 +114,7 @@
         for _ in range(5):
             schedulers._begin(cell, "again")
         assert len(workers.leave_listeners) == n_leave + 1
-        assert len(workers.end_listeners) == n_end + 1
+        assert len(workers.restart_listeners) == n_end + 1
 
 
 class TestWhereStagesAreMade:
@@ -135,9 +135,9 @@
                 for name, near in zip("ab", NEAR, strict=True)
             )
         )
-        assert [end.failure_domain for end in ends if isinstance(end, ChainMade)] == [
-            *NEAR
-        ]
+        assert [
+            end.failure_domain for end in ends if isinstance(end, ChainCompleted)
+        ] == [*NEAR]
 
 
 NEAR = ("there", "here")
--- a/tests/chain/test_chain_router.py
+++ b/tests/chain/test_chain_router.py
@@ -13,9 +13,13 @@
 from trefoilpaddle.coordination.chain.scheduler_links import SchedulerLinks
 from trefoilpaddle.protocol.ids import incarnation_by_age
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.chain.cells import MOST_WORKERS, Cell
-from trefoilpaddle.state.chain.chain_work import ChainEnd, ChainFailed, ChainMade
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceFault, PieceWork
+from trefoilpaddle.state.chain.cells import MAX_WORKERS_PER_CELL, Cell
+from trefoilpaddle.state.chain.chain_work import (
+    ChainCompleted,
+    ChainFailed,
+    ChainOutcome,
+)
+from trefoilpaddle.state.chain.piece_work import PieceFault, PieceOutcome, PieceWork
 from trefoilpaddle.state.chain.routes import RouteTable
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 from trefoilpaddle.state.members import MemberRecord, MemberState
@@ -126,8 +130,8 @@
 class TestRunAgain:
     async def run(
         self, faults: list[PieceFault], *, slack: float = 100.0
-    ) -> tuple[ChainEnd, FakeCalls]:
-        def make(at: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+    ) -> tuple[ChainOutcome, FakeCalls]:
+        def make(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if at.service == "t" and faults:
                 return [faults.pop()] * len(works)
             return [made(at, each) for each in works]
@@ -159,7 +163,7 @@
         # The maker of a result crashes while the next stage waits for its turn.
         # All before it would be paid for and lost.
         end, calls = await self.run([PieceFault.INPUT_GONE])
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
         n_first = sum(p.stage == 1 for batch in calls.batches for p in batch)
         assert n_first == 2
 
@@ -220,7 +224,7 @@
         async with asyncio.timeout(2.0), running_chain(at, work()) as chain:
             end = await chain.run()
         assert peers.only.n_asked == 1
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
 
 
 class TestScheduler:
@@ -263,11 +267,11 @@
         # meanwhile, beside those of the failure domains; the two called the same
         # workers, and one call in five found its worker full.
         workers = WorkerTable()
-        for number in range(3 * MOST_WORKERS // 2 + 1):
+        for number in range(3 * MAX_WORKERS_PER_CELL // 2 + 1):
             workers.put(worker(f"s{number}", "s", domain="ab"[number % 2]))
         at = router("b", [member("b", 1)], workers=workers, region_of=ONE_REGION)
         before = {place.cell.name for place in at.places({"s"}, "a")}
-        workers.suspect(worker("s0", "s", domain="a"))
+        workers.mark_suspect(worker("s0", "s", domain="a"))
         assert {place.cell.name for place in at.places({"s"}, "a")} == before
 
     def test_starts_have_the_order_of_their_times(self) -> None:
--- a/tests/chain/test_chain_scheduler.py
+++ b/tests/chain/test_chain_scheduler.py
@@ -9,15 +9,15 @@
 
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.chain_work import (
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainWork,
     StagePiece,
 )
 from trefoilpaddle.state.chain.piece_work import (
-    PieceEnd,
     PieceFault,
-    PieceMade,
+    PieceOutcome,
+    PieceResult,
     PieceWork,
 )
 from trefoilpaddle.state.chain.routes import StagePlan
@@ -53,7 +53,7 @@
         due_s=now_s + due_in_s,
         deadline_s=now_s + 9.0,
         priority=priority,
-        near=near,
+        preferred_domain=near,
     )
 
 
@@ -81,7 +81,7 @@
     async def test_stages_take_the_results_of_those_before(self) -> None:
         calls = FakeCalls()
         end = await Rig(calls).scheduler.run(work())
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
         assert end.handles == (
             "s1/a.0.0",
             "s1/a.0.1",
@@ -95,7 +95,7 @@
 
     async def test_a_stage_without_pieces_is_left_out(self) -> None:
         end = await Rig(FakeCalls()).scheduler.run(work(n_pieces=(0, 1, 1)))
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
         assert end.handles == ("t1/a.2.0",)
 
     async def test_pieces_of_several_requests_ride_together(self) -> None:
@@ -104,7 +104,7 @@
         calls = FakeCalls()
         rig = Rig(calls, batch=20)
         ends = await asyncio.gather(*(rig.scheduler.run(work(n)) for n in "abcdef"))
-        assert all(isinstance(end, ChainMade) for end in ends)
+        assert all(isinstance(end, ChainCompleted) for end in ends)
         assert len(calls.batches) <= 6
 
     async def test_next_stages_that_one_call_sets_off_ride_together(self) -> None:
@@ -138,7 +138,7 @@
         await until(lambda: len(calls.freed) == 6)
 
     async def test_a_failed_stage_frees_what_the_others_made(self) -> None:
-        def fail(at: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+        def fail(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if at.worker_id == "t1":
                 return [PieceFault.INPUT_GONE] * len(works)
             return [made(at, each) for each in works]
@@ -153,7 +153,7 @@
         # wait for its end.
         def answer(
             at: Worker, works: Sequence[PieceWork]
-        ) -> list[PieceEnd] | CallFault:
+        ) -> list[PieceOutcome] | CallFault:
             if at.worker_id == "s1":
                 return CallFault.SILENT
             return [made(at, each) for each in works]
@@ -161,32 +161,32 @@
         rig = Rig(FakeCalls(make=answer))
         rig.workers.put(worker("s2", "s"))
         end = await rig.scheduler.run(work())
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
         assert end.handles[0].startswith("s2/")
 
     async def test_a_fault_of_a_call_does_not_stop_the_worker(self) -> None:
         # A worker answers a call with what nobody foresaw. It must not count as
         # busy for good.
-        def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+        def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if len(calls.batches) == 1:
                 raise ValueError("unforeseen")
             return [made(at, each) for each in works]
 
         calls = FakeCalls(make=answer)
         end = await Rig(calls).scheduler.run(work())
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
 
     async def test_a_piece_without_room_stays_and_is_made_when_there_is(self) -> None:
         tries: list[int] = []
 
-        def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+        def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             tries.append(len(works))
             if at.worker_id == "s1" and len(tries) == 1:
                 return [PieceFault.NO_MEMORY] * len(works)
             return [made(at, each) for each in works]
 
         end = await Rig(FakeCalls(make=answer)).scheduler.run(work())
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
 
 
 class TestLetIn:
@@ -205,7 +205,7 @@
         rig = Rig(calls)
         many = [work(f"r{n}", due_in_s=0.4) for n in range(200)]
         ends = await asyncio.gather(*(rig.scheduler.run(each) for each in many))
-        n_made = sum(isinstance(end, ChainMade) for end in ends)
+        n_made = sum(isinstance(end, ChainCompleted) for end in ends)
         assert 5 < n_made < 100
 
     async def test_what_is_less_urgent_is_refused_first(self) -> None:
@@ -217,7 +217,7 @@
         let_in = [
             each.priority
             for each, end in zip(many, ends, strict=True)
-            if isinstance(end, ChainMade)
+            if isinstance(end, ChainCompleted)
         ]
         assert let_in.count(0) > 1.5 * let_in.count(2) > 0
 
@@ -244,23 +244,23 @@
             StagePiece(
                 stage=stage,
                 piece=piece,
-                made=PieceMade(handle=f"h{stage}.{piece}", worker_id="s1"),
+                result=PieceResult(handle=f"h{stage}.{piece}", worker_id="s1"),
             )
             for stage, n_pieces in enumerate((2, 1))
             for piece in range(n_pieces)
         )
         moved = replace(
             work("b"),
-            made=made_pieces,
+            completed_pieces=made_pieces,
             must_be_on_time=False,
             deadline_s=time.monotonic() + 3.0,
         )
-        assert isinstance(await rig.scheduler.run(moved), ChainMade)
+        assert isinstance(await rig.scheduler.run(moved), ChainCompleted)
 
     async def test_without_load_the_least_urgent_is_let_in(self) -> None:
         rig = Rig(FakeCalls())
         end = await rig.scheduler.run(work(due_in_s=0.3, priority=2))
-        assert isinstance(end, ChainMade)
+        assert isinstance(end, ChainCompleted)
 
     async def test_without_a_worker_it_says_so(self) -> None:
         rig = Rig(FakeCalls())
--- a/tests/chain/test_crash_guard.py
+++ b/tests/chain/test_crash_guard.py
@@ -9,10 +9,10 @@
 from result import Ok
 
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.chain.crash_book import Crash, Standing
-from trefoilpaddle.state.chain.end_rate import MAX_ENDED
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceFault, PieceMade
-from trefoilpaddle.state.chain.worker_runs import RunEnd
+from trefoilpaddle.state.chain.crash_book import Crash, CrashStatus
+from trefoilpaddle.state.chain.end_rate import MAX_ATTRIBUTED_EXITS
+from trefoilpaddle.state.chain.piece_work import PieceFault, PieceOutcome, PieceResult
+from trefoilpaddle.state.chain.worker_runs import RunOutcome
 from trefoilpaddle.state.journal import Event
 
 from ..waiting import until
@@ -26,7 +26,7 @@
 async def crash_three(fleet: CrashFleet) -> None:
     """Let a request crash three workers, each at another gateway's request."""
     for number in range(3):
-        await fleet.run_at(number, f"w{number}", GUILTY, RunEnd.BROKEN)
+        await fleet.run_at(number, f"w{number}", GUILTY, RunOutcome.BROKEN)
         await until(lambda: len(fleet.standings(GUILTY)) == 1)
 
 
@@ -35,7 +35,7 @@
         # Each crash is seen by another gateway, and the next attempt reaches any.
         async with crash_fleet() as fleet:
             await crash_three(fleet)
-            await until(lambda: fleet.standings(GUILTY) == {Standing.BLOCKED})
+            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.BLOCKED})
             refusal = fleet.every[-1].guard.refusal(GUILTY)
         assert refusal is not None
         assert refusal.reason is Reason.CRASHES_WORKERS
@@ -44,27 +44,27 @@
         async with crash_fleet() as fleet:
             for first in (0, 2, 4):
                 await asyncio.gather(
-                    fleet.run_at(0, f"w{first}", GUILTY, RunEnd.BROKEN),
-                    fleet.run_at(1, f"w{first + 1}", GUILTY, RunEnd.BROKEN),
+                    fleet.run_at(0, f"w{first}", GUILTY, RunOutcome.BROKEN),
+                    fleet.run_at(1, f"w{first + 1}", GUILTY, RunOutcome.BROKEN),
                 )
                 await asyncio.sleep(0.05)
-            assert fleet.standings(GUILTY) == {Standing.BLOCKED}
+            assert fleet.standings(GUILTY) == {CrashStatus.BLOCKED}
 
     async def test_a_worker_that_comes_back_under_its_id_counts_each_time(self) -> None:
         async with crash_fleet() as fleet:
             for _ in range(3):
-                await fleet.run_at(0, "w0", GUILTY, RunEnd.BROKEN)
+                await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
                 fleet.start_again("w0")
-            assert fleet.every[0].book.standing(GUILTY) is Standing.BLOCKED
+            assert fleet.every[0].book.status(GUILTY) is CrashStatus.BLOCKED
 
     async def test_a_caller_that_leaves_before_each_crash_is_found(self) -> None:
         # Its gateway has closed the connection; another saw the worker end.
         async with crash_fleet() as fleet:
             for number in range(3):
-                await fleet.run_at(0, f"w{number}", GUILTY, RunEnd.LEFT)
-                await fleet.run_at(1, f"w{number}", f"{number}" * 32, RunEnd.BROKEN)
+                await fleet.run_at(0, f"w{number}", GUILTY, RunOutcome.LEFT)
+                await fleet.run_at(1, f"w{number}", f"{number}" * 32, RunOutcome.BROKEN)
                 await asyncio.sleep(0.05)
-            await until(lambda: fleet.standings(GUILTY) == {Standing.BLOCKED})
+            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.BLOCKED})
 
 
 class TestInnocents:
@@ -73,14 +73,14 @@
         async with crash_fleet() as fleet:
             for worker_id in ("w0", "w1"):
                 await asyncio.gather(
-                    fleet.run_at(0, worker_id, GUILTY, RunEnd.BROKEN),
-                    fleet.run_at(1, worker_id, INNOCENT, RunEnd.BROKEN),
+                    fleet.run_at(0, worker_id, GUILTY, RunOutcome.BROKEN),
+                    fleet.run_at(1, worker_id, INNOCENT, RunOutcome.BROKEN),
                 )
                 await asyncio.sleep(0.05)
-            assert fleet.standings(INNOCENT) == {Standing.SUSPECT}
-            await fleet.run_at(2, "w5", INNOCENT, RunEnd.ANSWERED)
-            await until(lambda: fleet.standings(INNOCENT) == {Standing.CLEAR})
-            assert fleet.standings(GUILTY) == {Standing.SUSPECT}
+            assert fleet.standings(INNOCENT) == {CrashStatus.SUSPECT}
+            await fleet.run_at(2, "w5", INNOCENT, RunOutcome.ANSWERED)
+            await until(lambda: fleet.standings(INNOCENT) == {CrashStatus.CLEAR})
+            assert fleet.standings(GUILTY) == {CrashStatus.SUSPECT}
 
     async def test_a_popular_request_bears_the_loss_of_all_workers(self) -> None:
         # It runs everywhere at all times; its workers lose their power three times.
@@ -88,39 +88,41 @@
             for _ in range(3):
                 await asyncio.gather(
                     *(
-                        fleet.run_at(number % 8, f"w{number}", INNOCENT, RunEnd.BROKEN)
+                        fleet.run_at(
+                            number % 8, f"w{number}", INNOCENT, RunOutcome.BROKEN
+                        )
                         for number in range(9)
                     )
                 )
                 await asyncio.sleep(0.05)
-                assert fleet.standings(INNOCENT) == {Standing.WATCHED}
+                assert fleet.standings(INNOCENT) == {CrashStatus.WATCHED}
                 for number in range(9):
                     fleet.start_again(f"w{number}")
-                await fleet.run_at(0, "w0", INNOCENT, RunEnd.ANSWERED)
+                await fleet.run_at(0, "w0", INNOCENT, RunOutcome.ANSWERED)
                 await asyncio.sleep(0.05)
 
     async def test_crashes_without_a_common_request_block_nobody(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(9):
-                await fleet.run_at(0, f"w{number}", f"{number}" * 32, RunEnd.BROKEN)
+                await fleet.run_at(0, f"w{number}", f"{number}" * 32, RunOutcome.BROKEN)
             await asyncio.sleep(0.05)
             blamed = [f for g in fleet.every for f in g.book.fingerprints()]
             standings = [fleet.standings(f) for f in blamed]
-        assert all(each == {Standing.WATCHED} for each in standings)
+        assert all(each == {CrashStatus.WATCHED} for each in standings)
 
 
 class TestApart:
     async def test_a_suspect_runs_once_at_a_time(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(2):
-                await fleet.run_at(0, f"w{number}", GUILTY, RunEnd.BROKEN)
+                await fleet.run_at(0, f"w{number}", GUILTY, RunOutcome.BROKEN)
                 await asyncio.sleep(0.05)
             at = fleet.every[1].workers.get("w5")
             assert at is not None
             with fleet.every[1].guard.running(at, GUILTY) as run:
                 await until(lambda: fleet.every[5].guard.workers_apart() == {"w5"})
                 refusal = fleet.every[5].guard.refusal(GUILTY)
-                run.end = RunEnd.NOT_RUN
+                run.end = RunOutcome.NOT_RUN
             assert refusal is not None
             assert refusal.reason is Reason.RUNS_APART
             assert refusal.retry_after_s > 0
@@ -133,12 +135,12 @@
         # Sent on before it is known that the worker is gone, it crashes one more.
         async with crash_fleet() as fleet:
             for number in range(2):
-                await fleet.run_at(0, f"w{number}", GUILTY, RunEnd.BROKEN)
+                await fleet.run_at(0, f"w{number}", GUILTY, RunOutcome.BROKEN)
             guard = fleet.every[0].guard
             at = fleet.every[0].workers.get("w5")
             assert at is not None
             with guard.running(at, GUILTY) as run:
-                run.end = RunEnd.BROKEN
+                run.end = RunOutcome.BROKEN
             assert guard.is_running(GUILTY)
             await guard.settled(at)
             await until(lambda: not guard.is_running(GUILTY))
@@ -148,26 +150,26 @@
     @pytest.mark.parametrize(
         ("end", "standing"),
         [
-            (PieceMade(handle="h", worker_id="w1"), Standing.CLEAR),
-            (PieceFault.FAILED, Standing.CLEAR),
-            (PieceFault.LATE, Standing.WATCHED),
-            (PieceFault.NO_MEMORY, Standing.WATCHED),
-            (PieceFault.INPUT_GONE, Standing.WATCHED),
+            (PieceResult(handle="h", worker_id="w1"), CrashStatus.CLEAR),
+            (PieceFault.FAILED, CrashStatus.CLEAR),
+            (PieceFault.LATE, CrashStatus.WATCHED),
+            (PieceFault.NO_MEMORY, CrashStatus.WATCHED),
+            (PieceFault.INPUT_GONE, CrashStatus.WATCHED),
         ],
     )
     async def test_a_piece_that_was_not_begun_clears_nobody(
-        self, end: PieceEnd, standing: Standing
+        self, end: PieceOutcome, standing: CrashStatus
     ) -> None:
         # A worker turns the piece away that crashed another one.
         async with crash_fleet() as fleet:
-            await fleet.run_at(0, "w0", GUILTY, RunEnd.BROKEN)
+            await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
             gateway = fleet.every[0]
             at = gateway.workers.get("w1")
             assert at is not None
             works = [piece("r", due_s=1.0, fingerprint=GUILTY)]
             with gateway.guard.running_call(at, works) as call:
                 call.take(Ok([end]))
-            assert gateway.book.standing(GUILTY) is standing
+            assert gateway.book.status(GUILTY) is standing
 
 
 class TestWhoKnows:
@@ -183,33 +185,33 @@
             for link in links:
                 link.connection = None
             for number in range(3):
-                await fleet.run_at(number, f"w{number}", GUILTY, RunEnd.BROKEN)
+                await fleet.run_at(number, f"w{number}", GUILTY, RunOutcome.BROKEN)
                 await asyncio.sleep(0.05)
-            assert new.book.standing(GUILTY) is Standing.CLEAR
+            assert new.book.status(GUILTY) is CrashStatus.CLEAR
             links[0].connection = SimpleNamespace()
-            await until(lambda: new.book.standing(GUILTY) is Standing.BLOCKED)
+            await until(lambda: new.book.status(GUILTY) is CrashStatus.BLOCKED)
 
     async def test_what_one_missed_the_clearing_of_does_not_come_back(self) -> None:
         # A gateway that was cut off tells the others of a request that is cleared.
         async with crash_fleet() as fleet:
-            await fleet.run_at(0, "w0", INNOCENT, RunEnd.BROKEN)
+            await fleet.run_at(0, "w0", INNOCENT, RunOutcome.BROKEN)
             await asyncio.sleep(0.05)
             away = fleet.every[4]
             into = [g for g in fleet.every if g is not away]
             links = [k for g in into for k in g.links if k.address == away.address]
             for link in (*links, *away.links):
                 link.connection = None
-            await fleet.run_at(0, "w5", INNOCENT, RunEnd.ANSWERED)
+            await fleet.run_at(0, "w5", INNOCENT, RunOutcome.ANSWERED)
             await asyncio.sleep(0.05)
-            assert fleet.standings(INNOCENT) == {Standing.CLEAR, Standing.WATCHED}
+            assert fleet.standings(INNOCENT) == {CrashStatus.CLEAR, CrashStatus.WATCHED}
             for link in (*links, *away.links):
                 link.connection = SimpleNamespace()
-            await until(lambda: fleet.standings(INNOCENT) == {Standing.CLEAR})
+            await until(lambda: fleet.standings(INNOCENT) == {CrashStatus.CLEAR})
 
     async def test_requests_that_harm_nobody_cost_no_message(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(50):
-                end = RunEnd.ANSWERED if number % 2 else RunEnd.SILENT
+                end = RunOutcome.ANSWERED if number % 2 else RunOutcome.SILENT
                 await fleet.run_at(number % 8, "w0", f"{number:032x}", end)
             await asyncio.sleep(0.05)
             assert fleet.n_messages == 0
@@ -219,7 +221,7 @@
         async with crash_fleet() as fleet:
             await asyncio.gather(
                 *(
-                    fleet.run_at(n % 8, "w0", f"{n:032x}", RunEnd.BROKEN)
+                    fleet.run_at(n % 8, "w0", f"{n:032x}", RunOutcome.BROKEN)
                     for n in range(60)
                 )
             )
@@ -232,13 +234,13 @@
         async with crash_fleet(n_workers=60) as fleet:
             await asyncio.gather(
                 *(
-                    fleet.run_at(n % 8, f"w{n % 60}", f"{n:032x}", RunEnd.BROKEN)
+                    fleet.run_at(n % 8, f"w{n % 60}", f"{n:032x}", RunOutcome.BROKEN)
                     for n in range(600)
                 )
             )
             await asyncio.sleep(0.2)
             n_known = max(len(gateway.book) for gateway in fleet.every)
-        assert n_known <= 10 * MAX_ENDED
+        assert n_known <= 10 * MAX_ATTRIBUTED_EXITS
 
 
 class TestLog:
@@ -246,7 +248,7 @@
         async with crash_fleet() as fleet:
             await crash_three(fleet)
             last = fleet.every[-1]
-            await until(lambda: last.book.standing(GUILTY) is Standing.BLOCKED)
+            await until(lambda: last.book.status(GUILTY) is CrashStatus.BLOCKED)
             (line,) = [
                 record.decision
                 for record in last.notes.recent()
@@ -262,13 +264,13 @@
         # what is remembered of it.
         async with crash_fleet() as fleet:
             gateway = fleet.every[0]
-            await fleet.run_at(0, "w0", INNOCENT, RunEnd.SILENT)
+            await fleet.run_at(0, "w0", INNOCENT, RunOutcome.SILENT)
             hours_ago_s = time.monotonic() - 7200.0
             gateway.guard.hear_crash(
                 GUILTY, Crash(worker_id="w0", born_ms=1, level=1, ended_s=hours_ago_s)
             )
-            assert gateway.book.standing(GUILTY) is Standing.WATCHED
-            assert gateway.book.standing(INNOCENT) is Standing.CLEAR
+            assert gateway.book.status(GUILTY) is CrashStatus.WATCHED
+            assert gateway.book.status(INNOCENT) is CrashStatus.CLEAR
 
 
 class TestRestartedWorker:
@@ -279,7 +281,7 @@
             known = gateway.workers.get("w0")
             assert known is not None
             gateway.workers.put(replace(known, born_ms=2))
-            await fleet.run_at(4, "w0", INNOCENT, RunEnd.SILENT)
-            await fleet.run_at(0, "w0", GUILTY, RunEnd.BROKEN)
-            await until(lambda: fleet.standings(GUILTY) == {Standing.WATCHED})
-            assert fleet.standings(INNOCENT) == {Standing.CLEAR}
+            await fleet.run_at(4, "w0", INNOCENT, RunOutcome.SILENT)
+            await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
+            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.WATCHED})
+            assert fleet.standings(INNOCENT) == {CrashStatus.CLEAR}
--- a/tests/chain/test_engine_times.py
+++ b/tests/chain/test_engine_times.py
@@ -4,8 +4,8 @@
 
 from trefoilpaddle.state.chain import engine_times
 from trefoilpaddle.state.chain.engine_times import (
-    FIRST_S,
-    HALF_S,
+    DEFAULT_FIRST_EVENT_S,
+    HALF_LIFE_S,
     MARGIN,
     EngineTimes,
 )
@@ -35,20 +35,24 @@
         times = EngineTimes()
         times.learn("r", 4.0)
         assert times.expected_s("r") == pytest.approx(MARGIN * 4.0)
-        clock.now_s += HALF_S
-        assert times.expected_s("r") == pytest.approx(MARGIN * (4.0 + FIRST_S) / 2)
-        clock.now_s += 10 * HALF_S
-        assert times.expected_s("r") == pytest.approx(MARGIN * FIRST_S, rel=0.02)
+        clock.now_s += HALF_LIFE_S
+        assert times.expected_s("r") == pytest.approx(
+            MARGIN * (4.0 + DEFAULT_FIRST_EVENT_S) / 2
+        )
+        clock.now_s += 10 * HALF_LIFE_S
+        assert times.expected_s("r") == pytest.approx(
+            MARGIN * DEFAULT_FIRST_EVENT_S, rel=0.02
+        )
 
     def test_what_requests_go_on_showing_stays(self, clock: Clock) -> None:
         times = EngineTimes()
         for _ in range(50):
             times.learn("r", 2.0)
-            clock.now_s += HALF_S / 50
+            clock.now_s += HALF_LIFE_S / 50
         assert times.expected_s("r") == pytest.approx(MARGIN * 2.0, rel=0.02)
 
     def test_fast_engines_stay_fast(self, clock: Clock) -> None:
         times = EngineTimes()
         times.learn("r", 0.1)
-        clock.now_s += 10 * HALF_S
+        clock.now_s += 10 * HALF_LIFE_S
         assert times.expected_s("r") == pytest.approx(MARGIN * 0.1)
--- a/tests/chain/test_request_path.py
+++ b/tests/chain/test_request_path.py
@@ -21,7 +21,7 @@
 from trefoilpaddle.state.chain.requests import Answered, Outcome, Refused
 from trefoilpaddle.state.chain.routes import (
     Account,
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     StagePlan,
@@ -121,13 +121,11 @@
 
         monkeypatch.setattr(ChainRouter, "run", refuse)
         stages = (StagePlan(service="s", after=(), result_bytes=1.0),)
-        chat = route(
-            is_stream=True, timeout_s=20.0, event_patience_s=7.0, stages=stages
-        )
+        chat = route(is_stream=True, timeout_s=20.0, event_timeout_s=7.0, stages=stages)
         rig = Rig(FakeCalls(), chat)
         rig.workers.put(worker("s1", "s"))
         now_s = time.monotonic()
-        outcome = await rig.serve(came_s=now_s, deadline_s=now_s + 20.0)
+        outcome = await rig.serve(received_s=now_s, deadline_s=now_s + 20.0)
         assert isinstance(outcome, Refused)
         assert [work.deadline_s <= now_s + 7.0 for work in works] == [True]
 
@@ -177,7 +175,7 @@
 
     async def test_what_may_be_repeated_is_broken_off(self) -> None:
         calls = SlowCalls()
-        rig = Rig(calls, route(repeat=Repeat.IDEMPOTENT))
+        rig = Rig(calls, route(repeat=RepeatPolicy.IDEMPOTENT))
         await self.leave(rig, calls)
         await asyncio.sleep(0.1)
         assert calls.n_finished == 0
--- a/tests/chain/test_service_dispatch.py
+++ b/tests/chain/test_service_dispatch.py
@@ -88,12 +88,12 @@
         calls = FakeCalls()
         callers = callers_of(n_workers, calls)
         others = frozenset(caller.worker.worker_id for caller in callers[1:])
-        avoided = others if is_in_vain else frozenset()
+        excluded = others if is_in_vain else frozenset()
         dispatch = ServiceDispatch(
             callers=lambda: callers, guard=crash_guard(calls, WorkerTable())
         )
         dispatch.queue.add(
-            due(f"p{number}", avoided=avoided) for number in range(n_workers)
+            due(f"p{number}", excluded_workers=excluded) for number in range(n_workers)
         )
         dispatch.wake()
         dispatch.stop()
@@ -118,8 +118,11 @@
 
     def take_next(self, first: PieceWork | None) -> WorkerCaller:
         def cost_s(caller: WorkerCaller) -> float:
-            is_far = first is not None and first.near != caller.worker.failure_domain
-            far_s = first.far_s if first is not None and is_far else 0.0
+            is_far = (
+                first is not None
+                and first.preferred_domain != caller.worker.failure_domain
+            )
+            far_s = first.cross_domain_wait_s if first is not None and is_far else 0.0
             return caller.known.call_s(1, self._now_s) + far_s
 
         caller = min(self.free, key=cost_s)
@@ -174,7 +177,9 @@
             assert look.has_free
             assert look.soonest_free_s() == by_hand.soonest_free_s()
             far_s = rng.choice([0.0, 0.01, 0.05, 0.2])
-            urgent = due("p", near=rng.choice(DOMAINS), far_s=far_s)
+            urgent = due(
+                "p", preferred_domain=rng.choice(DOMAINS), cross_domain_wait_s=far_s
+            )
             first = rng.choice([None, urgent, urgent])
             taken = look.take_next(first)
             assert taken is by_hand.take_next(first)
--- a/tests/chain/test_usable_workers.py
+++ b/tests/chain/test_usable_workers.py
@@ -54,10 +54,10 @@
         a, b = worker("a", "s"), worker("b", "s")
         table = table_of(a, b)
         assert ids(table) == ["a", "b"]
-        table.suspect(a)
+        table.mark_suspect(a)
         assert ids(table) == ["b"]
         clock.now_s += SUSPECT_S / 2
-        table.suspect(b)
+        table.mark_suspect(b)
         assert ids(table) == ["a", "b"], "with all silent any is tried"
         clock.now_s += SUSPECT_S / 2
         assert ids(table) == ["a"]
@@ -67,9 +67,9 @@
     def test_one_that_answers_is_used_at_once(self, clock: Clock) -> None:
         a = worker("a", "s")
         table = table_of(a, worker("b", "s"))
-        table.suspect(a)
+        table.mark_suspect(a)
         assert ids(table) == ["b"]
-        table.trust(a)
+        table.clear_suspicion(a)
         assert ids(table) == ["a", "b"]
 
     def test_those_that_were_tried_are_left_out(self, clock: Clock) -> None:
--- a/tests/chain/test_worker_caller.py
+++ b/tests/chain/test_worker_caller.py
@@ -10,9 +10,9 @@
 from trefoilpaddle.coordination.chain import worker_caller
 from trefoilpaddle.coordination.chain.worker_caller import WorkerCaller
 from trefoilpaddle.state.chain.cell_handover import HeldResult, WorkerHandover
-from trefoilpaddle.state.chain.piece_times import RELAX_S, PieceTimes
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceFault, PieceWork
-from trefoilpaddle.state.chain.result_memory import TRY_S, ResultMemory
+from trefoilpaddle.state.chain.piece_times import RATIO_HALF_LIFE_S, PieceTimes
+from trefoilpaddle.state.chain.piece_work import PieceFault, PieceOutcome, PieceWork
+from trefoilpaddle.state.chain.result_memory import PROBE_INTERVAL_S, ResultMemory
 from trefoilpaddle.state.chain.target_answers import CallFault, WorkerReport
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 
@@ -56,7 +56,7 @@
 
     async def call(self, *works: PieceWork) -> None:
         self.caller.start(list(works), n_waiting=0)
-        await until(lambda: all(not w.is_open for w in works) or self.returned)
+        await until(lambda: all(not w.is_pending for w in works) or self.returned)
 
 
 def due(name: str, **fields: object) -> PieceWork:
@@ -77,7 +77,7 @@
         for number in range(30):
             times.learn(4, 1.0, float(number))
         assert times.idle_ratio(29.0) > 4.5
-        assert times.idle_ratio(29.0 + 4 * RELAX_S) < 1.3
+        assert times.idle_ratio(29.0 + 4 * RATIO_HALF_LIFE_S) < 1.3
 
     def test_the_pace_follows_what_binds(self) -> None:
         # With full calls a worker would make 16 a second; its memory lets it
@@ -98,7 +98,7 @@
 
     def test_results_count_from_the_sending_of_their_call(self) -> None:
         memory = self.memory()
-        memory.send(4)
+        memory.begin_call(4)
         assert memory.free_bytes(NOW_S) == 6
         memory.keep("a", 3, NOW_S)
         memory.end_call(4)
@@ -107,14 +107,14 @@
         assert memory.is_empty(NOW_S)
 
     def test_they_run_out(self) -> None:
-        memory = self.memory(keep_s=4.0)
+        memory = self.memory(retention_s=4.0)
         memory.keep("a", 8, NOW_S)
         assert memory.used_bytes(NOW_S + 3.9) == 8
         assert memory.used_bytes(NOW_S + 4.1) == 0
 
     def test_what_others_left_counts_until_it_has_run_out(self) -> None:
         # A scheduler is lost and nobody frees its results any more.
-        memory = self.memory(keep_s=4.0)
+        memory = self.memory(retention_s=4.0)
         memory.keep("a", 2, NOW_S)
         memory.learn_report(2, 3, NOW_S)
         assert memory.free_bytes(NOW_S + 3.9) == 3
@@ -123,7 +123,7 @@
     def test_asking_again_does_not_make_it_last_longer(self) -> None:
         # Asked every half second, the worker seemed to keep for eight seconds
         # what runs out after four.
-        memory = self.memory(keep_s=4.0)
+        memory = self.memory(retention_s=4.0)
         for half in range(8):
             memory.learn_report(2, 3, NOW_S + half / 2)
         assert memory.free_bytes(NOW_S + 4.1) == 10
@@ -143,7 +143,7 @@
     def test_and_for_one_more_of_its_size_after_a_while(self) -> None:
         memory = self.memory()
         memory.learn_full(2, NOW_S, own_bytes=0)
-        assert 3.5 < memory.free_bytes(NOW_S + TRY_S) < 4
+        assert 3.5 < memory.free_bytes(NOW_S + PROBE_INTERVAL_S) < 4
 
     def test_only_what_its_own_results_left_then_is_taken_for_others(self) -> None:
         memory = self.memory()
@@ -153,7 +153,7 @@
 
     def test_what_the_scheduler_before_had_made_counts(self) -> None:
         memory = self.memory()
-        memory.adopt([HeldResult(handle="a", n_bytes=4, left_s=1.0)], NOW_S)
+        memory.take_over([HeldResult(handle="a", n_bytes=4, expires_in_s=1.0)], NOW_S)
         assert memory.free_bytes(NOW_S) == 6
         assert memory.free_bytes(NOW_S + 1.1) == 10
 
@@ -204,7 +204,7 @@
         await until(lambda: calls.n_reports == 1)
 
     async def test_one_without_memory_is_asked_and_offers_less(self) -> None:
-        def no_memory(_: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+        def no_memory(_: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             return [PieceFault.NO_MEMORY] * len(works)
 
         calls = FakeCalls(make=no_memory)
@@ -213,7 +213,7 @@
         now_s = time.monotonic()
         assert not rig.caller.is_free(now_s)
         await until(lambda: calls.n_reports == 1)
-        offer = rig.caller.known.offer(now_s, n_passed=0, near_free_in_s={})
+        offer = rig.caller.known.offer(now_s, n_skipped=0, free_in_s_by_domain={})
         assert offer.free_bytes < 1e5
 
 
@@ -223,7 +223,7 @@
         # of a full call finds no memory. All that was freed while the call was
         # made counted as kept by others, so the worker got a third of its calls'
         # pieces for four seconds, and callers in a burst were refused.
-        def all_but_last(at: Worker, works: Sequence[PieceWork]) -> list[PieceEnd]:
+        def all_but_last(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             rig.caller.known.memory.free("before")
             return [*(made(at, w) for w in works[:-1]), PieceFault.NO_MEMORY]
 
@@ -232,7 +232,7 @@
         rig.caller.known.memory.keep("before", 6e5, now_s)
         await rig.call(*(due(name, result_bytes=1e5) for name in "abcd"))
         assert [work.request_id for work in rig.returned] == ["d"]
-        offer = rig.caller.known.offer(now_s, n_passed=0, near_free_in_s={})
+        offer = rig.caller.known.offer(now_s, n_skipped=0, free_in_s_by_domain={})
         assert offer.free_bytes > 6e5
 
 
@@ -244,7 +244,7 @@
         work = due("a")
         rig.caller.start([work], n_waiting=0)
         rig.caller.end()
-        assert work.end.result() is PieceFault.LOST
+        assert work.outcome.result() is PieceFault.LOST
 
     async def test_a_late_answer_of_the_old_start_belongs_to_nobody(self) -> None:
         gate = asyncio.Event()
@@ -269,7 +269,7 @@
         rig.caller.end()
         gate.set()
         await asyncio.sleep(0.05)
-        assert work.end.result() is PieceFault.LOST
+        assert work.outcome.result() is PieceFault.LOST
         assert made(AT, work).handle not in calls.freed
 
 
@@ -283,7 +283,7 @@
         work = due("a", on_fetched=lambda: told.append("a"))
         rig.caller.start([work], n_waiting=0)
         await until(lambda: told == ["a"])
-        assert work.is_open
+        assert work.is_pending
 
     async def test_not_before_the_call_was_sent(
         self, monkeypatch: pytest.MonkeyPatch
@@ -309,7 +309,7 @@
         # freed them, and the next worker did not find them.
         def turn_away(
             _: Worker, works: Sequence[PieceWork]
-        ) -> list[PieceEnd] | CallFault:
+        ) -> list[PieceOutcome] | CallFault:
             return end if isinstance(end, CallFault) else [end] * len(works)
 
         monkeypatch.setattr(worker_caller, "FETCH_S", 0.03)
--- a/tests/chain/test_worker_ends.py
+++ b/tests/chain/test_worker_ends.py
@@ -8,7 +8,7 @@
 import pytest
 
 from trefoilpaddle.coordination.chain.worker_ends import Evidence, WorkerEnds
-from trefoilpaddle.state.chain.worker_runs import OpenEndedRun, RunEnd
+from trefoilpaddle.state.chain.worker_runs import RunOutcome, UnansweredRun
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 from trefoilpaddle.state.journal import Event
 
@@ -33,18 +33,18 @@
             on_ended=self._take,
         )
 
-    def _take(self, at: Worker, runs: Sequence[OpenEndedRun]) -> None:
+    def _take(self, at: Worker, runs: Sequence[UnansweredRun]) -> None:
         self.found += [run.fingerprint for run in runs]
 
-    def run(self, end: RunEnd, *, fingerprint: str = "f1") -> None:
+    def run(self, end: RunOutcome, *, fingerprint: str = "f1") -> None:
         now_s = time.monotonic()
         self.ends.note(
-            OpenEndedRun(
+            UnansweredRun(
                 worker=FIRST,
                 fingerprint=fingerprint,
                 level=0,
                 ended_s=now_s,
-                end=end,
+                outcome=end,
             )
         )
 
@@ -57,21 +57,23 @@
     async def test_a_refused_connection_tells_at_once(self) -> None:
         rig = Rig()
         rig.calls.refusing.add("w1")
-        rig.run(RunEnd.BROKEN)
-        rig.run(RunEnd.BROKEN, fingerprint="f2")
+        rig.run(RunOutcome.BROKEN)
+        rig.run(RunOutcome.BROKEN, fingerprint="f2")
         await rig.settle()
         assert rig.found == ["f1", "f2"]
 
     async def test_a_later_break_at_an_ended_worker_counts_too(self) -> None:
         rig = Rig()
         rig.calls.refusing.add("w1")
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         await rig.settle()
-        rig.run(RunEnd.SILENT, fingerprint="f2")
+        rig.run(RunOutcome.SILENT, fingerprint="f2")
         assert rig.found == ["f1", "f2"]
 
-    @pytest.mark.parametrize("end", [RunEnd.BROKEN, RunEnd.SILENT, RunEnd.LEFT])
-    async def test_a_new_start_tells_of_the_end_before(self, end: RunEnd) -> None:
+    @pytest.mark.parametrize(
+        "end", [RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.LEFT]
+    )
+    async def test_a_new_start_tells_of_the_end_before(self, end: RunOutcome) -> None:
         rig = Rig()
         rig.run(end)
         rig.workers.put(replace(FIRST, born_ms=2000))
@@ -81,12 +83,14 @@
         # Under its id and address a worker is back before its break is noticed.
         rig = Rig()
         rig.workers.put(replace(FIRST, born_ms=2000))
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         assert rig.found == ["f1"]
 
-    @pytest.mark.parametrize("end", [RunEnd.BROKEN, RunEnd.SILENT, RunEnd.LEFT])
+    @pytest.mark.parametrize(
+        "end", [RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.LEFT]
+    )
     async def test_another_worker_at_its_address_tells_of_the_end(
-        self, end: RunEnd
+        self, end: RunOutcome
     ) -> None:
         # A worker that goes dark answers nothing, and comes back under a new id.
         rig = Rig()
@@ -98,20 +102,20 @@
         # Its host is gone: an answer broke, and nothing says whether it listens.
         rig = Rig()
         rig.calls.is_dark = True
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         await rig.settle()
         rig.workers.remove("w1")
         assert rig.found == ["f1"]
 
     async def test_a_caller_that_left_before_the_crash_hides_nothing(self) -> None:
         rig = Rig()
-        rig.run(RunEnd.LEFT)
+        rig.run(RunOutcome.LEFT)
         rig.ends.confirm(FIRST, Evidence.TOLD)
         assert rig.found == ["f1"]
 
     async def test_the_log_names_the_requests_and_the_evidence(self) -> None:
         rig = Rig()
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         rig.ends.confirm(FIRST, Evidence.TOLD)
         (record,) = rig.notes.recent()
         assert record.decision.event is Event.TARGET_ENDED
@@ -122,14 +126,14 @@
     async def test_a_reset_connection_blames_nobody(self) -> None:
         # Half of a machine's connections are reset; their workers go on.
         rig = Rig()
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         await rig.settle()
         assert rig.found == []
 
     async def test_a_worker_that_is_cut_off_blames_nobody(self) -> None:
         # Its requests fall silent and its entry runs out, and it runs all the while.
         rig = Rig()
-        rig.run(RunEnd.SILENT)
+        rig.run(RunOutcome.SILENT)
         rig.workers.remove("w1")
         assert rig.found == []
 
@@ -138,7 +142,7 @@
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.workers.put(replace(FIRST, is_leaving=True))
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         await rig.settle()
         rig.workers.remove("w1")
         assert rig.found == []
@@ -148,12 +152,14 @@
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.workers.remove("w1")
-        rig.run(RunEnd.BROKEN)
+        rig.run(RunOutcome.BROKEN)
         await rig.settle()
         assert rig.found == []
 
-    @pytest.mark.parametrize("end", [RunEnd.BROKEN, RunEnd.LEFT])
-    async def test_one_that_leaves_soon_after_blames_nobody(self, end: RunEnd) -> None:
+    @pytest.mark.parametrize("end", [RunOutcome.BROKEN, RunOutcome.LEFT])
+    async def test_one_that_leaves_soon_after_blames_nobody(
+        self, end: RunOutcome
+    ) -> None:
         # It has reset a connection, or a caller left, and takes its entry away then.
         rig = Rig()
         rig.run(end)
@@ -165,6 +171,6 @@
         # A worker spoils many answers: each look is a connection to it.
         rig = Rig()
         for _ in range(5):
-            rig.run(RunEnd.BROKEN)
+            rig.run(RunOutcome.BROKEN)
             await rig.settle()
         assert rig.calls.n_looks == 1
--- a/tests/chain/test_worker_starts.py
+++ b/tests/chain/test_worker_starts.py
@@ -36,7 +36,7 @@
         left: list[Worker] = []
         ended: list[Worker] = []
         workers.leave_listeners.append(left.append)
-        workers.end_listeners.append(ended.append)
+        workers.restart_listeners.append(ended.append)
         assert workers.put(LATER)
         assert workers.get("w") == LATER
         assert workers.usable("model") == [LATER]
@@ -64,15 +64,15 @@
         # The worker crashes under a call and is back before the call is given
         # up. Passed over for that, a healthy worker stands idle.
         workers = table(FIRST, LATER)
-        workers.suspect(FIRST)
+        workers.mark_suspect(FIRST)
         assert not workers.is_suspect("w")
-        workers.suspect(LATER)
-        workers.trust(FIRST)
+        workers.mark_suspect(LATER)
+        workers.clear_suspicion(FIRST)
         assert workers.is_suspect("w")
 
     def test_suspicion_ends_with_the_start_that_it_was_of(self) -> None:
         workers = table(FIRST)
-        workers.suspect(FIRST)
+        workers.mark_suspect(FIRST)
         workers.put(LATER)
         assert not workers.is_suspect("w")
 
--- a/tests/platform_adapter/test_callers.py
+++ b/tests/platform_adapter/test_callers.py
@@ -47,7 +47,7 @@
         assert request.after_event == 3
         assert request.prompt is not None
         assert request.prompt.parts[0] == PromptPart(part_id="ab", n_tokens=60)
-        assert 1.4 < request.deadline_s - request.came_s <= 1.5
+        assert 1.4 < request.deadline_s - request.received_s <= 1.5
 
     async def test_what_is_the_systems_to_set_is_not_passed_on(self) -> None:
         # A caller names another account, reserves memory at an engine, or hands
--- a/tests/platform_adapter/test_decoding.py
+++ b/tests/platform_adapter/test_decoding.py
@@ -15,7 +15,7 @@
     EngineService,
     PieceService,
     PlainService,
-    Repeat,
+    RepeatPolicy,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -45,11 +45,11 @@
     def test_kinds_say_how_often_and_whether_it_streams(self) -> None:
         decoded = decode_table(table())
         by_name = {r.name: r for routes in decoded.by_host.values() for r in routes}
-        assert by_name["price"].repeat is Repeat.IDEMPOTENT
-        assert by_name["hold"].repeat is Repeat.NON_IDEMPOTENT
+        assert by_name["price"].repeat is RepeatPolicy.IDEMPOTENT
+        assert by_name["hold"].repeat is RepeatPolicy.NON_IDEMPOTENT
         draft = by_name["draft"]
         assert draft.is_stream and draft.is_resumable
-        assert draft.repeat is Repeat.NON_IDEMPOTENT
+        assert draft.repeat is RepeatPolicy.NON_IDEMPOTENT
         assert draft.last_stages() == (1,)
 
     def test_callers_wait_for_an_event_by_the_longest_of_three(self) -> None:
@@ -67,7 +67,7 @@
         ]
         routes.append(first | {"name": "whole", "kind": "idempotent"})
         by_host = decode_table(table(routes=routes)).by_host
-        waits_s = {r.name: r.event_patience_s for rs in by_host.values() for r in rs}
+        waits_s = {r.name: r.event_timeout_s for rs in by_host.values() for r in rs}
         assert waits_s == {"r0": 2.0, "r1": 3.6, "r2": 4.0, "whole": float("inf")}
 
     def test_services_are_told_apart(self) -> None:
--- a/tests/platform_adapter/test_piece_messages.py
+++ b/tests/platform_adapter/test_piece_messages.py
@@ -6,7 +6,7 @@
 from result import Ok
 
 from tests.chain.fakes import worker
-from trefoilpaddle.state.chain.piece_work import PieceFault, PieceMade
+from trefoilpaddle.state.chain.piece_work import PieceFault, PieceResult
 
 
 class TestPieceEnds:
@@ -21,7 +21,7 @@
         data = orjson.dumps({"items": [{"handle": "w1:1/a"}, {"reason": reason}]})
         assert decode_piece_ends(data, made, 2) == Ok(
             [
-                PieceMade(handle="w1:1/a", worker_id="w1", born_ms=made.born_ms),
+                PieceResult(handle="w1:1/a", worker_id="w1", born_ms=made.born_ms),
                 PieceFault.FAILED,
             ]
         )
--- a/tests/platform_adapter/test_worker_client.py
+++ b/tests/platform_adapter/test_worker_client.py
@@ -21,7 +21,7 @@
     StreamBrokenError,
     TargetCall,
 )
-from trefoilpaddle.state.chain.piece_work import PieceFault, PieceMade, PieceWork
+from trefoilpaddle.state.chain.piece_work import PieceFault, PieceResult, PieceWork
 from trefoilpaddle.state.chain.target_answers import CallFault
 from trefoilpaddle.state.chain.workers import Worker
 
@@ -257,7 +257,7 @@
 
     async def test_each_piece_has_its_own_end(self) -> None:
         ends = await self.make(b'{"items":[{"handle":"h/1"},{"reason":"room"}]}')
-        made = PieceMade(handle="h/1", worker_id="w1")
+        made = PieceResult(handle="h/1", worker_id="w1")
         assert ends == Ok([made, PieceFault.NO_MEMORY])
 
     async def test_it_is_told_once_that_the_call_was_sent(self) -> None:
