--- a/tests/chain/test_usable_workers.py
+++ b/tests/chain/test_usable_workers.py
@@ -74,7 +74,7 @@
 
     def test_those_that_were_tried_are_left_out(self, clock: Clock) -> None:
         table = table_of(worker("a", "s"), worker("b", "s"))
-        assert ids(table, without=frozenset({"a"})) == ["b"]
+        assert ids(table, excluded=frozenset({"a"})) == ["b"]
         assert ids(table) == ["a", "b"]
 
     # A worker starts again under its id. Whoever hears that its former start has
