--- a/src/trefoilpaddle/state/chain/result_memory.py
+++ b/src/trefoilpaddle/state/chain/result_memory.py
@@ -220,5 +220,5 @@
         ]
         for handle in expired:
             self.free(handle)
-        until_s = (kept.until_s for kept in self._kept.values())
-        self._first_expiry_s = min(until_s, default=float("inf"))
+        expiries_s = (kept.until_s for kept in self._kept.values())
+        self._first_expiry_s = min(expiries_s, default=float("inf"))
--- a/tests/chain/__main__.py
+++ b/tests/chain/__main__.py
@@ -1,10 +1,10 @@
-"""Play the model of a cell: ``python -m tests.chain play --load tight --seeds 8``.
+"""Simulate a cell: ``python -m tests.chain play --load tight --seeds 8``.
 
-``--without NAME`` takes one mechanism out and prints the difference, in pairs of a
-seed. ``python -m tests.chain cost`` measures what a scheduler costs a chain by the
-size of its cell. ``python -m tests.chain store`` prints what a change of the
-configuration costs gateways that read and hear of the store, ``crash`` what the end of
-a worker costs them.
+``--without NAME`` disables one mechanism and prints the difference, paired by seed.
+``python -m tests.chain cost`` measures the processor time of a scheduler per chain by
+the size of its cell. ``python -m tests.chain store`` prints the cost of a configuration
+change for gateways that read the store and for those that are notified of it, ``crash``
+the cost of a worker crash.
 """
 
 import logging
@@ -36,7 +36,7 @@
 FOR_EVER_S: Final = 1e9
 
 
-def _without_distance(patch: pytest.MonkeyPatch) -> None:
+def _without_cross_domain_cost(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(cell_dispatch, "FAR_S", 0.0)
     patch.setattr(cell_dispatch, "FAR_S_PER_BYTE", 0.0)
 
@@ -44,7 +44,7 @@
 SWITCHES: Final[dict[str, Callable[[pytest.MonkeyPatch], None]]] = {
     "early_free": lambda patch: patch.setattr(worker_caller, "FETCH_S", FOR_EVER_S),
     "overdue_queue": lambda patch: patch.setattr(overdue_queue, "MAX_WAITING", 0),
-    "near_workers": _without_distance,
+    "near_workers": _without_cross_domain_cost,
     "urgent_shares": lambda patch: patch.setattr(
         TolerableWaits, "min_of_more_urgent_s", lambda *_: float("inf")
     ),
@@ -54,15 +54,15 @@
 }
 
 
-def worth_in_time(outcome: Outcome, load: Load) -> float:
-    """Return the share of what was asked, by its worth, that was in time."""
-    owed = sum(kind.worth * outcome.asked[kind.name] for kind in load.kinds)
-    got = sum(kind.worth * outcome.in_time[kind.name] for kind in load.kinds)
-    return got / owed
+def value_in_time(outcome: Outcome, load: Load) -> float:
+    """Return the share of the requested value that was answered in time."""
+    requested = sum(kind.value * outcome.asked[kind.name] for kind in load.kinds)
+    answered = sum(kind.value * outcome.in_time[kind.name] for kind in load.kinds)
+    return answered / requested
 
 
-def play(load: Load, seed: int, without: str = "") -> Outcome:
-    """Return how one seed went."""
+def simulate(load: Load, seed: int, without: str = "") -> Outcome:
+    """Run the model with one seed and return its outcome."""
 
     async def run() -> Outcome:
         return await Model(load, seed=seed).run()
@@ -73,34 +73,34 @@
         return run_virtual(patch, run())
 
 
-def print_plays(load: str = "tight", seeds: int = 5, without: str = "") -> None:
-    """Print how each seed went, and the means."""
+def print_simulations(load: str = "tight", seeds: int = 5, without: str = "") -> None:
+    """Print the outcome of each seed, and the means."""
     logging.disable(logging.CRITICAL)
     chosen = LOADS[load]
-    worths, gains = [], []
+    values, gains = [], []
     for seed in range(1, seeds + 1):
-        outcome = play(chosen, seed)
-        worths.append(worth_in_time(outcome, chosen))
+        outcome = simulate(chosen, seed)
+        values.append(value_in_time(outcome, chosen))
         calls = " ".join(
             f"{service.name} {outcome.mean_pieces(service.name):.1f}"
             for service in chosen.services
         )
-        line = f"seed {seed}: {worths[-1]:.3f} in time, pieces a call: {calls}"
+        line = f"seed {seed}: {values[-1]:.3f} in time, pieces a call: {calls}"
         if without:
-            other = worth_in_time(play(chosen, seed, without), chosen)
-            gains.append(worths[-1] - other)
+            other = value_in_time(simulate(chosen, seed, without), chosen)
+            gains.append(values[-1] - other)
             line += f"; {other:.3f} without {without}"
         print(line, flush=True)
-    print(f"mean {statistics.mean(worths):.4f}")
+    print(f"mean {statistics.mean(values):.4f}")
     if len(gains) > 1:
         error = statistics.stdev(gains) / len(gains) ** 0.5
         print(f"{without}: {statistics.mean(gains):+.4f}, error {error:.4f}")
 
 
-def grown(load: Load, n_per_service: int) -> Load:
-    """Return a load without bursts for cells of so many workers of each service.
+def scaled(load: Load, n_per_service: int) -> Load:
+    """Return a load without bursts for a cell with a number of workers per service.
 
-    As many requests come for each worker of the first service as before.
+    The request rate per worker of the first service stays the same.
     """
     ratio = n_per_service / load.n_workers[load.services[0].name]
     return replace(
@@ -115,39 +115,39 @@
     per_service: str | int | Sequence[int] = (1, 8, 21, 32, 61, 100),
     length_s: float = 4.0,
 ) -> None:
-    """Print the processor time of a chain, the model's own part included.
+    """Print the processor time of a chain, including the time of the model itself.
 
-    The slope is what each worker more than in the row before adds to it.
+    The slope is the increase for each worker more than in the preceding row.
 
     Parameters
     ----------
     per_service : comma-separated int
-        Workers of each of the three services; callers grow with them.
+        Workers of each of the three services; the request rate grows with them.
     length_s : float
-        How long callers come.
+        Seconds during which requests arrive.
     """
     logging.disable(logging.CRITICAL)
     print("stage workers  chains  chains/s  ms a chain  slope, ms a worker")
-    before: tuple[int, float] | None = None
+    preceding: tuple[int, float] | None = None
     for n_per_service in numbers_of(per_service):
-        load = replace(grown(TIGHT_DAY, n_per_service), length_s=length_s)
+        load = replace(scaled(TIGHT_DAY, n_per_service), length_s=length_s)
         n_workers = sum(load.n_workers.values())
         began_s = time.process_time()
-        n_chains = play(load, seed=1).asked.total()
+        n_chains = simulate(load, seed=1).asked.total()
         chain_ms = 1000 * (time.process_time() - began_s) / n_chains
         line = f"{n_workers:13} {n_chains:7} {n_chains / length_s:9.0f}"
         line += f" {chain_ms:11.2f}"
-        if before is not None:
-            slope_ms = (chain_ms - before[1]) / (n_workers - before[0])
+        if preceding is not None:
+            slope_ms = (chain_ms - preceding[1]) / (n_workers - preceding[0])
             line += f" {slope_ms:19.3f}"
         print(line, flush=True)
-        before = (n_workers, chain_ms)
+        preceding = (n_workers, chain_ms)
 
 
 if __name__ == "__main__":
     fire.Fire(
         {
-            "play": print_plays,
+            "play": print_simulations,
             "cost": print_cost,
             "store": print_costs,
             "crash": print_crash_costs,
--- a/tests/chain/cell_loads.py
+++ b/tests/chain/cell_loads.py
@@ -1,4 +1,4 @@
-"""Loads of a modelled cell: what comes, who makes it, and the bursts."""
+"""Loads of a modelled cell: requests, services with workers, and bursts."""
 
 from dataclasses import dataclass, replace
 
@@ -12,23 +12,27 @@
     Parameters
     ----------
     per_s : float
-        How many come in a second.
-    patience_s : float
+        Mean number of requests per second.
+    objective_s : float
+        Latency objective of the answer's first event.
+    event_timeout_s : float
         Time after which a caller leaves if its answer has not begun.
+    value : float
+        Value of an answer in time.
     engine_s : float
-        Mean from the last stage to the first event.
+        Mean time from the end of the last stage to the first event.
     n_pieces : tuple of float
-        Mean pieces of each stage.
+        Mean number of pieces of each stage.
     work : tuple of float
         Share of the published time that a piece of each stage takes.
     """
 
     name: str
     per_s: float
-    aim_s: float
+    objective_s: float
     deadline_s: float
-    patience_s: float
-    worth: float
+    event_timeout_s: float
+    value: float
     priority: int
     engine_s: float
     stages: tuple[StagePlan, ...]
@@ -38,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Burst:
-    """More of one kind, or of all if it is empty, for a while."""
+    """A temporary increase of one kind of request, or of all if `kind` is empty."""
 
     kind: str
     at_s: float
-    for_s: float
-    times: float
+    duration_s: float
+    factor: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Load:
-    """What comes, and who makes it.
+    """Requests of a modelled cell, and the services and workers that run them.
 
     Parameters
     ----------
     size_spread : float
-        Share by which results are smaller or larger than published, at most.
+        Largest relative difference between the actual and published size of results.
     """
 
     kinds: tuple[Kind, ...]
@@ -65,7 +69,7 @@
 
 
 def plan(service: str, result_bytes: float, *after: int) -> StagePlan:
-    """Return one stage."""
+    """Return one stage; `after` are the indices of the stages that it reads."""
     return StagePlan(service=service, after=after, result_bytes=result_bytes)
 
 
@@ -101,10 +105,10 @@
 LONG = Kind(
     name="long",
     per_s=34.0,
-    aim_s=1.1,
+    objective_s=1.1,
     deadline_s=6.0,
-    patience_s=4.4,
-    worth=4.0,
+    event_timeout_s=4.4,
+    value=4.0,
     priority=1,
     engine_s=0.3,
     stages=(plan("read", 1.5e6),),
@@ -114,10 +118,10 @@
 URGENT = Kind(
     name="urgent",
     per_s=48.0,
-    aim_s=1.9,
+    objective_s=1.9,
     deadline_s=6.0,
-    patience_s=7.6,
-    worth=2.0,
+    event_timeout_s=7.6,
+    value=2.0,
     priority=0,
     engine_s=0.25,
     stages=(plan("read", 8e3), plan("check", 6e4, 0), plan("draw", 6e3, 1)),
@@ -127,10 +131,10 @@
 CHAT = Kind(
     name="chat",
     per_s=42.0,
-    aim_s=1.9,
+    objective_s=1.9,
     deadline_s=20.0,
-    patience_s=7.6,
-    worth=0.5,
+    event_timeout_s=7.6,
+    value=0.5,
     priority=2,
     engine_s=0.15,
     stages=(
@@ -147,9 +151,9 @@
     services=SERVICES,
     n_workers={"read": 10, "check": 8, "draw": 8},
     bursts=(
-        Burst(kind="long", at_s=6, for_s=6, times=2.5),
-        Burst(kind="urgent", at_s=15, for_s=5.5, times=2.3),
-        Burst(kind="", at_s=26, for_s=4, times=1.7),
+        Burst(kind="long", at_s=6, duration_s=6, factor=2.5),
+        Burst(kind="urgent", at_s=15, duration_s=5.5, factor=2.3),
+        Burst(kind="", at_s=26, duration_s=4, factor=1.7),
     ),
 )
 SMALL_SERVICES = (
@@ -184,10 +188,10 @@
 CASE = Kind(
     name="long",
     per_s=3.3,
-    aim_s=1.4,
+    objective_s=1.4,
     deadline_s=15.0,
-    patience_s=5.6,
-    worth=6.0,
+    event_timeout_s=5.6,
+    value=6.0,
     priority=1,
     engine_s=0.2,
     stages=(plan("read", 0.8e6),),
@@ -197,10 +201,10 @@
 LETTER = Kind(
     name="urgent",
     per_s=9.2,
-    aim_s=1.9,
+    objective_s=1.9,
     deadline_s=15.0,
-    patience_s=7.6,
-    worth=1.7,
+    event_timeout_s=7.6,
+    value=1.7,
     priority=0,
     engine_s=0.1,
     stages=(plan("read", 8e3), plan("check", 6e4, 0), plan("draw", 6e3, 1)),
@@ -210,10 +214,10 @@
 EVIDENCE = Kind(
     name="chat",
     per_s=5.0,
-    aim_s=2.0,
+    objective_s=2.0,
     deadline_s=6.0,
-    patience_s=8.0,
-    worth=0.65,
+    event_timeout_s=8.0,
+    value=0.65,
     priority=2,
     engine_s=0.15,
     stages=(
@@ -230,9 +234,9 @@
     services=SMALL_SERVICES,
     n_workers={"read": 4, "check": 4, "draw": 4},
     bursts=(
-        Burst(kind="long", at_s=4, for_s=6.5, times=2.4),
-        Burst(kind="urgent", at_s=14, for_s=6.5, times=2.2),
-        Burst(kind="", at_s=25, for_s=4, times=1.7),
+        Burst(kind="long", at_s=4, duration_s=6.5, factor=2.4),
+        Burst(kind="urgent", at_s=14, duration_s=6.5, factor=2.2),
+        Burst(kind="", at_s=25, duration_s=4, factor=1.7),
     ),
     length_s=34.0,
 )
@@ -241,4 +245,4 @@
     kinds=tuple(replace(kind, per_s=1.5 * kind.per_s) for kind in TIGHT_DAY.kinds),
     size_spread=0.4,
 )
-"""More comes than can be done, and results are larger or smaller than published."""
+"""More requests than can be served, and results of sizes other than published."""
--- a/tests/chain/cell_model.py
+++ b/tests/chain/cell_model.py
@@ -1,9 +1,9 @@
-"""A model of one cell under load, around the real scheduler, in virtual time.
+"""A model of one cell under load, with the real scheduler, in virtual time.
 
-Workers make one call at a time and have memory for results as published; callers
-come by a Poisson process with bursts, read their results after an engine's
-time, and come back once when they are refused. One load has 26 stage workers,
-many places a call and much memory; the other 12, few places and little memory.
+Workers run one call at a time and have the published memory for results. Callers
+arrive in a Poisson process with bursts, read their results after the time of an engine,
+and retry once when they are refused. One load has 26 stage workers, many slots per call
+and much memory; the other has 12, few slots and little memory.
 """
 
 import asyncio
@@ -31,32 +31,33 @@
 from .fakes import budgets, crash_guard, journal, table, worker
 
 CLUMP = 3
-"""Callers that come at the same moment, on the average."""
+"""Mean number of callers that arrive at the same moment."""
 
 N_QUEUED = 2
-"""Calls that wait at a worker behind the one that it makes; more are turned away."""
+"""Calls that may wait at a worker behind the running one; more are refused."""
 
 ENGINE_MARGIN = 1.5
-"""Times the mean that is left for the engine, as gateways leave it."""
+"""Factor on the engine's mean time for the time to reserve, as in gateways."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """How the requests of a run ended.
+    """Outcome of all requests of a simulation.
 
     Parameters
     ----------
     asked, in_time, late, refused, left, again : Counter of str
-        By kind; callers that had left when their answer began, and those that came
-        back and were refused again.
+        Number of requests by kind. `left` counts callers that had left when their
+        answer began, `again` callers that retried and were refused again.
     waited_s : dict of str to list of float
-        By kind, from the last coming of a caller to its answer, where it had one.
+        By kind, time from the last attempt of a caller to its answer, if it had one.
     held_s : dict of str to float
-        By kind, how long the latter waited for that.
+        By kind, total time for which the callers counted in `again` waited in their
+        second attempt.
     far_bytes : float
-        Of inputs that were read in another failure domain.
+        Bytes of inputs that were read from another failure domain.
     n_calls, n_made, busy_s
-        Calls, their pieces and their time, by service.
+        Calls, their pieces and their total time, by service.
     """
 
     asked: Counter[str] = field(default_factory=Counter)
@@ -73,15 +74,15 @@
     busy_s: dict[str, float] = field(default_factory=dict)
 
     def n_begun_after(self, kind: str, after_s: float) -> int:
-        """Return how many answers of a kind began later than that."""
+        """Return how many answers of a kind began later than `after_s`."""
         return sum(waited_s > after_s for waited_s in self.waited_s.get(kind, []))
 
     def share_in_time(self, kind: str) -> float:
-        """Return the part of a kind that was answered in time."""
+        """Return the share of the requests of a kind that were answered in time."""
         return self.in_time[kind] / max(1, self.asked[kind])
 
     def mean_pieces(self, service: str) -> float:
-        """Return the mean pieces of a call."""
+        """Return the mean number of pieces of a call."""
         return self.n_made[service] / max(1, self.n_calls[service])
 
 
@@ -92,7 +93,7 @@
     Parameters
     ----------
     gateway : str
-        Who sent it.
+        Gateway that sent it.
     n_turned_away : int
         Pieces whose results found no memory.
     """
@@ -105,12 +106,12 @@
 
 
 class ModelCalls:
-    """Calls at modelled workers: one at a time, with memory for results.
+    """Modelled workers, which run one call at a time and have memory for results.
 
     Attributes
     ----------
     sent : list of SentCall
-        All calls, in the order of their ends.
+        All calls, in the order in which they ended.
     """
 
     def __init__(self, load: Load, rng: random.Random, outcome: Outcome) -> None:
@@ -151,7 +152,7 @@
         self._n_calls[at.worker_id] += 1
         async with self._locks.setdefault(at.worker_id, asyncio.Lock()):
             self._count_far(at, works)
-            self._drop_over(kept)
+            self._drop_expired(kept)
             ends: list[PieceOutcome] = []
             took_s = service.call_s
             for work in works:
@@ -183,7 +184,7 @@
         return Ok(ends)
 
     def _size(self, work: PieceWork) -> float:
-        """Return the size of a result, which differs from the published one."""
+        """Return the actual size of a result; it may differ from the published size."""
         if not self._size_spread:
             return work.result_bytes
         spread = self._size_spread
@@ -192,23 +193,23 @@
             self._sizes[of_stage] = self._rng.uniform(1.0 - spread, 1.0 + spread)
         return work.result_bytes * self._sizes[of_stage]
 
-    def _drop_over(self, kept: dict[str, float]) -> None:
-        """Forget results that have run out."""
+    def _drop_expired(self, kept: dict[str, float]) -> None:
+        """Remove results that have expired."""
         now_s = time.monotonic()
         for name in [name for name in kept if self._until_s[name] <= now_s]:
             del kept[name]
 
     def _count_far(self, at: Worker, works: Sequence[PieceWork]) -> None:
         for handle in (handle for work in works for handle in work.inputs):
-            maker = handle.partition("/")[0]
-            if self._domains.get(maker, at.failure_domain) != at.failure_domain:
-                self._outcome.far_bytes += self._kept[maker].get(handle, 0.0)
+            worker_id = handle.partition("/")[0]
+            if self._domains.get(worker_id, at.failure_domain) != at.failure_domain:
+                self._outcome.far_bytes += self._kept[worker_id].get(handle, 0.0)
 
     async def report(self, at: Worker, *, timeout_s: float) -> WorkerReport:
-        """Say what is free in whole MB, as workers do."""
+        """Report the free memory in whole MB, as workers do."""
         await asyncio.sleep(0.002)
         kept = self._kept.get(at.worker_id, {})
-        self._drop_over(kept)
+        self._drop_expired(kept)
         free_mb = (self._services[at.service].memory_bytes - sum(kept.values())) // 1e6
         n_calls = self._n_calls[at.worker_id]
         return WorkerReport(
@@ -230,7 +231,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Chain:
-    """How a chain ended, and what frees its results."""
+    """The outcome of a chain, and a function that frees its results."""
 
     end: ChainOutcome
     free: Callable[[], object] = lambda: None
@@ -242,14 +243,14 @@
     Parameters
     ----------
     n_schedulers : int
-        With more than one, each caller's gateway plans for itself: it sees its
-        own queues only, and all call the same workers.
+        With more than one, each request is scheduled by one of them at random; each
+        scheduler sees only its own queues, and all call the same workers.
     """
 
     def __init__(self, load: Load, *, seed: int, n_schedulers: int = 1) -> None:
         self._load = load
         self._rng = random.Random(seed)
-        # The jitter of when callers are asked back is drawn from this one.
+        # The jitter of retry times is drawn from the global generator.
         random.seed(seed)
         self.outcome = Outcome()
         self.listed = [
@@ -266,10 +267,10 @@
         ]
 
     async def run(self) -> Outcome:
-        """Let callers come for the whole time; return how they fared."""
+        """Let callers arrive for the length of the load; return the outcome."""
         async with asyncio.TaskGroup() as group:
             for kind in self._load.kinds:
-                group.create_task(self._come(kind, group))
+                group.create_task(self._generate(kind, group))
         return self.outcome
 
     async def run_chain(self, work: ChainWork) -> Chain:
@@ -278,41 +279,43 @@
         end = await scheduler.run(work)
         return Chain(end=end, free=lambda: scheduler.free(work.request_id))
 
-    async def _come(self, kind: Kind, group: asyncio.TaskGroup) -> None:
+    async def _generate(self, kind: Kind, group: asyncio.TaskGroup) -> None:
         began_s = time.monotonic()
         number = 0
         while (at_s := time.monotonic() - began_s) < self._load.length_s:
-            times = 1.0 + sum(
-                burst.times - 1.0
+            factor = 1.0 + sum(
+                burst.factor - 1.0
                 for burst in self._load.bursts
                 if burst.kind in ("", kind.name)
-                and burst.at_s <= at_s < burst.at_s + burst.for_s
+                and burst.at_s <= at_s < burst.at_s + burst.duration_s
             )
             n_together = self._rng.randint(1, 2 * CLUMP - 1)
-            pause_s = self._rng.expovariate(kind.per_s * times / CLUMP)
+            pause_s = self._rng.expovariate(kind.per_s * factor / CLUMP)
             await asyncio.sleep(pause_s)
             for _ in range(n_together):
                 number += 1
                 group.create_task(self._call(kind, f"{kind.name}{number}"))
 
     async def _call(self, kind: Kind, request_id: str) -> None:
-        came_s = back_s = time.monotonic()
-        leaves_s = came_s + min(kind.patience_s, kind.deadline_s)
+        arrived_s = retried_s = time.monotonic()
+        leaves_s = arrived_s + min(kind.event_timeout_s, kind.deadline_s)
         self.outcome.asked[kind.name] += 1
-        work = self._work(kind, request_id, came_s)
+        work = self._work(kind, request_id, arrived_s)
         chain = await self.run_chain(work)
         end = chain.end
         if isinstance(end, ChainFailed) and not end.is_begun:
-            left_s = came_s + kind.deadline_s - time.monotonic()
+            left_s = arrived_s + kind.deadline_s - time.monotonic()
             await asyncio.sleep(min(end.retry_after_s, left_s / 3))
-            back_s = time.monotonic()
-            leaves_s = min(back_s + kind.patience_s, came_s + kind.deadline_s)
-            again = self._work(kind, request_id, back_s, first_s=came_s)
+            retried_s = time.monotonic()
+            leaves_s = min(
+                retried_s + kind.event_timeout_s, arrived_s + kind.deadline_s
+            )
+            again = self._work(kind, request_id, retried_s, first_s=arrived_s)
             chain = await self.run_chain(again)
             end = chain.end
             if isinstance(end, ChainFailed):
                 self.outcome.again[kind.name] += 1
-                held_s = time.monotonic() - back_s
+                held_s = time.monotonic() - retried_s
                 held_s += self.outcome.held_s.get(kind.name, 0.0)
                 self.outcome.held_s[kind.name] = held_s
         if isinstance(end, ChainFailed):
@@ -320,19 +323,23 @@
             return
         await asyncio.sleep(kind.engine_s * self._rng.uniform(0.4, 1.6))
         chain.free()
-        waited_s = time.monotonic() - back_s
+        waited_s = time.monotonic() - retried_s
         self.outcome.waited_s.setdefault(kind.name, []).append(waited_s)
         if time.monotonic() > leaves_s:
             self.outcome.left[kind.name] += 1
             return
-        is_in_time = time.monotonic() - came_s <= kind.aim_s
+        is_in_time = time.monotonic() - arrived_s <= kind.objective_s
         (self.outcome.in_time if is_in_time else self.outcome.late)[kind.name] += 1
 
     def _work(
-        self, kind: Kind, request_id: str, came_s: float, first_s: float | None = None
+        self,
+        kind: Kind,
+        request_id: str,
+        arrived_s: float,
+        first_s: float | None = None,
     ) -> ChainWork:
-        """Return a chain that comes now; `first_s` is when its caller came first."""
-        began_s = came_s if first_s is None else first_s
+        """Return a chain; `first_s` is the time of an earlier first attempt."""
+        began_s = arrived_s if first_s is None else first_s
         n_pieces = tuple(
             self._n_pieces(mean) if mean != int(mean) else int(mean)
             for mean in kind.n_pieces
@@ -343,16 +350,17 @@
             stages=kind.stages,
             n_pieces=n_pieces,
             piece_key=request_id,
-            due_s=came_s + kind.aim_s - ENGINE_MARGIN * kind.engine_s,
+            due_s=arrived_s + kind.objective_s - ENGINE_MARGIN * kind.engine_s,
             deadline_s=min(
-                began_s + kind.deadline_s, came_s + kind.patience_s - kind.engine_s
+                began_s + kind.deadline_s,
+                arrived_s + kind.event_timeout_s - kind.engine_s,
             ),
             preferred_domain=self._rng.choice("abcd"),
             priority=kind.priority,
         )
 
     def _n_pieces(self, mean: float) -> int:
-        """Return how many pieces a stage has; often none, then several."""
+        """Return a random number of pieces of a stage; it is often 0."""
         return 0 if self._rng.random() < 0.4 else max(1, round(mean / 0.6))
 
 
--- a/tests/chain/crash_costs.py
+++ b/tests/chain/crash_costs.py
@@ -1,4 +1,4 @@
-"""What the end of a worker costs gateways, and how soon all of them know."""
+"""Cost of a worker crash for gateways, and the time until all of them know of it."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 
 async def _cost(n_gateways: int, n_requests: int) -> tuple[float, float, float]:
-    """Return bytes and messages that a gateway sends, and when the last one knows."""
+    """Return mean bytes and messages sent per gateway, and seconds until all know."""
     async with crash_fleet(n_gateways) as fleet:
         began_s = time.monotonic()
         await asyncio.gather(
@@ -28,7 +28,7 @@
 def print_crash_costs(
     gateways: tuple[int, ...] = (6, 23, 68, 400), requests: int = 64
 ) -> None:
-    """Print what the end of one worker with so many requests costs by gateways."""
+    """Print the cost of the crash of one worker, by the number of gateways."""
     print("gateways  requests  B a gateway  messages a gateway  all know, s")
     for n_gateways in gateways:
         n_bytes, n_messages, known_s = asyncio.run(_cost(n_gateways, requests))
--- a/tests/chain/crash_fleet.py
+++ b/tests/chain/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways that tell one another of crashes, over links that can be cut."""
+"""Gateways that notify one another of crashes over links that can be disconnected."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class Gateway:
-    """What one gateway knows of crashes."""
+    """One gateway, as far as it handles crashes."""
 
     def __init__(self, number: int, calls: FakeCalls, n_workers: int) -> None:
         self.process = process(f"g{number}")
@@ -44,14 +44,14 @@
             relay=self.relay,
         )
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         message = decode(data[LENGTH_BYTES:]).unwrap().message
         for listener in self.process.message_listeners:
             listener(None, message)  # type: ignore[arg-type]
 
 
 class FakeLink:
-    """A way from one gateway to another."""
+    """A link from one gateway to another."""
 
     def __init__(self, fleet: "CrashFleet", to: Gateway) -> None:
         self._fleet = fleet
@@ -65,17 +65,17 @@
         data = encode(message)
         self._fleet.n_messages += 1
         self._fleet.n_bytes += len(data)
-        asyncio.get_running_loop().call_soon(self._to.hear, data)
+        asyncio.get_running_loop().call_soon(self._to.receive, data)
         return True
 
 
 class CrashFleet:
-    """Gateways with the links that members keep.
+    """Gateways with the links that members of the fleet keep.
 
     Attributes
     ----------
     n_messages, n_bytes : int
-        Sent so far between gateways.
+        Messages and bytes sent between gateways so far.
     """
 
     def __init__(self, n_gateways: int, n_workers: int) -> None:
@@ -96,7 +96,7 @@
     async def run_at(
         self, number: int, worker_id: str, fingerprint: str, end: RunOutcome
     ) -> None:
-        """Run a request at a worker; one that ends broken ends the worker."""
+        """Run a request at a worker; the outcome BROKEN crashes the worker."""
         gateway = self.every[number]
         at = gateway.workers.get(worker_id)
         assert at is not None
@@ -107,7 +107,7 @@
                 self.calls.refusing.add(worker_id)
         await gateway.guard.settled(at)
 
-    def start_again(self, worker_id: str) -> None:
+    def restart(self, worker_id: str) -> None:
         """List a new start of a worker at all gateways."""
         self.calls.refusing.discard(worker_id)
         for gateway in self.every:
@@ -115,8 +115,8 @@
             assert known is not None
             gateway.workers.put(replace(known, born_ms=known.born_ms + 1))
 
-    def standings(self, fingerprint: str) -> set[CrashStatus]:
-        """Return what the gateways hold of a request."""
+    def statuses(self, fingerprint: str) -> set[CrashStatus]:
+        """Return the crash statuses that the gateways have for a request."""
         return {gateway.book.status(fingerprint) for gateway in self.every}
 
 
@@ -124,7 +124,7 @@
 async def crash_fleet(
     n_gateways: int = 8, *, n_workers: int = 9
 ) -> AsyncIterator[CrashFleet]:
-    """Let gateways tell one another while the context is open."""
+    """Run gateways that notify one another while the context is open."""
     fleet = CrashFleet(n_gateways, n_workers)
     running = [asyncio.create_task(each.relay.run()) for each in fleet.every]
     try:
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -1,4 +1,4 @@
-"""Workers, calls and a caller that a test scripts."""
+"""Workers, calls and a caller that are scripted by a test."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -113,7 +113,7 @@
 
 @dataclass
 class FakeAnswer:
-    """An answer of a worker: a body, or events that may break off."""
+    """An answer of a worker: a body, or events that may be interrupted."""
 
     head: AnswerHead = OK_HEAD
     body: bytes = b"body"
@@ -140,7 +140,7 @@
 
 @dataclass
 class FakeCalls:
-    """Answers calls by what a test wrote for them."""
+    """Answers calls from a script of the test."""
 
     scripts: list[Script] = field(default_factory=list)
     sent: list[tuple[str, TargetCall]] = field(default_factory=list)
@@ -211,7 +211,7 @@
 
 @dataclass
 class FakeSink:
-    """What a caller saw."""
+    """Records what a caller receives."""
 
     seen: list[str] = field(default_factory=list)
 
@@ -262,7 +262,7 @@
 
 
 def process(name: str, domain: str = "here") -> Process:
-    """Return a gateway's process that is not running yet."""
+    """Return the process of a gateway that is not running yet."""
     return Process(
         identity=Identity(
             process_id=name,
--- a/tests/chain/fleet_model.py
+++ b/tests/chain/fleet_model.py
@@ -1,8 +1,8 @@
 """A model of several gateways that share one cell, in virtual time.
 
-Routers, schedulers and their messages are the real ones; members and links are
-modelled: a message takes a millisecond, news of a member a tenth of a second.
-Workers, callers and their load are those of the model of a cell.
+Routers, schedulers and their messages are real. Members and links are modelled: a
+message takes 1 ms, a membership update 100 ms. Workers, callers and their load are
+those of the model of a cell.
 """
 
 import asyncio
@@ -36,13 +36,13 @@
 from .fakes import budgets, crash_guard, journal, table
 from .test_chain_router import member
 
-WAY_S = 0.001
-NEWS_S = 0.1
+MESSAGE_S = 0.001
+UPDATE_S = 0.1
 CONNECT_S = 0.05
 
 
 class ModelServer:
-    """Takes the handlers of a gateway's messages."""
+    """Registers the handlers of a gateway's messages."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any, Hello], Awaitable[Message]]] = {}
@@ -57,7 +57,7 @@
 
 
 class ModelProcess:
-    """What schedulers need of their process."""
+    """The parts of a process that schedulers use."""
 
     def __init__(self) -> None:
         self.server = ModelServer()
@@ -100,7 +100,7 @@
         lost = PeerError(step="wait", peer=self._other.name, detail="", is_sent=True)
         if not self._is_open():
             return Err(lost)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(MESSAGE_S)
         handler = self._other.process.server.handlers[type(message)]
         hello = Hello(process_id=self._own.name)
         answer = asyncio.ensure_future(handler(message, hello))
@@ -109,13 +109,13 @@
                 answer.cancel()
                 return Err(lost)
             await asyncio.wait({answer}, timeout=0.01)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(MESSAGE_S)
         return Ok(answer.result())
 
     def send(self, message: Message) -> bool:
         loop = asyncio.get_running_loop()
         if self._is_open():
-            loop.call_later(WAY_S, self._other.hear, message)
+            loop.call_later(MESSAGE_S, self._other.receive, message)
         return self._is_open()
 
 
@@ -135,7 +135,7 @@
 
 
 class GatewayCalls:
-    """Calls of one gateway; they reach no worker once it is gone."""
+    """Calls of one gateway; they reach no worker once the gateway is down."""
 
     def __init__(self, own: "ModelGateway", calls: ModelCalls) -> None:
         self._own = own
@@ -151,7 +151,7 @@
     ) -> Result[list[PieceOutcome], CallFault]:
         if not self._own.is_up:
             return Err(CallFault.UNREACHABLE)
-        # A worker goes on with a call whose caller is gone.
+        # A worker completes a call even if the gateway that sent it is gone.
         return await asyncio.shield(
             asyncio.ensure_future(
                 self._calls.make_pieces(
@@ -220,27 +220,27 @@
         )
         self.watching = asyncio.ensure_future(self.router.watch())
 
-    def hear(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         for listener in self.process.message_listeners:
             listener(None, message)
 
 
 class ModelFleet(Model):
-    """Gateways before one cell, and the callers.
+    """Several gateways that serve one cell, and the callers.
 
     Parameters
     ----------
     names : str
-        A letter for each gateway.
+        Names of the gateways, one letter each.
     settle_s : float
-        How long a gateway waits after its start until it knows the others.
+        Time after its start until a gateway is taken to know the others.
     """
 
     def __init__(
         self, load: Load, *, seed: int, names: str = "pqrs", settle_s: float = 0.2
     ) -> None:
         super().__init__(load, seed=seed, n_schedulers=0)
-        self._gone_s: dict[str, float] = {}
+        self._down_since_s: dict[str, float] = {}
         self.load = load
         self.settle_s = settle_s
         self.calls = ModelCalls(load, random.Random(seed), self.outcome)
@@ -251,41 +251,41 @@
             self.start(name)
 
     def workers(self) -> WorkerTable:
-        """Return a gateway's own view of the workers."""
+        """Return a separate table of the workers for one gateway."""
         known = WorkerTable()
         for each in self.listed:
             known.put(each)
         return known
 
     def live_for(self, own: ModelGateway) -> list[MemberRecord]:
-        """Return the members that a gateway knows as live."""
+        """Return the members that a gateway believes to be live."""
         now_s = time.monotonic()
         return [
             other.record
             for other in self.gateways.values()
-            if (other is own or now_s - other.began_s > NEWS_S)
-            and not self._is_known_gone(other, own, now_s)
+            if (other is own or now_s - other.began_s > UPDATE_S)
+            and not self._is_known_down(other, own, now_s)
         ]
 
-    def _is_known_gone(
+    def _is_known_down(
         self, other: ModelGateway, own: ModelGateway, now_s: float
     ) -> bool:
-        gone_s = self._gone_s.get(other.name)
-        if gone_s is None:
+        down_since_s = self._down_since_s.get(other.name)
+        if down_since_s is None:
             return False
-        return other is own or now_s - gone_s > NEWS_S
+        return other is own or now_s - down_since_s > UPDATE_S
 
     def start(self, name: str) -> None:
-        self._gone_s.pop(name, None)
+        self._down_since_s.pop(name, None)
         self._n_starts += 1
         self.gateways[name] = ModelGateway(self, name, self._n_starts)
         for other in self.gateways.values():
             other.peers.links.pop(name, None)
 
     async def stop(self, name: str, *, after_s: float) -> None:
-        """Stop a gateway in order; it is gone after a while and starts again."""
+        """Stop a gateway as planned; after `after_s` it exits and starts again."""
         gateway = self.gateways[name]
-        self._gone_s[name] = time.monotonic()
+        self._down_since_s[name] = time.monotonic()
         gateway.process.stopping.set()
         gateway.watching.cancel()
         await gateway.router.hand_over_all()
@@ -294,22 +294,22 @@
         self.start(name)
 
     async def lose_all(self, *, down_s: float) -> None:
-        """Take the power of all gateways at once, and start them a little apart."""
+        """Cut the power of all gateways at once, and start them one after another."""
         for gateway in self.gateways.values():
             gateway.is_up = False
             gateway.watching.cancel()
-            self._gone_s[gateway.name] = time.monotonic()
+            self._down_since_s[gateway.name] = time.monotonic()
         await asyncio.sleep(down_s)
         for name in self._names:
             self.start(name)
             await asyncio.sleep(0.1)
 
     async def run_chain(self, work: ChainWork) -> "Chain":
-        """Send a chain through one of the gateways that take requests."""
+        """Run a chain through one of the gateways that accept requests."""
         up = [
             gateway
             for gateway in self.gateways.values()
-            if gateway.is_up and gateway.name not in self._gone_s
+            if gateway.is_up and gateway.name not in self._down_since_s
         ]
         if not up:
             await asyncio.sleep(0.1)
--- a/tests/chain/test_answer_bound.py
+++ b/tests/chain/test_answer_bound.py
@@ -1,4 +1,4 @@
-"""Every request is answered before a stopping gateway is gone."""
+"""A gateway that stops answers every request before it exits."""
 
 import asyncio
 import time
@@ -49,7 +49,7 @@
     await asyncio.sleep(LONG_S)
 
 
-async def end_of(wait: Wait, stop: PlannedStop, deadline_s: float) -> Outcome:
+async def outcome_of(wait: Wait, stop: PlannedStop, deadline_s: float) -> Outcome:
     delivery = Delivery()
     try:
         async with stop.bounding(delivery, deadline_s):
@@ -59,16 +59,16 @@
     raise AssertionError("it went on to its own end")
 
 
-def played(
+def simulate(
     patch: pytest.MonkeyPatch, wait: Wait, *, order_s: float, deadline_s: float = LONG_S
 ) -> tuple[float, Outcome]:
-    """Return after how long a request ended, and how; the order comes meanwhile."""
+    """Return duration and outcome of a request; the stop order arrives during it."""
 
     async def run() -> tuple[float, Outcome]:
         stop = PlannedStop(grace_s=GRACE_S)
         began_s = time.monotonic()
         asyncio.get_running_loop().call_later(order_s, stop.order)
-        end = await end_of(wait, stop, began_s + deadline_s)
+        end = await outcome_of(wait, stop, began_s + deadline_s)
         return round(time.monotonic() - began_s, 3), end
 
     with patch.context() as time_patch:
@@ -90,28 +90,28 @@
             (for_a_worker_that_fails_late, 6.5, MAY_HAVE_RUN),
         ],
     )
-    def test_whatever_a_request_waits_for_it_is_answered(
+    def test_a_waiting_request_is_answered_before_the_kill(
         self, monkeypatch: pytest.MonkeyPatch, wait: Wait, after_s: float, end: Outcome
     ) -> None:
-        # A request has a deadline of twenty seconds. Two seconds on its gateway is
-        # told to stop, with eight to the kill. It was left to whatever it waited
-        # for, and its connection closed at the end without an answer.
-        took_s, outcome = played(monkeypatch, wait, order_s=2.0)
+        # A request has a deadline of 20 s. After 2 s its gateway is told to stop and
+        # will be killed 8 s later. The request kept waiting for its stages or worker,
+        # and its connection was closed at the kill without an answer.
+        took_s, outcome = simulate(monkeypatch, wait, order_s=2.0)
         assert (took_s, outcome) == (2.0 + after_s, end)
 
-    def test_one_that_comes_during_the_stop_has_the_same_end(
+    def test_a_request_that_arrives_during_the_stop_is_refused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        assert played(monkeypatch, for_stages, order_s=0.0) == (6.0, NOT_RUN)
+        assert simulate(monkeypatch, for_stages, order_s=0.0) == (6.0, NOT_RUN)
 
 
 class TestDeadline:
     @pytest.mark.parametrize("order_s", [0.0, 100.0])
-    def test_no_wait_outlives_it(
+    def test_a_wait_ends_at_the_deadline(
         self, monkeypatch: pytest.MonkeyPatch, order_s: float
     ) -> None:
-        # What a request waits for has forgotten to end at the request's deadline.
-        took_s, outcome = played(
+        # The operation that a request waits for does not end at the deadline itself.
+        took_s, outcome = simulate(
             monkeypatch, for_stages, order_s=order_s, deadline_s=3.0
         )
         assert took_s == 3.0
@@ -119,11 +119,11 @@
 
 
 class TestFinishing:
-    def test_what_outlives_its_caller_changes_nothing_more(
+    def test_a_run_that_outlives_its_caller_has_no_effect(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A caller leaves while a worker has what may not run twice. The worker's
-        # answer, taken in after the request had ended, ended in an error.
+        # A caller leaves while a worker runs a request that may not run twice. The
+        # worker's answer, handled after the request had ended, raised an error.
         async def run() -> None:
             stop = PlannedStop(grace_s=GRACE_S)
             delivery = Delivery()
--- a/tests/chain/test_attempts.py
+++ b/tests/chain/test_attempts.py
@@ -1,4 +1,4 @@
-"""When a request may be sent once more, and what its caller is told."""
+"""When a request may be sent to another worker, and the outcome for its caller."""
 
 import time
 from collections.abc import Sequence
@@ -34,7 +34,7 @@
 
 
 class FakeInputs:
-    """Results that can be made again `n_left` times."""
+    """Results that can be computed again `n_left` times."""
 
     def __init__(self, *, n_left: int = 1) -> None:
         self.n_left = n_left
@@ -59,7 +59,7 @@
 
 def attempts(
     calls: FakeCalls,
-    way: Route,
+    of_route: Route,
     *,
     n_workers: int = 3,
     slack: float = 100.0,
@@ -85,7 +85,7 @@
         guard.hear_run(run)
     job = Job(
         request=request(),
-        route=way,
+        route=of_route,
         account=Account(name="acme"),
         service="plain",
         services={},
@@ -114,10 +114,10 @@
 
 
 class TestLeaving:
-    async def test_what_was_told_not_run_is_not_sent_later(self) -> None:
-        # The inputs of a request that may not run twice are made again when its
-        # caller is told, at a planned stop, that it has not run. They came, and the
-        # request was sent to a worker after all.
+    async def test_a_request_reported_as_not_run_is_not_sent_later(self) -> None:
+        # While the inputs of a request that may not run twice are computed again, a
+        # planned stop reports to its caller that it has not run. When the inputs were
+        # ready, the request was sent to a worker nevertheless.
         class SlowInputs(FakeInputs):
             async def get(self) -> tuple[str, ...] | None:
                 running.leave()
@@ -131,11 +131,11 @@
 
 class TestAtMostOnce:
     @pytest.mark.parametrize("fault", [CallFault.BROKEN, CallFault.SILENT])
-    async def test_one_that_may_have_run_is_not_sent_again(
+    async def test_a_request_that_may_have_run_is_not_sent_again(
         self, fault: CallFault
     ) -> None:
         # A worker runs a reservation and its answer is lost. The caller must
-        # neither get a second reservation nor hear that there was none.
+        # neither get a second reservation nor be told that there was none.
         calls = FakeCalls(scripts=[fault])
         outcome = await attempts(calls, ONCE).run(FakeSink())
         assert isinstance(outcome, Failed)
@@ -144,7 +144,7 @@
     @pytest.mark.parametrize(
         "fault", [CallFault.FULL, CallFault.MOVED, CallFault.UNREACHABLE]
     )
-    async def test_one_that_has_not_run_goes_to_another_worker(
+    async def test_a_request_that_has_not_run_is_sent_to_another_worker(
         self, fault: CallFault
     ) -> None:
         calls = FakeCalls(scripts=[fault, FakeAnswer()])
@@ -154,18 +154,18 @@
         first, second = (worker_id for worker_id, _ in calls.sent)
         assert first != second
 
-    async def test_refused_everywhere_it_has_truly_not_run(self) -> None:
+    async def test_refused_by_all_workers_the_request_is_refused(self) -> None:
         calls = FakeCalls(scripts=[CallFault.FULL] * 3)
         outcome = await attempts(calls, ONCE).run(FakeSink())
         assert isinstance(outcome, Refused)
         assert outcome.retry_after_s > 0
 
-    async def test_refused_after_one_that_may_have_run_is_no_refusal(self) -> None:
+    async def test_refused_after_a_lost_answer_the_request_fails(self) -> None:
         calls = FakeCalls(scripts=[CallFault.BROKEN, CallFault.FULL])
         outcome = await attempts(calls, IDEMPOTENT).run(FakeSink())
         assert isinstance(outcome, Failed)
 
-    async def test_a_workers_failure_is_passed_on_as_it_is(self) -> None:
+    async def test_a_failure_answer_of_a_worker_is_forwarded_unchanged(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(head=FAILED_HEAD, body=b"no")])
         sink = FakeSink()
         assert isinstance(await attempts(calls, ONCE).run(sink), Answered)
@@ -173,33 +173,33 @@
 
 
 class TestRepeats:
-    async def test_an_idempotent_one_is_tried_again_after_a_failure(self) -> None:
+    async def test_an_idempotent_request_is_retried_after_a_failure(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(head=FAILED_HEAD), FakeAnswer()])
         sink = FakeSink()
         await attempts(calls, IDEMPOTENT).run(sink)
         assert sink.seen == ["200 body"]
 
-    async def test_never_at_more_workers_than_the_route_allows(self) -> None:
+    async def test_attempts_are_limited_by_the_route(self) -> None:
         calls = FakeCalls(scripts=[CallFault.BROKEN] * 5)
         await attempts(calls, IDEMPOTENT, n_workers=5).run(FakeSink())
         assert len(calls.sent) == 2
 
-    async def test_never_beyond_the_budget(self) -> None:
+    async def test_attempts_are_limited_by_the_repeat_budget(self) -> None:
         calls = FakeCalls(scripts=[CallFault.BROKEN] * 5)
         await attempts(calls, IDEMPOTENT, slack=0.0).run(FakeSink())
         assert len(calls.sent) == 1
 
 
 class TestStreams:
-    async def test_events_pass_in_order_to_the_end(self) -> None:
+    async def test_events_are_forwarded_in_order(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(n_events=3)])
         sink = FakeSink()
         await attempts(calls, STREAM).run(sink)
         assert sink.seen == ["begin", "1", "2", "3", "end"]
 
-    async def test_a_broken_one_goes_on_where_it_broke(self) -> None:
-        # An engine dies in the middle of an answer. The caller sees one stream
-        # with no hole and nothing twice.
+    async def test_an_interrupted_stream_resumes_after_its_last_event(self) -> None:
+        # An engine crashes in the middle of an answer. The caller receives one
+        # stream without missing and without repeated events.
         calls = FakeCalls(
             scripts=[
                 FakeAnswer(n_events=2, breaks=True),
@@ -211,7 +211,7 @@
         assert sink.seen == ["begin", "1", "2", "3", "4", "end"]
         assert calls.sent[1][1].after_event == 2
 
-    async def test_a_hole_is_never_passed_on(self) -> None:
+    async def test_a_gap_in_the_events_fails_the_request(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(n_events=1), FakeAnswer()])
         calls.scripts = [
             FakeAnswer(n_events=2, breaks=True),
@@ -222,22 +222,22 @@
         assert outcome == Failed(reason=Reason.CONNECTION_LOST, is_begun=True)
         assert sink.seen == ["begin", "1", "2"]
 
-    async def test_one_that_may_not_be_resumed_is_cut_off(self) -> None:
+    async def test_a_stream_that_is_not_resumable_fails_when_interrupted(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(n_events=2, breaks=True)])
         sink = FakeSink()
         outcome = await attempts(calls, STREAM_ONCE).run(sink)
         assert isinstance(outcome, Failed) and outcome.is_begun
         assert "end" not in sink.seen
 
-    async def test_one_that_ends_without_any_event_is_no_answer(self) -> None:
+    async def test_a_stream_without_any_event_is_a_failure(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer(n_events=0)] * 2)
         outcome = await attempts(calls, STREAM).run(FakeSink())
         assert isinstance(outcome, Failed)
 
 
 class TestInputs:
-    async def test_results_that_are_gone_are_made_again(self) -> None:
-        # The maker of a result crashes before the engine has read it. The
+    async def test_lost_results_are_computed_again(self) -> None:
+        # The worker that keeps a result crashes before the engine has read it. The
         # request has not run; its stages are run once more.
         calls = FakeCalls(scripts=[CallFault.INPUTS_GONE, FakeAnswer(n_events=2)])
         sink = FakeSink()
@@ -245,9 +245,9 @@
         assert sink.seen == ["begin", "1", "2", "end"]
         assert [call.inputs for _, call in calls.sent] == [("made-1",), ("made-2",)]
 
-    async def test_a_stream_that_goes_on_gets_them_anew(self) -> None:
-        # An engine dies in the middle of a stream. Its results were freed at
-        # the first event; the next engine refuses a request without them.
+    async def test_a_resumed_stream_gets_new_inputs(self) -> None:
+        # An engine crashes in the middle of a stream. The results were freed at the
+        # first event; the next engine refuses a request without them.
         calls = FakeCalls(
             scripts=[
                 FakeAnswer(n_events=2, breaks=True),
@@ -259,20 +259,20 @@
         assert sink.seen == ["begin", "1", "2", "3", "end"]
         assert calls.sent[1][1].inputs == ("made-2",)
 
-    async def test_gone_for_good_it_has_truly_not_run(self) -> None:
+    async def test_inputs_lost_for_good_refuse_the_request(self) -> None:
         calls = FakeCalls(scripts=[CallFault.INPUTS_GONE])
         inputs = FakeInputs(n_left=0)
         outcome = await attempts(calls, STREAM, inputs=inputs).run(FakeSink())
         assert outcome == Refused(reason=Reason.RESULT_GONE, retry_after_s=0.5)
 
 
-class TestSilentStreams:
-    async def test_one_that_falls_silent_goes_on_elsewhere(
+class TestUnresponsiveStreams:
+    async def test_an_unresponsive_stream_resumes_at_another_worker(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # An engine's connection goes silent after two events. The gateway
-        # counted the one sending twice, as sent and as timed out, took its two
-        # attempts for used up, and cut a stream that could go on.
+        # An engine's connection stops responding after two events. The gateway
+        # counted the attempt twice, as sent and as timed out, so that the limit of two
+        # attempts seemed reached, and it ended a stream that could be resumed.
         monkeypatch.setattr(patience_module, "GAP_S", 0.05)
         silent = FakeAnswer(n_events=2, hangs_s=5.0)
         calls = FakeCalls(scripts=[silent, FakeAnswer(n_events=2, first=3)])
@@ -280,11 +280,11 @@
         assert isinstance(await attempts(calls, STREAM).run(sink), Answered)
         assert sink.seen == ["begin", "1", "2", "3", "4", "end"]
 
-    async def test_one_that_can_go_nowhere_else_is_waited_for(
+    async def test_an_unresponsive_stream_that_cannot_move_is_waited_for(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # An engine under pressure puts a stream back for two seconds. Cut then,
-        # it is lost; waited for, it is only late.
+        # An overloaded engine preempts a stream for two seconds. If the gateway ends
+        # it then, the stream is lost; if it waits, the stream is only late.
         monkeypatch.setattr(patience_module, "GAP_S", 0.05)
         calls = FakeCalls(scripts=[FakeAnswer(n_events=2, hangs_s=0.3)])
         sink = FakeSink()
@@ -293,31 +293,31 @@
 
 
 class TestCrashingRequests:
-    async def test_one_that_crashes_its_third_worker_is_not_sent_on(self) -> None:
-        # Its route would send it on at once, before anybody has told of the crash.
+    async def test_a_request_is_not_retried_after_its_third_crash(self) -> None:
+        # By its route it would be retried at once, before the crash is reported.
         calls = FakeCalls(scripts=[CallFault.BROKEN, FakeAnswer()])
         calls.refusing |= {"w0", "w1", "w2"}
         outcome = await attempts(calls, IDEMPOTENT, n_crashes=2).run(FakeSink())
         assert outcome == Failed(reason=Reason.CRASHES_WORKERS)
         assert len(calls.sent) == 1
 
-    async def test_one_that_is_blocked_has_truly_not_run(self) -> None:
+    async def test_a_blocked_request_is_refused(self) -> None:
         calls = FakeCalls()
         running = attempts(calls, IDEMPOTENT, n_crashes=3)
         assert await running.run(FakeSink()) == Refused(reason=Reason.CRASHES_WORKERS)
         assert calls.sent == []
 
-    async def test_a_broken_answer_of_a_live_worker_is_sent_on(self) -> None:
+    async def test_a_truncated_answer_of_a_live_worker_is_retried(self) -> None:
         calls = FakeCalls(scripts=[CallFault.BROKEN, FakeAnswer()])
         outcome = await attempts(calls, IDEMPOTENT, n_crashes=2).run(FakeSink())
         assert isinstance(outcome, Answered)
 
-    async def test_others_go_where_no_suspect_runs(self) -> None:
+    async def test_other_requests_avoid_workers_that_run_suspects(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer()])
         await attempts(calls, ONCE, apart=("w0", "w1")).run(FakeSink())
         assert calls.sent[0][0] == "w2"
 
-    async def test_with_no_other_worker_they_go_there_all_the_same(self) -> None:
+    async def test_without_another_worker_they_share_it_with_a_suspect(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer()])
         running = attempts(calls, ONCE, n_workers=1, apart=("w0",))
         assert isinstance(await running.run(FakeSink()), Answered)
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -1,7 +1,7 @@
-"""A busy cell: fuller calls, and time left for what is more urgent.
+"""A busy cell: full calls, and capacity left for more urgent requests.
 
-Runs the model of a cell with 26 stage workers in virtual time, so the outcome
-depends on the seed alone. Compared with the plain way in the same run.
+The tests run the model of a cell with 26 stage workers in virtual time, so the outcome
+depends on the seed alone. Each mechanism is compared with a run without it.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 from trefoilpaddle.state.chain.chain_work import ChainWork
 from trefoilpaddle.state.chain.tolerable_waits import ROUTE_EXPIRY_S, TolerableWaits
 
-from .__main__ import worth_in_time
+from .__main__ import value_in_time
 from .cell_loads import BUSY_DAY, TIGHT_DAY, Load
 from .cell_model import Model, Outcome
 from .test_chain_scheduler import work
@@ -34,10 +34,10 @@
 SEEDS = (1, 2, 3, 4, 5)
 FOR_EVER_S = 1e9
 MAX_LEFT = 1 / 500
-"""Share of callers that may leave before their answer begins; engines' times vary."""
+"""Share of callers that may leave before their answer; engine times vary."""
 
 
-def played(
+def simulate(
     patch: pytest.MonkeyPatch,
     *,
     n_schedulers: int = 1,
@@ -52,73 +52,72 @@
         return run_virtual(time_patch, run())
 
 
-def mean_worth(patch: pytest.MonkeyPatch, load: Load) -> float:
-    """Return the mean over seeds, as one seed differs from the next by 0.05."""
-    worths = [
-        worth_in_time(played(patch, load=load, seed=seed), load) for seed in SEEDS
+def mean_value(patch: pytest.MonkeyPatch, load: Load) -> float:
+    """Return the mean over the seeds, as single seeds differ by 0.05."""
+    values = [
+        value_in_time(simulate(patch, load=load, seed=seed), load) for seed in SEEDS
     ]
-    return sum(worths) / len(worths)
+    return sum(values) / len(values)
 
 
 class TestCalls:
-    def test_calls_are_full_while_others_wait(
+    def test_calls_are_full_while_pieces_wait(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Three bursts of 1.7 to 2.5 times. Bound to a worker when they came,
-        # pieces waited at busy workers while others stood idle or made small
-        # calls: 33 of 64 places of the last stage, 0.90 of the worth in time.
-        chosen = played(monkeypatch)
+        # Three bursts by a factor of 1.7 to 2.5. When pieces were assigned to a worker
+        # on arrival, they waited at busy workers while others were idle or ran small
+        # calls: 33 of 64 slots of the last stage, 0.90 of the value in time.
+        chosen = simulate(monkeypatch)
         assert chosen.mean_pieces("draw") > 38
         assert chosen.mean_pieces("check") > 22
-        # Of one seed it lies between 0.91 and 0.95.
-        assert mean_worth(monkeypatch, BUSY_DAY) > 0.92
+        # For single seeds it is between 0.91 and 0.95.
+        assert mean_value(monkeypatch, BUSY_DAY) > 0.92
 
-    def test_memory_is_free_again_once_the_next_stage_has_read(
+    def test_freeing_results_once_read_serves_more(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Results are small against the time that they wait, and their makers'
-        # memory binds: kept for as long as the next stage works on them, they
-        # leave places of each call empty.
-        chosen = mean_worth(monkeypatch, TIGHT_DAY)
+        # The memory of the workers that keep results limits their calls. If results
+        # are kept until the next stage has completed, slots of each call stay empty.
+        chosen = mean_value(monkeypatch, TIGHT_DAY)
         monkeypatch.setattr(worker_caller, "FETCH_S", FOR_EVER_S)
-        assert chosen > mean_worth(monkeypatch, TIGHT_DAY) + 0.02
+        assert chosen > mean_value(monkeypatch, TIGHT_DAY) + 0.02
 
 
 class TestOneScheduler:
-    def test_one_place_that_plans_serves_more_than_each_gateway_for_itself(
+    def test_one_scheduler_serves_more_than_one_per_gateway(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Four gateways plan for themselves at the same workers. Each fills its
-        # own calls, which wait behind those of the others, and reservations places
-        # that the others have given away.
-        one = played(monkeypatch)
-        each = played(monkeypatch, n_schedulers=4)
+        # Four gateways schedule the same workers independently. The calls of each
+        # wait behind those of the others, and each reserves slots that the others have
+        # already assigned.
+        one = simulate(monkeypatch)
+        each = simulate(monkeypatch, n_schedulers=4)
         assert one.mean_pieces("draw") > 1.5 * each.mean_pieces("draw")
-        assert worth_in_time(one, BUSY_DAY) > worth_in_time(each, BUSY_DAY) + 0.2
+        assert value_in_time(one, BUSY_DAY) > value_in_time(each, BUSY_DAY) + 0.2
 
 
 class TestUrgency:
-    def test_what_is_less_urgent_leaves_time_to_what_is_more(
+    def test_less_urgent_routes_leave_capacity_to_more_urgent_ones(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Chats have less to do at the engine, so they can wait longer in the
-        # stages. Measured by their own patience alone, they are let in until
-        # queues are longer than the checks before them can bear.
+        # Chats take less time at the engine, so they can wait longer in the stages. If
+        # they are admitted by their own waits alone, the queues become longer than the
+        # more urgent requests can tolerate.
         def share(days: list[Outcome], kind: str) -> float:
             return sum(day.share_in_time(kind) for day in days) / len(days)
 
-        # Over seeds, as one differs from the next by 0.03.
-        chosen = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
+        # Several seeds, as single seeds differ by 0.03.
+        chosen = [simulate(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         with monkeypatch.context() as patch:
             patch.setattr(
                 TolerableWaits, "min_of_more_urgent_s", lambda *_: float("inf")
             )
-            alone = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
+            alone = [simulate(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         assert share(chosen, "urgent") > share(alone, "urgent")
         assert share(chosen, "urgent") > share(chosen, "chat") > 0.25
 
 
-class TestBearableWaits:
+class TestTolerableWaits:
     def test_only_more_urgent_routes_of_the_same_services_count(self) -> None:
         waits = TolerableWaits()
         for route, priority, service, wait_s in (
@@ -142,88 +141,92 @@
 
 
 class TestShares:
-    def test_they_fall_with_urgency(self) -> None:
+    def test_shares_fall_with_priority(self) -> None:
         shares = admission.SHARE_BY_PRIORITY
         assert list(shares) == sorted(shares, reverse=True)
         assert shares[-1] > chain_scheduler.LATE_SHARE
 
 
 class TestOverdueQueue:
-    async def room(self, works: list[ChainWork], *, n_places: int) -> list[bool]:
-        """Return which of `works` are let in when so many find room."""
-        left = iter(range(n_places))
-        room = OverdueQueue(
+    async def admitted(self, works: list[ChainWork], *, n_slots: int) -> list[bool]:
+        """Return which of `works` are admitted when there is capacity for `n_slots`."""
+        left = iter(range(n_slots))
+        queue = OverdueQueue(
             has_capacity=lambda _: next(left, None) is not None, least_s=at_once
         )
-        return await asyncio.gather(*(room.wait(each) for each in works))
+        return await asyncio.gather(*(queue.wait(each) for each in works))
 
-    async def test_the_most_urgent_goes_first(self) -> None:
+    async def test_the_most_urgent_chain_is_admitted_first(self) -> None:
         works = [late("a", priority=2), late("b", priority=0)]
-        assert await self.room(works, n_places=1) == [False, True]
+        assert await self.admitted(works, n_slots=1) == [False, True]
 
-    async def test_one_with_little_time_does_not_wait(self) -> None:
-        # It would mostly be refused after seconds for which it waited in vain.
-        room = OverdueQueue(has_capacity=lambda _: True, least_s=lambda _: 0.1)
-        assert not room.takes(late("a", deadline_in_s=LEAST_WAIT_S))
-        assert room.takes(late("a"))
+    async def test_a_chain_with_little_time_does_not_wait(self) -> None:
+        # In most cases it would be refused after having waited for seconds.
+        queue = OverdueQueue(has_capacity=lambda _: True, least_s=lambda _: 0.1)
+        assert not queue.takes(late("a", deadline_in_s=LEAST_WAIT_S))
+        assert queue.takes(late("a"))
 
-    async def test_a_caller_that_left_takes_no_place(self) -> None:
-        room = OverdueQueue(has_capacity=lambda _: True, least_s=at_once)
-        waiting = asyncio.create_task(room.wait(late("a")))
+    async def test_a_cancelled_wait_uses_no_capacity(self) -> None:
+        queue = OverdueQueue(has_capacity=lambda _: True, least_s=at_once)
+        waiting = asyncio.create_task(queue.wait(late("a")))
         await asyncio.sleep(0)
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        assert await room.wait(late("b")) is True
+        assert await queue.wait(late("b")) is True
 
-    async def test_a_fault_of_a_look_leaves_nobody_waiting_for_ever(
+    async def test_an_error_in_the_queue_check_does_not_block_chains(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A stage's service is taken out of the configuration while chains wait.
-        # The look that met it ended, and nobody looked again.
+        # A stage's service is removed from the configuration while chains wait. The
+        # task that checks the queue ended with the error, and no other check followed.
         monkeypatch.setattr(overdue_queue, "LEAST_WAIT_S", 0.2)
 
         def fail(_: ChainWork) -> bool:
             raise KeyError("unforeseen")
 
-        room = OverdueQueue(has_capacity=fail, least_s=at_once)
+        queue = OverdueQueue(has_capacity=fail, least_s=at_once)
         async with asyncio.timeout(2.0):
-            assert not await room.wait(late("a", deadline_in_s=0.5))
+            assert not await queue.wait(late("a", deadline_in_s=0.5))
 
-    def test_who_has_long_is_answered_late_rather_than_never(
+    def test_patient_callers_are_answered_late_instead_of_refused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # Callers of chats wait for over seven seconds, a burst lasts six. Refused twice
-        # within it, two in five had no answer at all.
-        # Over seeds, as the refused of one differ from the next by four times.
-        chosen = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
+        # within a burst, two in five had no answer at all. Several seeds, as the number
+        # of refused requests differs between seeds by a factor of four.
+        chosen = [simulate(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         monkeypatch.setattr(overdue_queue, "MAX_WAITING", 0)
-        without = [played(monkeypatch, seed=seed) for seed in SEEDS[:3]]
+        without = [simulate(monkeypatch, seed=seed) for seed in SEEDS[:3]]
         n_refused = sum(each.refused["chat"] for each in chosen)
         assert n_refused < 0.75 * sum(each.refused["chat"] for each in without)
-        worth = sum(worth_in_time(each, BUSY_DAY) for each in chosen)
-        others = sum(worth_in_time(each, BUSY_DAY) for each in without)
-        assert worth > others - 3 * 0.03
+        value = sum(value_in_time(each, BUSY_DAY) for each in chosen)
+        others = sum(value_in_time(each, BUSY_DAY) for each in without)
+        assert value > others - 3 * 0.03
 
-    def test_nobody_is_made_to_wait_for_an_answer_that_it_will_not_take(
+    def test_chains_do_not_wait_longer_than_their_callers(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Callers of streams leave after four targets without an event, long before
-        # their deadlines. By those, a chat that came back in a burst waited in line
-        # for 0.4 of 16 s, and its stages were made for nobody: some 50 a day.
-        played_days = [played(monkeypatch, seed=seed) for seed in SEEDS]
-        n_asked = sum(day.asked.total() for day in played_days)
-        assert sum(day.left.total() for day in played_days) <= MAX_LEFT * n_asked
-
-    def test_judged_by_their_deadlines_alone_many_are(
+        # Callers of streams leave after four latency objectives without an event, long
+        # before their deadlines. When the queue used the deadlines, a chat retried in a
+        # burst waited for 0.4 of 16 s, and its stages ran although its caller had left:
+        # about 50 chats a day.
+        days = [simulate(monkeypatch, seed=seed) for seed in SEEDS]
+        n_asked = sum(day.asked.total() for day in days)
+        assert sum(day.left.total() for day in days) <= MAX_LEFT * n_asked
+
+    def test_waits_bounded_by_deadlines_alone_exceed_them(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The model must be able to show it.
-        kinds = tuple(replace(kind, patience_s=FOR_EVER_S) for kind in BUSY_DAY.kinds)
+        # Checks that the model can show the failure of the test above.
+        kinds = tuple(
+            replace(kind, event_timeout_s=FOR_EVER_S) for kind in BUSY_DAY.kinds
+        )
         patient = replace(BUSY_DAY, kinds=kinds)
-        patience_s = {kind.name: kind.patience_s for kind in BUSY_DAY.kinds}
-        day = played(monkeypatch, load=patient)
+        event_timeout_s = {kind.name: kind.event_timeout_s for kind in BUSY_DAY.kinds}
+        day = simulate(monkeypatch, load=patient)
         n_left = sum(
-            day.n_begun_after(name, after_s) for name, after_s in patience_s.items()
+            day.n_begun_after(name, after_s)
+            for name, after_s in event_timeout_s.items()
         )
         assert n_left > 3 * MAX_LEFT * day.asked.total()
 
--- a/tests/chain/test_call_sharing.py
+++ b/tests/chain/test_call_sharing.py
@@ -1,4 +1,4 @@
-"""Which pieces share a call once workers have crashed under some of them."""
+"""Which pieces share a call after some of their requests have crashed workers."""
 
 from trefoilpaddle.state.chain.call_sharing import MAX_WATCHED, CallSharing
 from trefoilpaddle.state.chain.crash_registry import CrashStatus
@@ -8,11 +8,11 @@
 
 
 def shared(
-    standings: dict[str, CrashStatus], *names: str, running: str = ""
+    statuses: dict[str, CrashStatus], *names: str, running: str = ""
 ) -> list[str]:
     """Return which of some requests' pieces, most urgent first, share a call."""
     sharing = CallSharing(
-        status=lambda name: standings.get(name, CrashStatus.CLEAR),
+        status=lambda name: statuses.get(name, CrashStatus.CLEAR),
         is_running=lambda name: name == running,
     )
     works: list[PieceWork] = [
@@ -22,26 +22,26 @@
 
 
 class TestCallSharing:
-    async def test_a_suspect_goes_alone_with_all_of_its_pieces(self) -> None:
-        standings = {"s": CrashStatus.SUSPECT}
-        assert shared(standings, "s", "a", "s") == ["s", "s"]
-        assert shared(standings, "a", "s", "b") == ["a", "b"]
+    async def test_a_suspect_shares_its_call_with_no_other_request(self) -> None:
+        statuses = {"s": CrashStatus.SUSPECT}
+        assert shared(statuses, "s", "a", "s") == ["s", "s"]
+        assert shared(statuses, "a", "s", "b") == ["a", "b"]
 
     async def test_two_suspects_do_not_share_a_call(self) -> None:
-        standings = {"s": CrashStatus.SUSPECT, "t": CrashStatus.SUSPECT}
-        assert shared(standings, "s", "t") == ["s"]
+        statuses = {"s": CrashStatus.SUSPECT, "t": CrashStatus.SUSPECT}
+        assert shared(statuses, "s", "t") == ["s"]
 
-    async def test_a_suspect_that_runs_waits(self) -> None:
+    async def test_a_running_suspect_waits(self) -> None:
         assert shared({"s": CrashStatus.SUSPECT}, "s", "a", running="s") == ["a"]
 
-    async def test_one_that_has_crashed_a_worker_waits_while_it_runs(self) -> None:
+    async def test_a_running_watched_request_waits(self) -> None:
         assert shared({"w": CrashStatus.WATCHED}, "w", "a", running="w") == ["a"]
 
-    async def test_few_of_those_that_were_in_one_crash_share_the_next_call(
+    async def test_watched_requests_in_one_call_are_limited(
         self,
     ) -> None:
-        # All sixty in one call again, three crashes tell nothing of who it was.
+        # If all sixty share one call again, three crashes do not identify the cause.
         names = [f"w{number}" for number in range(60)]
-        standings = dict.fromkeys(names, CrashStatus.WATCHED)
-        assert len(shared(standings, *names)) == MAX_WATCHED
-        assert len(shared(standings, *names, "a")) == MAX_WATCHED + 1
+        statuses = dict.fromkeys(names, CrashStatus.WATCHED)
+        assert len(shared(statuses, *names)) == MAX_WATCHED
+        assert len(shared(statuses, *names, "a")) == MAX_WATCHED + 1
--- a/tests/chain/test_cell_handover.py
+++ b/tests/chain/test_cell_handover.py
@@ -1,4 +1,4 @@
-"""A gateway that stops hands its cells over, and goes on with what nobody takes."""
+"""A gateway that stops hands over its cells, and keeps those that no gateway takes."""
 
 import asyncio
 import time
@@ -38,14 +38,14 @@
 
 N_DOMAINS = 5
 N_WORKERS = 35
-"""Of each service; with two of them each failure domain is a cell."""
+"""Workers of each of two services; each failure domain becomes a cell."""
 
 LONG_S = 60.0
 """Many times the deadline of a chain."""
 
 
-class SilentLink:
-    """A link to a gateway that is heard and answers nothing."""
+class UnresponsiveLink:
+    """A link to a gateway that is connected but answers no request."""
 
     def __init__(self) -> None:
         self.peer = SimpleNamespace(process_id="next")
@@ -65,7 +65,7 @@
     """A gateway that schedules the cells of a large region, and its successor."""
 
     def __init__(self, *, call_s: float = 0.01) -> None:
-        self.successor = SilentLink()
+        self.successor = UnresponsiveLink()
         self.calls = FakeCalls(call_s=call_s)
         domains = [f"d{number}" for number in range(N_DOMAINS)]
         workers = WorkerTable()
@@ -95,11 +95,11 @@
             budgets=budgets(),
         )
 
-    def link(self, address: Address) -> SilentLink:
+    def link(self, address: Address) -> UnresponsiveLink:
         return self.successor
 
-    async def makes(self, cell: Cell) -> bool:
-        """Return True if a chain is made at one of its cells."""
+    async def completes_chain(self, cell: Cell) -> bool:
+        """Return True if a chain completes at one of its cells."""
         try:
             async with asyncio.timeout(LONG_S):
                 return isinstance(
@@ -110,31 +110,31 @@
 
 
 class TestPlannedStop:
-    def test_a_successor_that_does_not_answer_takes_little_time(
+    def test_an_unresponsive_successor_delays_the_stop_briefly(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A gateway that schedules the cells of a large region is told to stop, and
-        # the next in rank is silent. Each cell was tried in turn, twenty times, for
-        # up to 0.3 s: 30 s for five cells, of the 8 s until the kill. Its requests
-        # were cut by the kill. The cause: tries were bounded, their time was not.
+        # A gateway that schedules the cells of a large region is told to stop, and the
+        # next in rank is unresponsive. The handover of each cell in turn was tried
+        # twenty times for up to 0.3 s: 30 s for five cells, with 8 s until the kill,
+        # which interrupted its requests. The attempts were bounded, but not their time.
         async def run() -> float:
             rig = Rig()
             assert len(rig.cells) == N_DOMAINS
             began_s = time.monotonic()
             await rig.router.hand_over_all()
             took_s = time.monotonic() - began_s
-            assert await rig.makes(rig.cells[-1])
+            assert await rig.completes_chain(rig.cells[-1])
             return took_s
 
         with monkeypatch.context() as time_patch:
             assert run_virtual(time_patch, run()) < 1.5
 
-    def test_one_that_is_broken_off_goes_on_scheduling(
+    def test_a_cancelled_handover_resumes_scheduling(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A cell is being handed over for its rank when its gateway is told to stop,
-        # which ends that look. The cell had stopped sending and was not resumed:
-        # its chains waited until the process went.
+        # A cell is being handed over because of its rank when its gateway is told to
+        # stop, which cancels the handover. The cell had stopped sending calls and was
+        # not resumed: its chains waited until the process exited.
         async def run() -> bool:
             rig = Rig()
             cell = rig.cells[0]
@@ -144,17 +144,17 @@
             await asyncio.sleep(0.1)
             handing.cancel()
             await asyncio.gather(handing, return_exceptions=True)
-            return await rig.makes(cell)
+            return await rig.completes_chain(cell)
 
         with monkeypatch.context() as time_patch:
             assert run_virtual(time_patch, run())
 
-    def test_what_comes_late_goes_to_the_successor(
+    def test_a_chain_after_the_handover_is_sent_to_the_successor(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # A gateway that stops has handed its cell over; four seconds later another
-        # still sends it a chain. It began to schedule the cell again, beside its
-        # successor, and took that chain with it when it went.
+        # gateway still sends it a chain. It began to schedule the cell again, next to
+        # its successor, and that chain was lost when it exited.
         async def run() -> ChainOutcome:
             rig = Rig()
             cell = rig.cells[0]
@@ -168,12 +168,12 @@
         assert isinstance(end, ChainMoved)
         assert end.successor == "next"
 
-    def test_what_nobody_took_goes_back_when_the_process_ends(
+    def test_chains_of_a_cell_that_no_gateway_took_are_returned(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Nobody takes the cell of a gateway that stops. It went on scheduling while
-        # its sessions closed: its log said that it asked workers in vain, and the
-        # chains of others ended with it, what was made of them lost.
+        # No gateway takes the cell of a gateway that stops. It continued to schedule
+        # while its sessions closed: its requests to workers failed, and the chains of
+        # other gateways ended with it, so that their completed pieces were lost.
         async def run() -> tuple[ChainOutcome, ChainOutcome]:
             rig = Rig(call_s=0.5)
             cell = rig.cells[0]
@@ -191,12 +191,12 @@
         assert isinstance(begun, ChainMoved) and begun.completed_pieces
         assert isinstance(late, ChainMoved)
 
-    def test_a_chain_that_crosses_the_end_goes_back_at_once(
+    def test_a_chain_received_at_exit_is_returned_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A gateway sends a chain to one whose process ends, of a cell which that one
-        # has not scheduled before. A scheduler was begun for it, whose calls end with
-        # the process; the chain would be made again, out of the budget.
+        # A gateway sends a chain of a cell to another that is about to exit and has not
+        # scheduled this cell before. A scheduler was started, whose calls end with the
+        # process; running the chain again would use the repeat budget.
         async def run() -> ChainOutcome:
             rig = Rig()
             rig.own.stopping.set()
@@ -211,10 +211,10 @@
 
 
 class TestCancelling:
-    async def test_a_chain_that_fails_then_ends_its_request(self) -> None:
-        # A request must be answered at a planned stop in the moment in which a stage
-        # of its chain fails. The chain ended with the fault, the cancellation was
-        # gone, and the request went on with nothing left to bound it.
+    async def test_cancellation_is_kept_when_the_chain_fails(self) -> None:
+        # A planned stop cancels the run of a request at the moment in which a stage of
+        # its chain fails. The chain ended with the failure, the cancellation was lost,
+        # and the request continued without any bound.
         class Failing:
             began_s = 0.0
             successor = ""
--- a/tests/chain/test_cells.py
+++ b/tests/chain/test_cells.py
@@ -1,4 +1,4 @@
-"""Which stage workers one scheduler looks after, and where stages are made."""
+"""Division of stage workers into cells, and the failure domains of stages."""
 
 import asyncio
 from dataclasses import replace
@@ -31,9 +31,9 @@
 
 class TestCells:
     def test_a_region_with_few_workers_is_one_cell(self) -> None:
-        # One of three workers of a stage is lost for good. In cells of one
-        # failure domain each, the other stages of its domain stand idle, while
-        # the two other domains are full.
+        # One of three workers of a stage is lost for good. With one cell per failure
+        # domain, the other stages of its domain would be idle, while the two other
+        # domains are full.
         listed = [worker(f"{d}{n}", "s", domain=d) for d in "abc" for n in range(3)]
         cells = cells_of(listed, REGIONS)
         assert [(cell.name, sorted(cell.failure_domains)) for cell in cells] == [
@@ -41,7 +41,7 @@
             ("south", ["c"]),
         ]
 
-    def test_a_region_with_many_is_cut_into_whole_domains(self) -> None:
+    def test_a_region_with_many_workers_is_divided_by_domain(self) -> None:
         cells = cells_of(listed_in("ab", n_each=MAX_WORKERS_PER_CELL), REGIONS)
         assert [(cell.name, sorted(cell.failure_domains)) for cell in cells] == [
             ("north", ["a"]),
@@ -49,9 +49,9 @@
         ]
 
     # Gateways have an eighth of a core each. One of them scheduled all 18 stage workers
-    # and fell behind in every burst: a third of what came was refused, urgent requests
-    # among it, while 17 gateways and a fifth of the stage workers idled.
-    def test_weak_hosts_share_a_region(self) -> None:
+    # and fell behind in every burst: a third of all requests were refused, including
+    # urgent ones, while 17 gateways and a fifth of the stage workers were idle.
+    def test_a_region_of_weak_hosts_is_divided(self) -> None:
         listed = listed_in("abcdef", n_each=3)
         cells = cells_of(listed, SIX, lambda _: worker_capacity(120))
         assert [sorted(cell.failure_domains) for cell in cells] == [
@@ -60,24 +60,24 @@
             ["c", "f"],
         ]
 
-    def test_strong_hosts_share_none(self) -> None:
+    def test_a_region_of_strong_hosts_is_one_cell(self) -> None:
         listed = listed_in("abcdef", n_each=9)
         assert len(cells_of(listed, SIX, lambda _: worker_capacity(2150))) == 1
 
-    def test_hosts_that_tell_nothing_count_as_usual_ones(self) -> None:
+    def test_an_unknown_processor_limit_gives_the_largest_cell(self) -> None:
         assert worker_capacity(0) == MAX_WORKERS_PER_CELL
 
-    # A quarter more workers are added within two seconds. A region that was cut anew
-    # by each of them gave its chains from scheduler to scheduler all the while.
-    def test_some_workers_more_or_less_change_nothing(self) -> None:
+    # A quarter more workers are added within two seconds. A region that was divided
+    # again for each of them moved its chains from scheduler to scheduler all the time.
+    def test_a_few_more_workers_keep_the_division(self) -> None:
         listed = listed_in("abcdef", n_each=9)
         names = [f"x{number}" for number in range(14)]
         added = [worker(name, "s", domain="a") for name in names]
         few = [len(cells_of(listed + added[:n], SIX)) for n in range(len(added))]
         assert few == [1] * len(added)
 
-    # Only some failure domains have a worker of one stage. Chains pass one cell, so in
-    # a cell without that stage all other workers would idle.
+    # Only some failure domains have a worker of one stage. A chain runs within one
+    # cell, so in a cell without that stage all other workers would be idle.
     def test_every_cell_has_all_services(self) -> None:
         listed = listed_in("abcdef", n_each=3)
         listed += [worker(f"{d}t", "t", domain=d) for d in "ab"]
@@ -87,8 +87,8 @@
             ["b", "d", "f"],
         ]
 
-    def test_a_first_cell_keeps_its_name_when_it_is_cut(self) -> None:
-        # Its scheduler goes on with the domains that it keeps.
+    def test_the_first_cell_keeps_its_name_when_divided(self) -> None:
+        # Its scheduler continues with the domains that it keeps.
         listed = listed_in("abcdef", n_each=3)
         whole, cut = cells_of(listed, SIX), cells_of(listed, SIX, lambda _: 6)
         assert whole[0].name == cut[0].name
@@ -99,9 +99,9 @@
     return [worker(f"{d}{n}", "s", domain=d) for d in domains for n in range(n_each)]
 
 
-class TestTakenAgain:
-    def test_a_cell_that_comes_back_leaves_nothing_behind(self) -> None:
-        # Machines are replaced all day, and cells go from gateway to gateway.
+class TestRepeatedTakeover:
+    def test_a_cell_that_is_taken_again_leaks_no_listeners(self) -> None:
+        # Hosts are replaced all the time, and cells move between gateways.
         workers = WorkerTable()
         routes = table(services=[piece_service("s")])
         guard = crash_guard(FakeCalls(), workers)
@@ -117,10 +117,10 @@
         assert len(workers.restart_listeners) == n_end + 1
 
 
-class TestWhereStagesAreMade:
-    async def test_a_stage_is_made_where_its_inputs_lie(self) -> None:
-        # Each piece of a stage reads all inputs. Made in another domain, three
-        # pieces let three times the results of the stage before cross, 4.5 MB here.
+class TestStageDomains:
+    async def test_a_stage_runs_in_the_domain_of_its_inputs(self) -> None:
+        # Each piece of a stage reads all inputs. If three pieces run in another domain,
+        # the results of the preceding stage cross domains three times, 4.5 MB here.
         calls = FakeCalls()
         workers = WorkerTable()
         for domain in ("here", "there"):
--- a/tests/chain/test_chain_router.py
+++ b/tests/chain/test_chain_router.py
@@ -1,4 +1,4 @@
-"""Which gateway keeps a cell, as the members come and go."""
+"""Which gateway schedules a cell, as members join and leave."""
 
 import asyncio
 import time
@@ -58,14 +58,14 @@
 
 
 class FakeConnection:
-    """A connection whose peer spoke at `heard_s`."""
+    """A connection whose peer last sent something at `heard_s`."""
 
     def __init__(self, heard_s: float) -> None:
         self.heard_s = heard_s
 
 
 class FakeLink:
-    """A link to a gateway that was heard just now, or not at all."""
+    """A link to a gateway that has sent something just now, or nothing at all."""
 
     def __init__(self, *, heard: bool) -> None:
         now_s = time.monotonic()
@@ -82,7 +82,7 @@
 
 
 class FakePeers:
-    """Links to gateways that are all heard, or none."""
+    """Links to gateways, either all connected or none."""
 
     def __init__(self, *, heard: bool) -> None:
         self.only = FakeLink(heard=heard)
@@ -122,7 +122,7 @@
     )
 
 
-def keeps_itself(at: ChainRouter) -> bool:
+def schedules_itself(at: ChainRouter) -> bool:
     (place,) = at.places({"s"}, "here")
     return place.link is None
 
@@ -160,25 +160,25 @@
         return end, calls
 
     async def test_a_chain_whose_inputs_are_gone_is_run_once_more(self) -> None:
-        # The maker of a result crashes while the next stage waits for its turn.
-        # All before it would be paid for and lost.
+        # The worker that keeps a result crashes while the next stage is queued. The
+        # work of all preceding stages would be lost.
         end, calls = await self.run([PieceFault.INPUT_GONE])
         assert isinstance(end, ChainCompleted)
         n_first = sum(p.stage == 1 for batch in calls.batches for p in batch)
         assert n_first == 2
 
-    async def test_once_and_no_more(self) -> None:
+    async def test_a_chain_is_repeated_only_once(self) -> None:
         end, _ = await self.run([PieceFault.INPUT_GONE] * 5)
         assert end == ChainFailed(reason=Reason.RESULT_GONE, is_begun=True)
 
-    async def test_not_beyond_the_budget(self) -> None:
+    async def test_a_chain_is_not_repeated_beyond_the_budget(self) -> None:
         end, _ = await self.run([PieceFault.INPUT_GONE], slack=0.0)
         assert end == ChainFailed(reason=Reason.RESULT_GONE, is_begun=True)
 
 
 class TestLinks:
-    def test_starts_that_are_gone_are_forgotten(self) -> None:
-        # Gateways are replaced all day, and each start has a number of its own.
+    def test_former_starts_are_forgotten(self) -> None:
+        # Gateways are replaced all the time, and each start has a new incarnation.
         members: list[MemberRecord] = []
         links = SchedulerLinks(
             own_id="b",
@@ -197,8 +197,8 @@
     async def test_its_chains_are_run_again_elsewhere(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The scheduler's machine freezes. Its connections stay open and say
-        # nothing; the chains that it had let in waited for their deadlines.
+        # The scheduler's host freezes. Its connections stay open without any data; the
+        # chains that it had admitted waited until their deadlines.
         monkeypatch.setattr(scheduler_links, "SCHEDULER_SILENT_S", 0.3)
         monkeypatch.setattr(chain_router, "LOOK_S", 0.05)
         calls = FakeCalls()
@@ -228,44 +228,44 @@
 
 
 class TestScheduler:
-    def test_the_oldest_gateway_keeps_the_cell(self) -> None:
+    def test_the_oldest_gateway_schedules_the_cell(self) -> None:
         members = [member("a", 30), member("b", 10), member("c", 20)]
-        assert keeps_itself(router("b", members))
-        assert not keeps_itself(router("a", members))
+        assert schedules_itself(router("b", members))
+        assert not schedules_itself(router("a", members))
 
-    def test_a_restarted_one_does_not_take_it_back(self) -> None:
-        # Gateways are restarted one after another. Each that took its cell back
-        # began with no queues and no reservations, let in three times what could be
-        # done, and all of it was late.
+    def test_a_restarted_gateway_does_not_take_the_cell_back(self) -> None:
+        # Gateways are restarted one after another. Each that took its cell back began
+        # without queues and reservations and admitted three times what could be done,
+        # so that everything was late.
         members = [member("a", incarnation_by_age()), member("b", 1)]
-        assert keeps_itself(router("b", members))
+        assert schedules_itself(router("b", members))
 
-    def test_a_silent_one_is_passed_over(self) -> None:
+    def test_an_unresponsive_gateway_is_skipped(self) -> None:
         members = [member("a", 10), member("b", 20)]
-        assert keeps_itself(router("b", members, heard=False))
+        assert schedules_itself(router("b", members, heard=False))
 
-    def test_gateways_of_other_domains_keep_it_only_without_any(self) -> None:
+    def test_gateways_of_other_domains_are_the_last_choice(self) -> None:
         far = member("a", 10, "far")
-        assert keeps_itself(router("b", [far, member("b", 20)]))
-        assert not keeps_itself(router("b", [far, member("b", 20, "far")]))
+        assert schedules_itself(router("b", [far, member("b", 20)]))
+        assert not schedules_itself(router("b", [far, member("b", 20, "far")]))
 
-    def test_a_strong_machine_goes_before_an_older_one(self) -> None:
-        # Machines differ five times in their processors. All stages of a region
-        # pass its scheduler; on a weak machine it answers late under load, and each
-        # chain of the region with it.
+    def test_a_strong_host_is_preferred_to_an_older_gateway(self) -> None:
+        # The processor limits of hosts differ by a factor of five. All stages of a
+        # region depend on its scheduler; on a weak host it responds late under load,
+        # and delays each chain of the region.
         members = [member("a", 10, millicores=387), member("b", 20, millicores=2150)]
-        assert keeps_itself(router("b", members))
-        assert not keeps_itself(router("a", members))
+        assert schedules_itself(router("b", members))
+        assert not schedules_itself(router("a", members))
 
-    def test_of_nearly_equal_ones_the_older_keeps_it(self) -> None:
+    def test_of_hosts_of_similar_strength_the_older_schedules(self) -> None:
         members = [member("a", 20, millicores=860), member("b", 10, millicores=817)]
-        assert keeps_itself(router("b", members))
+        assert schedules_itself(router("b", members))
 
     def test_suspects_do_not_change_the_cells(self) -> None:
-        # One of the workers that make a region just too large for one cell does
-        # not answer for a second. Its chains went to a scheduler of the region
-        # meanwhile, beside those of the failure domains; the two called the same
-        # workers, and one call in five found its worker full.
+        # A region is just too large for one cell, and one of its workers does not
+        # answer for a second. Meanwhile its chains were sent to a scheduler of the
+        # whole region, next to those of the failure domains; both called the same
+        # workers, and one call in five was refused by a full worker.
         workers = WorkerTable()
         for number in range(3 * MAX_WORKERS_PER_CELL // 2 + 1):
             workers.put(worker(f"s{number}", "s", domain="ab"[number % 2]))
@@ -274,6 +274,6 @@
         workers.mark_suspect(worker("s0", "s", domain="a"))
         assert {place.cell.name for place in at.places({"s"}, "a")} == before
 
-    def test_starts_have_the_order_of_their_times(self) -> None:
+    def test_incarnations_are_ordered_by_start_time(self) -> None:
         starts = [incarnation_by_age() >> 20 for _ in range(100)]
         assert starts == sorted(starts)
--- a/tests/chain/test_chain_scheduler.py
+++ b/tests/chain/test_chain_scheduler.py
@@ -1,4 +1,4 @@
-"""Chains of stages: admitted or refused, run in order, and freed."""
+"""Chains of stages: admission, execution in order, and freeing of results."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
     StagePlan(service="s", after=(), result_bytes=10.0),
     StagePlan(service="t", after=(1,), result_bytes=10.0),
 )
-"""The request takes stage 0 and stage 2; stage 2 takes stage 1."""
+"""The request reads stages 0 and 2; stage 2 reads stage 1."""
 
 
 def work(
@@ -72,13 +72,13 @@
         )
 
     async def warm(self) -> None:
-        """Have each worker called once: the first call to one carries little."""
+        """Call each worker once, as the first call to a worker carries few pieces."""
         await self.scheduler.run(work("first", n_pieces=(1, 1, 1)))
         self.calls.batches.clear()
 
 
 class TestExecution:
-    async def test_stages_take_the_results_of_those_before(self) -> None:
+    async def test_stages_read_the_results_of_upstream_stages(self) -> None:
         calls = FakeCalls()
         end = await Rig(calls).scheduler.run(work())
         assert isinstance(end, ChainCompleted)
@@ -93,24 +93,24 @@
         assert {piece.inputs for piece in last} == {("s1/a.1.0",)}
         assert {piece.key for piece in last} == {""}
 
-    async def test_a_stage_without_pieces_is_left_out(self) -> None:
+    async def test_a_stage_without_pieces_is_skipped(self) -> None:
         end = await Rig(FakeCalls()).scheduler.run(work(n_pieces=(0, 1, 1)))
         assert isinstance(end, ChainCompleted)
         assert end.handles == ("t1/a.2.0",)
 
-    async def test_pieces_of_several_requests_ride_together(self) -> None:
-        # A call of a stage worker takes 200 ms whatever it carries. With one
-        # request a call, a calm day needs more workers than there are.
+    async def test_pieces_of_several_requests_share_calls(self) -> None:
+        # A call of a stage worker takes at least 200 ms, whatever it carries. With one
+        # request per call, even a moderate load needs more workers than there are.
         calls = FakeCalls()
         rig = Rig(calls, batch=20)
         ends = await asyncio.gather(*(rig.scheduler.run(work(n)) for n in "abcdef"))
         assert all(isinstance(end, ChainCompleted) for end in ends)
         assert len(calls.batches) <= 6
 
-    async def test_next_stages_that_one_call_sets_off_ride_together(self) -> None:
-        # One call ends the first stage of four requests at the same moment.
-        # Their second stages are queued one after another; a worker called at
-        # the first made that one alone, and the rest waited for a whole call.
+    async def test_stages_made_ready_by_one_call_share_a_call(self) -> None:
+        # One call completes the first stage of four requests at the same moment. Their
+        # second stages are queued one after another; a worker that was called for the
+        # first ran that one alone, and the others waited for a full call.
         calls = FakeCalls()
         rig = Rig(calls, batch=20)
         await rig.warm()
@@ -119,8 +119,8 @@
         assert [len(batch) for batch in calls.batches] == [4, 8]
 
     async def test_a_stage_is_not_split_between_two_calls(self) -> None:
-        # Nothing is gained by a part that is made ahead: its results only take
-        # up memory until the rest is there.
+        # A part of a stage that runs earlier gains nothing: its results only take up
+        # memory until the rest is completed.
         calls = FakeCalls()
         rig = Rig(calls, batch=5)
         await rig.warm()
@@ -128,7 +128,7 @@
         await asyncio.gather(*(rig.scheduler.run(each) for each in chains))
         assert [len(batch) for batch in calls.batches] == [3, 3]
 
-    async def test_results_that_were_read_are_freed(self) -> None:
+    async def test_results_are_freed_once_read(self) -> None:
         calls = FakeCalls()
         rig = Rig(calls)
         await rig.scheduler.run(work())
@@ -137,7 +137,7 @@
         rig.scheduler.free("a")
         await until(lambda: len(calls.freed) == 6)
 
-    async def test_a_failed_stage_frees_what_the_others_made(self) -> None:
+    async def test_a_failed_stage_frees_the_results_of_the_others(self) -> None:
         def fail(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if at.worker_id == "t1":
                 return [PieceFault.INPUT_GONE] * len(works)
@@ -148,9 +148,9 @@
         assert end == ChainFailed(reason=Reason.RESULT_GONE, is_begun=True)
         await until(lambda: len(calls.freed) == 3)
 
-    async def test_a_silent_worker_is_left_for_another(self) -> None:
-        # A worker falls silent under a call. What waits behind it must not
-        # wait for its end.
+    async def test_pieces_of_an_unresponsive_worker_go_to_another(self) -> None:
+        # A worker stops responding during a call. Pieces queued behind the call must
+        # not wait for its end.
         def answer(
             at: Worker, works: Sequence[PieceWork]
         ) -> list[PieceOutcome] | CallFault:
@@ -164,9 +164,9 @@
         assert isinstance(end, ChainCompleted)
         assert end.handles[0].startswith("s2/")
 
-    async def test_a_fault_of_a_call_does_not_stop_the_worker(self) -> None:
-        # A worker answers a call with what nobody foresaw. It must not count as
-        # busy for good.
+    async def test_an_error_in_a_call_does_not_block_the_worker(self) -> None:
+        # Handling a worker's response raises an unforeseen error. The worker must not
+        # count as busy forever.
         def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if len(calls.batches) == 1:
                 raise ValueError("unforeseen")
@@ -176,7 +176,7 @@
         end = await Rig(calls).scheduler.run(work())
         assert isinstance(end, ChainCompleted)
 
-    async def test_a_piece_without_room_stays_and_is_made_when_there_is(self) -> None:
+    async def test_a_piece_without_memory_is_run_later(self) -> None:
         tries: list[int] = []
 
         def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
@@ -189,8 +189,8 @@
         assert isinstance(end, ChainCompleted)
 
 
-class TestLetIn:
-    async def test_a_chain_that_would_be_late_is_refused_before_any_piece(self) -> None:
+class TestAdmission:
+    async def test_a_chain_predicted_late_is_refused_before_any_piece(self) -> None:
         calls = FakeCalls()
         end = await Rig(calls).scheduler.run(work(due_in_s=-1.0))
         assert isinstance(end, ChainFailed)
@@ -198,9 +198,9 @@
         assert end.finish_s > 0.01 and end.retry_after_s > 0
         assert calls.batches == []
 
-    async def test_what_is_promised_counts(self) -> None:
-        # Two hundred chains come in one moment. Queues are empty, but each
-        # chain that is let in fills them; letting all in makes all late.
+    async def test_admitted_chains_count_in_the_forecast(self) -> None:
+        # 200 chains arrive at the same moment. Queues are empty, but each admitted
+        # chain fills them; admitting all of them would make all late.
         calls = FakeCalls(call_s=0.02)
         rig = Rig(calls)
         many = [work(f"r{n}", due_in_s=0.4) for n in range(200)]
@@ -208,37 +208,38 @@
         n_made = sum(isinstance(end, ChainCompleted) for end in ends)
         assert 5 < n_made < 100
 
-    async def test_what_is_less_urgent_is_refused_first(self) -> None:
-        # Half of the chains of a burst are answers to chats, half are checks
-        # that go before them. Let in as they come, both are refused alike.
+    async def test_less_urgent_chains_are_refused_first(self) -> None:
+        # Half of the chains of a burst are answers to chats, half are more urgent
+        # checks. If they are admitted in order of arrival, both are refused alike.
         rig = Rig(FakeCalls(call_s=0.02))
         many = [work(f"r{n}", due_in_s=0.4, priority=2 * (n % 2)) for n in range(200)]
         ends = await asyncio.gather(*(rig.scheduler.run(each) for each in many))
-        let_in = [
+        admitted = [
             each.priority
             for each, end in zip(many, ends, strict=True)
             if isinstance(end, ChainCompleted)
         ]
-        assert let_in.count(0) > 1.5 * let_in.count(2) > 0
+        assert admitted.count(0) > 1.5 * admitted.count(2) > 0
 
     @pytest.mark.parametrize("must_be_on_time", [True, False])
-    async def test_what_cannot_be_made_in_time_at_all_is_refused_at_once(
+    async def test_an_unservable_chain_is_refused_at_once(
         self, *, must_be_on_time: bool
     ) -> None:
-        # Its caller will have left before the last stage is made, whatever is done.
-        # Let in, it took places of others until its pieces were dropped one by one.
+        # Its caller will have left before the last stage can be completed. When it was
+        # admitted, it took slots of others until its pieces were dropped one by one.
         calls = FakeCalls()
-        hopeless = replace(
+        unservable = replace(
             work(), deadline_s=time.monotonic() + 0.02, must_be_on_time=must_be_on_time
         )
-        end = await Rig(calls).scheduler.run(hopeless)
+        end = await Rig(calls).scheduler.run(unservable)
         assert isinstance(end, ChainFailed)
         assert end.reason is Reason.PREDICTED_LATE and not end.is_begun
         assert calls.batches == []
 
-    async def test_what_is_nearly_made_goes_on_after_a_handover(self) -> None:
-        # A cell changes hands while a chain's last piece is to be made. Judged by what
-        # all of its stages take, it was refused though its caller could still wait.
+    async def test_a_nearly_completed_chain_continues_after_a_handover(self) -> None:
+        # A cell is handed over when only a chain's last piece is missing. When it was
+        # judged by the time of all its stages, it was refused although its caller could
+        # still wait.
         rig = Rig(FakeCalls(call_s=0.001), call_s=2.0)
         made_pieces = tuple(
             StagePiece(
@@ -257,12 +258,12 @@
         )
         assert isinstance(await rig.scheduler.run(moved), ChainCompleted)
 
-    async def test_without_load_the_least_urgent_is_let_in(self) -> None:
+    async def test_without_load_the_least_urgent_chain_is_admitted(self) -> None:
         rig = Rig(FakeCalls())
         end = await rig.scheduler.run(work(due_in_s=0.3, priority=2))
         assert isinstance(end, ChainCompleted)
 
-    async def test_without_a_worker_it_says_so(self) -> None:
+    async def test_without_a_worker_a_chain_is_refused_as_no_target(self) -> None:
         rig = Rig(FakeCalls())
         rig.workers.remove("t1")
         end = await rig.scheduler.run(work())
@@ -270,7 +271,7 @@
 
 
 class TestLeaving:
-    async def test_a_worker_that_leaves_gets_no_more_calls(self) -> None:
+    async def test_a_leaving_worker_gets_no_more_calls(self) -> None:
         calls = FakeCalls(call_s=0.05)
         rig = Rig(calls, batch=1)
         running = asyncio.create_task(rig.scheduler.run(work(n_pieces=(4, 0, 0))))
@@ -280,7 +281,7 @@
         assert end == ChainFailed(reason=Reason.NO_TARGET, is_begun=True)
         assert len(calls.batches) == 1
 
-    async def test_a_caller_that_left_takes_no_calls(self) -> None:
+    async def test_a_cancelled_chain_sends_no_more_calls(self) -> None:
         calls = FakeCalls(call_s=0.05)
         rig = Rig(calls, batch=1)
         running = asyncio.create_task(rig.scheduler.run(work(n_pieces=(4, 0, 0))))
--- a/tests/chain/test_chain_wire.py
+++ b/tests/chain/test_chain_wire.py
@@ -1,4 +1,4 @@
-"""Chains and their ends as gateways of different releases send them."""
+"""Chains and their outcomes, as sent by gateways of different releases."""
 
 from trefoilpaddle.coordination.chain.chain_wire import end_from_wire
 from trefoilpaddle.protocol.gen.chain.ttypes import ChainAnswer
@@ -6,9 +6,9 @@
 from trefoilpaddle.state.chain.chain_work import ChainFailed
 
 
-class TestEnds:
+class TestOutcomes:
     def test_an_unknown_reason_still_ends_the_request(self) -> None:
         # The scheduler runs a newer release and refuses for a reason that this one
-        # does not know. The request must end with it, not with an exception.
+        # does not know. The request must be refused, not end with an exception.
         end = end_from_wire(ChainAnswer(reason=9999, is_begun=False))
         assert end == ChainFailed(reason=Reason.INTERNAL, is_begun=False)
--- a/tests/chain/test_crash_guard.py
+++ b/tests/chain/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from workers, by which gateways, and who is spared."""
+"""Which requests are kept from workers by which gateways, and which are not."""
 
 import asyncio
 import time
@@ -24,23 +24,23 @@
 
 
 async def crash_three(fleet: CrashFleet) -> None:
-    """Let a request crash three workers, each at another gateway's request."""
+    """Let a request crash three workers, each sent by another gateway."""
     for number in range(3):
         await fleet.run_at(number, f"w{number}", GUILTY, RunOutcome.BROKEN)
-        await until(lambda: len(fleet.standings(GUILTY)) == 1)
+        await until(lambda: len(fleet.statuses(GUILTY)) == 1)
 
 
 class TestBlame:
     async def test_all_gateways_know_after_the_third_crash(self) -> None:
-        # Each crash is seen by another gateway, and the next attempt reaches any.
+        # Each crash is observed by another gateway; the next attempt may reach any.
         async with crash_fleet() as fleet:
             await crash_three(fleet)
-            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.BLOCKED})
+            await until(lambda: fleet.statuses(GUILTY) == {CrashStatus.BLOCKED})
             refusal = fleet.every[-1].guard.refusal(GUILTY)
         assert refusal is not None
         assert refusal.reason is Reason.CRASHES_WORKERS
 
-    async def test_one_sent_at_once_from_two_gateways_is_found(self) -> None:
+    async def test_a_request_sent_by_two_gateways_at_once_is_blocked(self) -> None:
         async with crash_fleet() as fleet:
             for first in (0, 2, 4):
                 await asyncio.gather(
@@ -48,28 +48,30 @@
                     fleet.run_at(1, f"w{first + 1}", GUILTY, RunOutcome.BROKEN),
                 )
                 await asyncio.sleep(0.05)
-            assert fleet.standings(GUILTY) == {CrashStatus.BLOCKED}
+            assert fleet.statuses(GUILTY) == {CrashStatus.BLOCKED}
 
-    async def test_a_worker_that_comes_back_under_its_id_counts_each_time(self) -> None:
+    async def test_each_crash_of_a_restarted_worker_id_counts(self) -> None:
         async with crash_fleet() as fleet:
             for _ in range(3):
                 await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
-                fleet.start_again("w0")
+                fleet.restart("w0")
             assert fleet.every[0].book.status(GUILTY) is CrashStatus.BLOCKED
 
-    async def test_a_caller_that_leaves_before_each_crash_is_found(self) -> None:
-        # Its gateway has closed the connection; another saw the worker end.
+    async def test_a_request_whose_caller_leaves_before_crashes_is_blocked(
+        self,
+    ) -> None:
+        # Its gateway has closed the connection; another one observed the crash.
         async with crash_fleet() as fleet:
             for number in range(3):
                 await fleet.run_at(0, f"w{number}", GUILTY, RunOutcome.LEFT)
                 await fleet.run_at(1, f"w{number}", f"{number}" * 32, RunOutcome.BROKEN)
                 await asyncio.sleep(0.05)
-            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.BLOCKED})
+            await until(lambda: fleet.statuses(GUILTY) == {CrashStatus.BLOCKED})
 
 
 class TestInnocents:
-    async def test_one_that_ends_well_after_crashes_beside_it_is_cleared(self) -> None:
-        # It was sent on to the next worker together with the one that crashes them.
+    async def test_an_answered_request_is_cleared_of_crashes(self) -> None:
+        # It was retried at the same workers as the request that crashes them.
         async with crash_fleet() as fleet:
             for worker_id in ("w0", "w1"):
                 await asyncio.gather(
@@ -77,13 +79,13 @@
                     fleet.run_at(1, worker_id, INNOCENT, RunOutcome.BROKEN),
                 )
                 await asyncio.sleep(0.05)
-            assert fleet.standings(INNOCENT) == {CrashStatus.SUSPECT}
+            assert fleet.statuses(INNOCENT) == {CrashStatus.SUSPECT}
             await fleet.run_at(2, "w5", INNOCENT, RunOutcome.ANSWERED)
-            await until(lambda: fleet.standings(INNOCENT) == {CrashStatus.CLEAR})
-            assert fleet.standings(GUILTY) == {CrashStatus.SUSPECT}
+            await until(lambda: fleet.statuses(INNOCENT) == {CrashStatus.CLEAR})
+            assert fleet.statuses(GUILTY) == {CrashStatus.SUSPECT}
 
-    async def test_a_popular_request_bears_the_loss_of_all_workers(self) -> None:
-        # It runs everywhere at all times; its workers lose their power three times.
+    async def test_a_popular_request_survives_the_loss_of_all_workers(self) -> None:
+        # It always runs at all workers; these lose power three times.
         async with crash_fleet() as fleet:
             for _ in range(3):
                 await asyncio.gather(
@@ -95,23 +97,23 @@
                     )
                 )
                 await asyncio.sleep(0.05)
-                assert fleet.standings(INNOCENT) == {CrashStatus.WATCHED}
+                assert fleet.statuses(INNOCENT) == {CrashStatus.WATCHED}
                 for number in range(9):
-                    fleet.start_again(f"w{number}")
+                    fleet.restart(f"w{number}")
                 await fleet.run_at(0, "w0", INNOCENT, RunOutcome.ANSWERED)
                 await asyncio.sleep(0.05)
 
-    async def test_crashes_without_a_common_request_block_nobody(self) -> None:
+    async def test_crashes_without_a_common_request_block_none(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(9):
                 await fleet.run_at(0, f"w{number}", f"{number}" * 32, RunOutcome.BROKEN)
             await asyncio.sleep(0.05)
             blamed = [f for g in fleet.every for f in g.book.fingerprints()]
-            standings = [fleet.standings(f) for f in blamed]
-        assert all(each == {CrashStatus.WATCHED} for each in standings)
+            statuses = [fleet.statuses(f) for f in blamed]
+        assert all(each == {CrashStatus.WATCHED} for each in statuses)
 
 
-class TestApart:
+class TestIsolation:
     async def test_a_suspect_runs_once_at_a_time(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(2):
@@ -129,10 +131,10 @@
             await until(lambda: not fleet.every[5].guard.workers_apart())
             assert fleet.every[5].guard.refusal(GUILTY) is None
 
-    async def test_a_suspect_whose_answer_broke_waits_for_the_look_at_its_worker(
+    async def test_a_suspect_waits_until_its_worker_was_checked(
         self,
     ) -> None:
-        # Sent on before it is known that the worker is gone, it crashes one more.
+        # If it is retried before the crash is confirmed, it crashes another worker.
         async with crash_fleet() as fleet:
             for number in range(2):
                 await fleet.run_at(0, f"w{number}", GUILTY, RunOutcome.BROKEN)
@@ -148,7 +150,7 @@
 
 class TestCalls:
     @pytest.mark.parametrize(
-        ("end", "standing"),
+        ("end", "status"),
         [
             (PieceResult(handle="h", worker_id="w1"), CrashStatus.CLEAR),
             (PieceFault.FAILED, CrashStatus.CLEAR),
@@ -157,10 +159,10 @@
             (PieceFault.INPUT_GONE, CrashStatus.WATCHED),
         ],
     )
-    async def test_a_piece_that_was_not_begun_clears_nobody(
-        self, end: PieceOutcome, standing: CrashStatus
+    async def test_a_piece_that_was_not_run_clears_no_request(
+        self, end: PieceOutcome, status: CrashStatus
     ) -> None:
-        # A worker turns the piece away that crashed another one.
+        # A worker refuses the piece that crashed another one.
         async with crash_fleet() as fleet:
             await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
             gateway = fleet.every[0]
@@ -169,11 +171,11 @@
             works = [piece("r", due_s=1.0, fingerprint=GUILTY)]
             with gateway.guard.running_call(at, works) as call:
                 call.take(Ok([end]))
-            assert gateway.book.status(GUILTY) is standing
+            assert gateway.book.status(GUILTY) is status
 
 
-class TestWhoKnows:
-    async def test_a_gateway_that_starts_learns_it(self) -> None:
+class TestPropagation:
+    async def test_a_new_gateway_learns_of_blocked_requests(self) -> None:
         async with crash_fleet() as fleet:
             new = fleet.every[4]
             links = [
@@ -191,8 +193,8 @@
             links[0].connection = SimpleNamespace()
             await until(lambda: new.book.status(GUILTY) is CrashStatus.BLOCKED)
 
-    async def test_what_one_missed_the_clearing_of_does_not_come_back(self) -> None:
-        # A gateway that was cut off tells the others of a request that is cleared.
+    async def test_a_gateway_that_missed_a_clearing_does_not_undo_it(self) -> None:
+        # A gateway that was partitioned reports a crash of a request that was cleared.
         async with crash_fleet() as fleet:
             await fleet.run_at(0, "w0", INNOCENT, RunOutcome.BROKEN)
             await asyncio.sleep(0.05)
@@ -203,12 +205,12 @@
                 link.connection = None
             await fleet.run_at(0, "w5", INNOCENT, RunOutcome.ANSWERED)
             await asyncio.sleep(0.05)
-            assert fleet.standings(INNOCENT) == {CrashStatus.CLEAR, CrashStatus.WATCHED}
+            assert fleet.statuses(INNOCENT) == {CrashStatus.CLEAR, CrashStatus.WATCHED}
             for link in (*links, *away.links):
                 link.connection = SimpleNamespace()
-            await until(lambda: fleet.standings(INNOCENT) == {CrashStatus.CLEAR})
+            await until(lambda: fleet.statuses(INNOCENT) == {CrashStatus.CLEAR})
 
-    async def test_requests_that_harm_nobody_cost_no_message(self) -> None:
+    async def test_requests_without_crashes_send_no_message(self) -> None:
         async with crash_fleet() as fleet:
             for number in range(50):
                 end = RunOutcome.ANSWERED if number % 2 else RunOutcome.SILENT
@@ -216,8 +218,8 @@
             await asyncio.sleep(0.05)
             assert fleet.n_messages == 0
 
-    async def test_a_crash_costs_each_gateway_few_messages(self) -> None:
-        # Sixty requests run at the worker; what is told of them goes out together.
+    async def test_a_crash_sends_few_messages_per_gateway(self) -> None:
+        # Sixty requests run at the worker; their crashes are reported together.
         async with crash_fleet() as fleet:
             await asyncio.gather(
                 *(
@@ -229,8 +231,8 @@
             assert len(fleet.every[0].book) == 60
             assert fleet.n_messages <= 8 * 4 * 5
 
-    async def test_the_loss_of_a_failure_domain_floods_no_news(self) -> None:
-        # What ran at each of its workers went to every gateway, one link after another.
+    async def test_the_loss_of_a_failure_domain_is_not_broadcast(self) -> None:
+        # The crashes of all its workers were relayed to every gateway over all links.
         async with crash_fleet(n_workers=60) as fleet:
             await asyncio.gather(
                 *(
@@ -244,7 +246,7 @@
 
 
 class TestLog:
-    async def test_one_line_names_the_crashes_that_decided_it(self) -> None:
+    async def test_one_log_line_names_the_crashes_behind_a_block(self) -> None:
         async with crash_fleet() as fleet:
             await crash_three(fleet)
             last = fleet.every[-1]
@@ -258,10 +260,10 @@
         assert GUILTY in line.detail
 
 
-class TestOldNews:
-    async def test_an_end_of_hours_ago_blames_nobody_at_its_worker_now(self) -> None:
-        # A worker that tells no starts is back under its id; a link that opens brings
-        # what is remembered of it.
+class TestOldCrashes:
+    async def test_an_old_crash_does_not_blame_current_runs(self) -> None:
+        # A worker that reports no start times is back under its id. A link that opens
+        # delivers the old crashes that the peer remembers.
         async with crash_fleet() as fleet:
             gateway = fleet.every[0]
             await fleet.run_at(0, "w0", INNOCENT, RunOutcome.SILENT)
@@ -274,8 +276,8 @@
 
 
 class TestRestartedWorker:
-    async def test_a_start_that_peers_know_first_blames_nobody_there(self) -> None:
-        # A peer's word on the start before says nothing of runs at the present one.
+    async def test_a_crash_of_the_former_start_blames_no_current_run(self) -> None:
+        # A peer's report on the former start does not affect runs at the present one.
         async with crash_fleet() as fleet:
             gateway = fleet.every[4]
             known = gateway.workers.get("w0")
@@ -283,5 +285,5 @@
             gateway.workers.put(replace(known, born_ms=2))
             await fleet.run_at(4, "w0", INNOCENT, RunOutcome.SILENT)
             await fleet.run_at(0, "w0", GUILTY, RunOutcome.BROKEN)
-            await until(lambda: fleet.standings(GUILTY) == {CrashStatus.WATCHED})
-            assert fleet.standings(INNOCENT) == {CrashStatus.CLEAR}
+            await until(lambda: fleet.statuses(GUILTY) == {CrashStatus.WATCHED})
+            assert fleet.statuses(INNOCENT) == {CrashStatus.CLEAR}
--- a/tests/chain/test_crash_registry.py
+++ b/tests/chain/test_crash_registry.py
@@ -1,4 +1,4 @@
-"""What is remembered of crashes, for how long, and how much of it."""
+"""Which crashes are remembered, for how long, and within which limits."""
 
 import time
 from typing import Final
@@ -17,7 +17,7 @@
 
 
 def crash(worker_id: str, *, level: int = 1, ended: float = 0.5) -> Crash:
-    """Return a crash some seconds before now."""
+    """Return a crash that happened `ended` seconds ago."""
     return Crash(
         worker_id=worker_id,
         born_ms=1,
@@ -26,18 +26,18 @@
     )
 
 
-def noted(n_crashes: int, *, ago: float = 0.0) -> CrashRegistry:
-    """Return a book in which one request has crashed some workers in turn."""
-    book = CrashRegistry()
+def registry_with(n_crashes: int, *, ago: float = 0.0) -> CrashRegistry:
+    """Return a registry in which one request has crashed workers in succession."""
+    registry = CrashRegistry()
     for number in range(n_crashes):
         ended = ago + n_crashes - number
-        book.record(name(0), crash(f"w{number}", level=1 + number, ended=ended))
-    return book
+        registry.record(name(0), crash(f"w{number}", level=1 + number, ended=ended))
+    return registry
 
 
-class TestStanding:
+class TestStatus:
     @pytest.mark.parametrize(
-        ("n_crashes", "standing"),
+        ("n_crashes", "status"),
         [
             (0, CrashStatus.CLEAR),
             (1, CrashStatus.WATCHED),
@@ -45,75 +45,75 @@
             (3, CrashStatus.BLOCKED),
         ],
     )
-    def test_it_gets_worse_with_each_crash(
-        self, n_crashes: int, standing: CrashStatus
+    def test_each_crash_makes_the_status_worse(
+        self, n_crashes: int, status: CrashStatus
     ) -> None:
-        assert noted(n_crashes).status(name(0)) is standing
+        assert registry_with(n_crashes).status(name(0)) is status
 
-    def test_one_that_ended_well_is_cleared(self) -> None:
-        book = noted(3)
-        assert book.clear(name(0))
-        assert book.status(name(0)) is CrashStatus.CLEAR
+    def test_a_cleared_request_has_no_crashes(self) -> None:
+        registry = registry_with(3)
+        assert registry.clear(name(0))
+        assert registry.status(name(0)) is CrashStatus.CLEAR
 
-    def test_news_from_before_do_not_undo_the_clearing(self) -> None:
-        book = noted(2)
-        book.clear(name(0))
-        assert not book.record(name(0), crash("w9", ended=0.1))
-        assert book.status(name(0)) is CrashStatus.CLEAR
+    def test_an_older_crash_does_not_undo_the_clearing(self) -> None:
+        registry = registry_with(2)
+        registry.clear(name(0))
+        assert not registry.record(name(0), crash("w9", ended=0.1))
+        assert registry.status(name(0)) is CrashStatus.CLEAR
 
 
 class TestOneCrash:
-    def test_workers_that_lose_their_power_together_count_once(self) -> None:
-        # A hundred runs of one popular request end when all workers do, and the news
-        # of some of them come seconds later, from gateways that were paused.
-        book = CrashRegistry()
+    def test_workers_that_lose_power_together_count_once(self) -> None:
+        # All workers crash, which ends a hundred runs of one popular request. Some of
+        # the crashes are reported seconds later, by gateways that were paused.
+        registry = CrashRegistry()
         for number in range(100):
-            book.record(name(0), crash(f"w{number}", ended=number / 10))
-        assert book.status(name(0)) is CrashStatus.WATCHED
+            registry.record(name(0), crash(f"w{number}", ended=number / 10))
+        assert registry.status(name(0)) is CrashStatus.WATCHED
 
-    def test_a_worker_that_is_back_under_its_id_counts_again(self) -> None:
-        book = CrashRegistry()
+    def test_each_start_of_one_worker_id_counts(self) -> None:
+        registry = CrashRegistry()
         for level in (1, 2, 3):
-            assert book.record(name(0), crash("w0", level=level))
-        assert book.status(name(0)) is CrashStatus.BLOCKED
+            assert registry.record(name(0), crash("w0", level=level))
+        assert registry.status(name(0)) is CrashStatus.BLOCKED
 
 
 class TestTime:
-    def test_one_that_was_unlucky_is_tried_again_alone(self) -> None:
+    def test_a_blocked_request_becomes_suspect_after_a_while(self) -> None:
         hour_s = 3600.0
-        assert noted(3, ago=hour_s).status(name(0)) is CrashStatus.SUSPECT
-        assert noted(4, ago=hour_s / 2).status(name(0)) is CrashStatus.BLOCKED
+        assert registry_with(3, ago=hour_s).status(name(0)) is CrashStatus.SUSPECT
+        assert registry_with(4, ago=hour_s / 2).status(name(0)) is CrashStatus.BLOCKED
 
-    def test_two_tries_at_most_follow_a_block(self) -> None:
-        # Later than its third crash a request may reach three workers, in all.
-        assert noted(5, ago=crash_registry.RETENTION_S / 2).status(name(0)) is (
+    def test_at_most_two_further_runs_follow_a_block(self) -> None:
+        # After its third crash a request may reach at most three workers.
+        assert registry_with(5, ago=crash_registry.RETENTION_S / 2).status(name(0)) is (
             CrashStatus.BLOCKED
         )
 
-    def test_what_was_long_ago_is_forgotten(self) -> None:
+    def test_old_crashes_are_forgotten(self) -> None:
         assert (
-            noted(3, ago=crash_registry.RETENTION_S).status(name(0))
+            registry_with(3, ago=crash_registry.RETENTION_S).status(name(0))
             is CrashStatus.CLEAR
         )
 
 
 class TestBounds:
-    def test_made_up_bodies_do_not_push_out_what_is_suspect(self) -> None:
-        book = noted(2)
+    def test_many_requests_of_an_account_do_not_evict_suspects(self) -> None:
+        registry = registry_with(2)
         for number in range(1, 2 * crash_registry.MAX_REQUESTS_PER_ACCOUNT):
-            book.record(name(number), crash("w0"))
-        assert len(book) == crash_registry.MAX_REQUESTS_PER_ACCOUNT
-        assert book.status(name(0)) is CrashStatus.SUSPECT
+            registry.record(name(number), crash("w0"))
+        assert len(registry) == crash_registry.MAX_REQUESTS_PER_ACCOUNT
+        assert registry.status(name(0)) is CrashStatus.SUSPECT
 
-    def test_made_up_bodies_take_no_place_of_another_account(self) -> None:
-        book = CrashRegistry()
-        book.record(name(0, OTHER), crash("w0"))
+    def test_many_requests_do_not_evict_those_of_other_accounts(self) -> None:
+        registry = CrashRegistry()
+        registry.record(name(0, OTHER), crash("w0"))
         for number in range(crash_registry.MAX_REQUESTS + 1):
             account = f"{2 + number % 12:08x}"
-            book.record(name(number, account), crash("w0"))
-        assert len(book) <= crash_registry.MAX_REQUESTS
-        assert book.status(name(0, OTHER)) is CrashStatus.WATCHED
+            registry.record(name(number, account), crash("w0"))
+        assert len(registry) <= crash_registry.MAX_REQUESTS
+        assert registry.status(name(0, OTHER)) is CrashStatus.WATCHED
 
-    def test_one_request_keeps_few_crashes(self) -> None:
-        book = noted(3 * crash_registry.MAX_LEVEL)
-        assert len(book.crashes(name(0))) == crash_registry.MAX_LEVEL
+    def test_the_crashes_of_one_request_are_limited(self) -> None:
+        registry = registry_with(3 * crash_registry.MAX_LEVEL)
+        assert len(registry.crashes(name(0))) == crash_registry.MAX_LEVEL
--- a/tests/chain/test_engine_times.py
+++ b/tests/chain/test_engine_times.py
@@ -1,4 +1,4 @@
-"""What is left for the engine after a request's stages."""
+"""The time that is reserved for the engine after the stages of a request."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A clock that is set by the test."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -28,10 +28,10 @@
     return made
 
 
-class TestForgetting:
-    def test_slow_engines_that_nobody_calls_are_tried_again(self, clock: Clock) -> None:
-        # The first request of a start meets a worker that answers late. All others
-        # were refused as too late for as long as the gateway lived.
+class TestDecay:
+    def test_learnt_slowness_decays_without_requests(self, clock: Clock) -> None:
+        # The first request after a start reaches a worker that answers late. All others
+        # were refused as predicted late until the gateway was restarted.
         times = EngineTimes()
         times.learn("r", 4.0)
         assert times.expected_s("r") == pytest.approx(MARGIN * 4.0)
@@ -44,7 +44,7 @@
             MARGIN * DEFAULT_FIRST_EVENT_S, rel=0.02
         )
 
-    def test_what_requests_go_on_showing_stays(self, clock: Clock) -> None:
+    def test_slowness_that_requests_confirm_stays(self, clock: Clock) -> None:
         times = EngineTimes()
         for _ in range(50):
             times.learn("r", 2.0)
--- a/tests/chain/test_fleet_restarts.py
+++ b/tests/chain/test_fleet_restarts.py
@@ -1,11 +1,11 @@
-"""One gateway at a time calls the stage workers, through stops and losses of power.
-
-Patterns: every gateway stopped in turn, two seconds apart, and all gateways back
-at once after a loss of power, each in the midst of a burst that fills the cell.
-Grounds for the figures: a call takes 0.24 to 0.45 s, so 0.3 s of overlap is less
-than one, and twelve workers that make one call at a time make 32 in a second; a
-result that nobody frees is kept for 4 s, and memory for one more of its size is
-tried each 0.5 s, so eight pieces a worker and service bound what is turned away.
+"""Only one gateway at a time calls the stage workers, also during restarts.
+
+Patterns: all gateways stopped in turn, two seconds apart, and all gateways restarted
+at once after a power loss, both during a burst that fills the cell. Reasons for the
+bounds: a call takes 0.24 to 0.45 s, so 0.3 s of overlap is less than one call, and
+twelve workers that run one call at a time complete 32 in a second; a result that is not
+freed is kept for 4 s, and memory for one more of its size is tried each 0.5 s, so at
+most eight pieces per worker and service find no memory.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 BUSY = replace(
     TIGHT_DAY,
-    bursts=(Burst(kind="", at_s=1, for_s=12, times=1.5),),
+    bursts=(Burst(kind="", at_s=1, duration_s=12, factor=1.5),),
     length_s=14.0,
 )
 MAX_OVERLAP_S = 0.3
@@ -35,16 +35,16 @@
 
 
 def stopped_in_turn(patch: pytest.MonkeyPatch, seed: int) -> ModelFleet:
-    """Play a burst in which each gateway is stopped in order, one after another."""
+    """Simulate a burst in which the gateways are stopped one after another."""
 
     async def run() -> ModelFleet:
         fleet = ModelFleet(BUSY, seed=seed)
-        coming = asyncio.create_task(fleet.run())
+        running = asyncio.create_task(fleet.run())
         stops = []
         for name in random.Random(seed).sample("pqrs", 4):
             await asyncio.sleep(2.0)
             stops.append(asyncio.create_task(fleet.stop(name, after_s=5.0)))
-        await asyncio.gather(coming, *stops)
+        await asyncio.gather(running, *stops)
         return fleet
 
     with patch.context() as time_patch:
@@ -54,14 +54,14 @@
 def lost_together(
     patch: pytest.MonkeyPatch, seed: int, *, settle_s: float = 0.4
 ) -> ModelFleet:
-    """Play a burst in which all gateways lose power and are back half a second on."""
+    """Simulate a burst in which all gateways lose power for half a second."""
 
     async def run() -> ModelFleet:
         fleet = ModelFleet(BUSY, seed=seed, settle_s=settle_s)
-        coming = asyncio.create_task(fleet.run())
+        running = asyncio.create_task(fleet.run())
         await asyncio.sleep(6.0)
         await fleet.lose_all(down_s=0.5)
-        await coming
+        await running
         return fleet
 
     with patch.context() as time_patch:
@@ -69,7 +69,7 @@
 
 
 def longest_overlap_s(sent: list[SentCall]) -> float:
-    """Return for how long two gateways called the same worker at most."""
+    """Return the longest time for which two gateways called the same worker."""
     longest_s = 0.0
     for one in sent:
         for other in sent:
@@ -81,7 +81,7 @@
 
 
 def most_calls_per_s(sent: list[SentCall]) -> int:
-    """Return the calls that began in the fullest second."""
+    """Return the largest number of calls that began within one second."""
     began = sorted(call.began_s for call in sent)
     return max(sum(1 for b in began if a <= b < a + 1.0) for a in began)
 
@@ -95,20 +95,22 @@
     def test_no_two_gateways_call_a_worker(
         self, monkeypatch: pytest.MonkeyPatch, seed: int
     ) -> None:
-        # Gateways are stopped one after another for a new version. For two to
-        # four seconds of each stop the old scheduler finished its chains while
-        # the next began, each counting only its own results: pieces found no
-        # memory, were sent again at once, and most calls carried one.
+        # Gateways are stopped one after another for a new version. For two to four
+        # seconds of each stop the old scheduler completed its chains while the next one
+        # began, each counting only its own results: pieces found no memory and were
+        # sent again at once, and most calls carried only one piece.
         fleet = stopped_in_turn(monkeypatch, seed)
         assert longest_overlap_s(fleet.calls.sent) <= MAX_OVERLAP_S
         assert n_turned_away(fleet.calls.sent) <= MAX_TURNED_AWAY
 
-    def test_without_a_handover_they_do(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_without_a_handover_two_gateways_call_a_worker(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         async def keep(*_: object) -> bool:
             return False
 
         monkeypatch.setattr(CellSchedulers, "hand_over", keep)
-        # In one seed or another; how long two call depends on what runs at the stop.
+        # The largest of several seeds, as the overlap depends on what runs at the stop.
         overlaps_s = [
             longest_overlap_s(stopped_in_turn(monkeypatch, seed).calls.sent)
             for seed in SEEDS
@@ -116,9 +118,7 @@
         assert max(overlaps_s) > MAX_OVERLAP_S
 
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_no_chain_is_lost_by_it(
-        self, monkeypatch: pytest.MonkeyPatch, seed: int
-    ) -> None:
+    def test_no_chain_is_lost(self, monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
         fleet = stopped_in_turn(monkeypatch, seed)
         outcome = fleet.outcome
         n_answered = outcome.in_time.total() + outcome.late.total()
@@ -131,14 +131,14 @@
     def test_calls_and_pieces_turned_away_are_bounded(
         self, monkeypatch: pytest.MonkeyPatch, seed: int
     ) -> None:
-        # All machines are back after a loss of power. The workers still keep
-        # results of processes that are gone; up to 790 calls in one second and
-        # 3,343 pieces of a day found no memory.
+        # All hosts are back after a power loss. The workers still keep results of
+        # gateways that are gone. Up to 790 calls were sent in one second, and 3,343
+        # pieces found no memory in a day.
         fleet = lost_together(monkeypatch, seed)
         assert most_calls_per_s(fleet.calls.sent) <= MAX_CALLS_PER_S
         assert n_turned_away(fleet.calls.sent) <= MAX_TURNED_AWAY
 
-    def test_sent_again_at_once_they_are_not(
+    def test_without_waiting_for_memory_they_are_not_bounded(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         def learn_nothing(*_: object, **__: object) -> None:
--- a/tests/chain/test_fleet_settled.py
+++ b/tests/chain/test_fleet_settled.py
@@ -1,4 +1,4 @@
-"""When a gateway that has just started knows who schedules."""
+"""When a gateway that has just started knows which gateways schedule the cells."""
 
 import pytest
 
@@ -17,29 +17,29 @@
 
 
 class Rig:
-    """A fleet that one gateway sees, and its clock."""
+    """The fleet as one gateway knows it, and its clock."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.now_s = 100.0
         patch.setattr("time.monotonic", lambda: self.now_s)
         self.fleet = Fleet(process=process("own"), seeds=())
 
-    def hear(self, name: str, incarnation: int, millicores: int) -> None:
+    def join(self, name: str, incarnation: int, millicores: int) -> None:
         self.fleet.membership.hear([member(name, incarnation, millicores=millicores)])
 
     def settles_after_s(self) -> float:
-        """Let weak hosts join every step; return when the gateway is settled."""
+        """Let a weak host join in each step; return the time until settled."""
         began_s = self.now_s
         number = 100
         while not self.fleet.is_settled():
             number += 1
-            self.hear(f"weak{number}", number, WEAK)
+            self.join(f"weak{number}", number, WEAK)
             self.now_s += STEP_S
         return self.now_s - began_s
 
 
 class TestSettled:
-    async def test_one_that_knows_nobody_waits_for_as_long_as_it_may(
+    async def test_a_gateway_without_peers_waits_for_the_limit(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         rig = Rig(monkeypatch)
@@ -48,30 +48,30 @@
         rig.now_s += STEP_S
         assert rig.fleet.is_settled()
 
-    async def test_one_that_is_leaving_alone_knows_nobody(
+    async def test_a_leaving_gateway_without_peers_is_not_settled(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         rig = Rig(monkeypatch)
         rig.fleet.membership.leave()
         assert not rig.fleet.is_settled()
 
-    # All hosts are back after a loss of power: the strong ones in half a second, the
-    # weak ones one after the other for a second more. As each was news, requests that
-    # strong hosts had taken stood still for three quarters of a second.
-    async def test_weak_hosts_that_come_later_change_nothing(
+    # All hosts are back after a power loss: the strong ones within half a second, the
+    # weak ones one after another for a second more. As each of them extended the wait,
+    # requests at strong hosts were delayed by three quarters of a second.
+    async def test_weak_hosts_that_join_later_do_not_extend_the_wait(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         rig = Rig(monkeypatch)
-        rig.hear("first", 5, STRONG)
+        rig.join("first", 5, STRONG)
         assert rig.settles_after_s() <= SETTLE_S + 2 * STEP_S
 
-    async def test_one_that_goes_before_them_does(
+    async def test_a_host_that_is_preferred_extends_the_wait(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         rig = Rig(monkeypatch)
-        rig.hear("second", 9, STRONG)
+        rig.join("second", 9, STRONG)
         rig.now_s += SETTLE_S
-        rig.hear("first", 5, STRONG)
+        rig.join("first", 5, STRONG)
         rig.now_s += SETTLE_S / 2
         assert not rig.fleet.is_settled()
         rig.now_s += SETTLE_S
--- a/tests/chain/test_piece_queue.py
+++ b/tests/chain/test_piece_queue.py
@@ -1,4 +1,4 @@
-"""Which pieces share the next call of a worker that is free."""
+"""Which pieces share the next call of a free worker."""
 
 import asyncio
 
@@ -51,7 +51,7 @@
         assert names(queue.take_batch(offer(max_pieces=3))) == ["a", "b", "c"]
         assert len(queue) == 1
 
-    async def test_the_earliest_due_goes_first(self) -> None:
+    async def test_the_earliest_due_piece_is_first(self) -> None:
         queue = queue_of(
             piece("late", due_s=NOW_S + 3),
             piece("soon", due_s=NOW_S + 1),
@@ -59,9 +59,9 @@
         )
         assert names(queue.take_batch(offer(max_pieces=2))) == ["soon", "mid"]
 
-    async def test_one_already_late_fills_up_and_never_goes_before(self) -> None:
-        # A burst leaves requests that have missed their aim. By due time alone
-        # they would stand first, and make those late that still can be on time.
+    async def test_late_pieces_only_fill_remaining_slots(self) -> None:
+        # A burst leaves requests that have missed their latency objective. Ordered by
+        # due time alone they would be first, and delay those that can be on time.
         queue = queue_of(
             piece("missed", due_s=NOW_S - 1),
             piece("a", due_s=NOW_S + 1),
@@ -70,42 +70,42 @@
         assert names(queue.take_batch(offer(max_pieces=2))) == ["a", "b"]
         assert names(queue.take_batch(offer(max_pieces=2))) == ["missed"]
 
-    async def test_one_that_cannot_be_done_in_time_is_told_at_once(self) -> None:
-        hopeless = piece("x", due_s=NOW_S, deadline_s=NOW_S + 0.1)
-        queue = queue_of(hopeless)
+    async def test_a_piece_that_misses_its_deadline_fails_at_once(self) -> None:
+        unservable = piece("x", due_s=NOW_S, deadline_s=NOW_S + 0.1)
+        queue = queue_of(unservable)
         queue.drop_unservable(NOW_S + 0.2)
         assert not len(queue)
-        assert hopeless.outcome.result() is PieceFault.LATE
+        assert unservable.outcome.result() is PieceFault.LATE
 
-    async def test_one_that_nobody_waits_for_is_dropped(self) -> None:
-        unwanted = piece("x", due_s=NOW_S + 1)
-        queue = queue_of(unwanted)
-        unwanted.outcome.cancel()
+    async def test_a_cancelled_piece_is_dropped(self) -> None:
+        cancelled = piece("x", due_s=NOW_S + 1)
+        queue = queue_of(cancelled)
+        cancelled.outcome.cancel()
         queue.drop_unservable(NOW_S)
         assert not len(queue)
 
-    async def test_a_slow_worker_takes_what_others_come_to_later(self) -> None:
-        # One of four workers is five times as slow for some seconds. Free most of
-        # the time, it took the most urgent pieces and made all of them late.
+    async def test_a_slow_worker_skips_the_most_urgent_pieces(self) -> None:
+        # One of four workers is five times as slow for some seconds. As it was free
+        # most often, it took the most urgent pieces, and all of them were late.
         queue = queue_of(*(piece(str(n), due_s=NOW_S + n) for n in range(1, 7)))
         assert names(queue.take_batch(offer(n_skipped=4))) == ["5", "6"]
         assert queue.take_batch(offer(n_skipped=4)) == []
 
 
 class TestWorkers:
-    async def test_one_that_failed_a_piece_does_not_get_it_again(self) -> None:
+    async def test_an_excluded_worker_does_not_get_the_piece(self) -> None:
         work = piece("a", due_s=NOW_S + 1, excluded_workers=frozenset({"w"}))
         queue = queue_of(work)
         assert queue.take_batch(offer()) == []
         assert names(queue.take_batch(offer(worker_id="v"))) == ["a"]
 
-    async def test_unless_there_is_no_other(self) -> None:
+    async def test_exclusion_ends_if_all_workers_are_excluded(self) -> None:
         queue = queue_of(piece("a", due_s=NOW_S + 1, excluded_workers=frozenset({"w"})))
         queue.allow_excluded({"w"})
         assert names(queue.take_batch(offer())) == ["a"]
 
-    async def test_a_piece_waits_a_while_for_a_near_worker(self) -> None:
-        # Results that cross failure domains are paid for by the byte.
+    async def test_a_piece_waits_for_a_worker_of_its_preferred_domain(self) -> None:
+        # Traffic between failure domains is paid by the byte.
         work = piece(
             "a",
             due_s=NOW_S + 1,
@@ -119,8 +119,8 @@
             "a"
         ]
 
-    async def test_and_no_longer_however_soon_that_is_free(self) -> None:
-        # The near worker's next call may be filled by others.
+    async def test_the_wait_for_the_preferred_domain_is_limited(self) -> None:
+        # The next call of the preferred worker may be filled by other pieces.
         work = piece(
             "a",
             due_s=NOW_S + 1,
@@ -131,7 +131,7 @@
         at = offer(free_in_s_by_domain={"there": 0.1}, now_s=NOW_S + 0.15)
         assert names(queue_of(work).take_batch(at)) == ["a"]
 
-    async def test_where_there_is_none_it_does_not_wait(self) -> None:
+    async def test_without_a_worker_in_its_domain_a_piece_does_not_wait(self) -> None:
         work = piece(
             "a",
             due_s=NOW_S + 1,
@@ -143,10 +143,10 @@
 
 
 class TestMemory:
-    async def test_a_piece_without_memory_waits_and_smaller_ones_pass(self) -> None:
-        # Results wait at their maker. A call for which there is no memory ends
-        # at once for the pieces without it, which then came again and again:
-        # most calls carried one piece and made none.
+    async def test_a_piece_without_memory_waits_and_smaller_ones_are_sent(self) -> None:
+        # Results stay at the worker that computed them. Pieces without memory for their
+        # results fail at once and were retried again and again: most calls carried one
+        # piece and completed none.
         queue = queue_of(
             piece("big", due_s=NOW_S + 1, result_bytes=5),
             piece("small", due_s=NOW_S + 2, result_bytes=1),
@@ -155,13 +155,13 @@
         assert names(queue.take_batch(at)) == ["small"]
         assert names(queue.take_batch(offer(free_bytes=9))) == ["big"]
 
-    async def test_a_wrong_size_does_not_stop_the_queue(self) -> None:
+    async def test_a_wrong_size_does_not_block_the_queue(self) -> None:
         queue = queue_of(piece("huge", due_s=NOW_S + 1, result_bytes=99))
         assert queue.take_batch(offer(free_bytes=10, is_empty=False)) == []
         assert names(queue.take_batch(offer(free_bytes=10))) == ["huge"]
 
 
-def test_a_piece_needs_a_loop_only_for_its_end() -> None:
+def test_a_piece_is_pending_when_created() -> None:
     async def make() -> bool:
         return piece("x", due_s=0.0).is_pending
 
--- a/tests/chain/test_planned_stop.py
+++ b/tests/chain/test_planned_stop.py
@@ -1,4 +1,4 @@
-"""What is still taken after the order to stop."""
+"""Which requests are accepted after the order to stop."""
 
 import pytest
 
@@ -20,12 +20,12 @@
 
 
 class TestPlannedStop:
-    def test_what_would_be_cut_is_refused(
+    def test_requests_that_would_be_interrupted_are_refused(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Seven seconds after the order a caller sends a stream on a connection
-        # it had open. The process ends within it, and the caller is left with
-        # a closed connection and no answer.
+        # Seven seconds after the order a caller sends a request for a stream on an open
+        # connection. The process exits during the stream, so that the caller has a
+        # closed connection and no answer.
         clock = Clock()
         monkeypatch.setattr(planned_stop, "time", clock)
         stop = PlannedStop(grace_s=8.0)
--- a/tests/chain/test_request_path.py
+++ b/tests/chain/test_request_path.py
@@ -1,4 +1,4 @@
-"""A request from its route to its answer, and callers that leave."""
+"""The path of a request from its route to its answer, and callers that leave."""
 
 import asyncio
 import time
@@ -48,7 +48,7 @@
 
 
 class SlowCalls(FakeCalls):
-    """Counts answers that were waited for to the end."""
+    """Counts the answers that were waited for until complete."""
 
     n_finished = 0
 
@@ -111,8 +111,8 @@
     async def test_stages_are_to_be_made_before_its_caller_leaves(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A chat has twenty seconds, and its caller leaves after seven without an
-        # event. Its chain was told of the twenty, and waited in line beyond the seven.
+        # A chat has a deadline of 20 s, but its caller leaves after 7 s without an
+        # event. Its chain received the deadline of 20 s and was queued beyond the 7 s.
         works: list[ChainWork] = []
 
         async def refuse(_: ChainRouter, work: ChainWork, place: Place) -> ChainFailed:
@@ -165,8 +165,8 @@
         await asyncio.gather(serving, return_exceptions=True)
 
     async def test_what_may_not_run_twice_is_finished(self) -> None:
-        # A caller reserves stock and leaves before the answer. Broken off, the
-        # reservation is half done; finished, at least the worker knows of it.
+        # A caller reserves stock and leaves before the answer. If the run is cancelled,
+        # the reservation is incomplete; if it is completed, the worker has its result.
         calls = SlowCalls()
         rig = Rig(calls, route())
         await self.leave(rig, calls)
@@ -183,8 +183,8 @@
 
 class TestWhatIsCutOff:
     async def test_the_log_tells_it_from_a_caller_that_left(self) -> None:
-        # A gateway that stops closed the connections of requests that had no answer
-        # yet. Its log said of each that the caller had left.
+        # A gateway that stops closed the connections of requests without an answer. Its
+        # log reported for each of them that the caller had left.
         rig = Rig(SlowCalls(), route())
         rig.stop.order()
         rig.stop.is_closing = True
--- a/tests/chain/test_result_freeing.py
+++ b/tests/chain/test_result_freeing.py
@@ -1,4 +1,4 @@
-"""When results that were read are freed at their maker."""
+"""When results that were read are freed at the worker that keeps them."""
 
 import asyncio
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class CountingCalls(FakeCalls):
-    """Keeps what each call freed."""
+    """Records the handles that each call freed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,9 +42,10 @@
 
 class TestGathering:
     # A busy cell of 18 workers on hosts with an eighth of a core: chains read their
-    # results one after another, each maker was told of each at once, and the scheduler
-    # made more calls for that than for pieces. It fell behind, and refused chains.
-    def test_results_that_are_read_in_a_row_share_a_call(
+    # results one after another, and each result was freed by a call of its own. The
+    # scheduler sent more of these calls than calls of pieces, fell behind and refused
+    # chains.
+    def test_results_read_in_succession_are_freed_in_one_call(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         calls = CountingCalls()
@@ -59,7 +60,7 @@
         run_virtual(monkeypatch, run())
         assert calls.freed_together == [["h0", "h1", "h2", "h3", "h4"]]
 
-    def test_where_memory_is_short_they_go_at_once(
+    def test_with_low_memory_results_are_freed_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         calls = CountingCalls()
@@ -73,7 +74,7 @@
         run_virtual(monkeypatch, run())
         assert calls.freed_together == [["h0"], ["h1"], ["h2"]]
 
-    def test_what_was_gathered_goes_when_memory_becomes_short(
+    def test_gathered_results_are_freed_when_memory_becomes_low(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         calls = CountingCalls()
--- a/tests/chain/test_service_dispatch.py
+++ b/tests/chain/test_service_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatch of a service's queue: whom it calls next, and what that costs."""
+"""The dispatch of a service's queue: which worker is called next, and at which cost."""
 
 import random
 import time
@@ -23,10 +23,10 @@
 DOMAINS = "abcd"
 
 LOOKS_PER_WORKER = 7
-"""Times that one dispatch may ask one worker for its times, whatever the cell's size.
+"""How often one dispatch may compute times of one worker, for any size of the cell.
 
-Once to know if it is free, for its two times at the beginning, for its call's end in
-the offer and when it is sent, and for its two times after that.
+Once to find out if it is free, twice at the beginning for its two times, for the end of
+its call in the offer and when the call is sent, and twice after that.
 """
 
 
@@ -63,15 +63,15 @@
     return piece(name, due_s=now_s + 50, deadline_s=now_s + 90, **fields)
 
 
-class TestLooks:
+class TestCost:
     @pytest.mark.parametrize("n_workers", [8, 32, 128])
     @pytest.mark.parametrize("is_in_vain", [False, True])
-    async def test_a_larger_cell_has_no_more_looks_at_each_worker(
+    async def test_the_cost_per_worker_does_not_grow_with_the_cell(
         self, monkeypatch: pytest.MonkeyPatch, *, n_workers: int, is_in_vain: bool
     ) -> None:
-        # For each free worker all others of the service were looked at, for their
-        # calls' ends and for when they are free. A chain cost a scheduler 12 ms in
-        # a cell of 183 stage workers and 35 in one of 300, and it has one core.
+        # For each free worker, the times of all other workers of the service were
+        # computed. A chain cost a scheduler 12 ms of processor time in a cell of 183
+        # stage workers and 35 ms in one of 300, and a scheduler has one core.
         looks: Counter[int] = Counter()
 
         def count(name: str) -> None:
@@ -103,8 +103,8 @@
         await until(lambda: len(calls.batches) == n_calls)
 
 
-class CellByHand:
-    """Times of all workers, looked at anew for each question."""
+class ReferenceLook:
+    """Reference implementation that computes the times of all workers on each call."""
 
     def __init__(
         self, callers: list[WorkerCaller], free: list[WorkerCaller], now_s: float
@@ -152,10 +152,10 @@
 
 class TestDispatchLook:
     @pytest.mark.parametrize("seed", range(40))
-    async def test_it_answers_as_a_look_at_all_workers_does(self, seed: int) -> None:
-        # Looked at once, workers must be called in the same order and be offered
-        # the same pieces, to the last bit: a float that is rounded otherwise passes
-        # one piece less. A first form failed where a service has one worker.
+    async def test_it_agrees_with_the_reference(self, seed: int) -> None:
+        # With times that are computed once, workers must be called in the same order
+        # and for the same pieces, to the last bit: a float that is rounded differently
+        # skips one piece less. An earlier version failed for a service with one worker.
         rng = random.Random(seed)
         now_s = time.monotonic()
         callers = callers_of(rng.randint(1, 24), FakeCalls())
@@ -164,35 +164,35 @@
             ratio = rng.choice(ratios)
             # Without a call that has just ended, slowness counts as forgotten.
             caller.known.times.learn(1, 0.02, now_s)
-            # Some differ by the rounding of a float only.
+            # Some differ only by the rounding of a float.
             caller.known.times.ratio = ratio * rng.choice([1.0, 1.0 + 2e-16])
             caller.known.times.busy_per_s = rng.uniform(20.0, 400.0)
             if rng.random() < 0.3:
                 caller.known.begin_call(rng.randint(1, BATCH), now_s)
         free = [caller for caller in callers if caller.is_free(now_s)]
         look = DispatchLook(callers=callers, free=free, now_s=now_s)
-        by_hand = CellByHand(callers, free, now_s)
+        reference = ReferenceLook(callers, free, now_s)
         assert look.soonest_s() == min(c.known.call_s(1, now_s) for c in callers)
-        while by_hand.free:
+        while reference.free:
             assert look.has_free
-            assert look.soonest_free_s() == by_hand.soonest_free_s()
+            assert look.soonest_free_s() == reference.soonest_free_s()
             far_s = rng.choice([0.0, 0.01, 0.05, 0.2])
             urgent = due(
                 "p", preferred_domain=rng.choice(DOMAINS), cross_domain_wait_s=far_s
             )
             first = rng.choice([None, urgent, urgent])
             taken = look.take_next(first)
-            assert taken is by_hand.take_next(first)
-            assert look.n_passed(taken) == by_hand.n_passed(taken)
-            assert look.free_in_s == by_hand.free_in_s()
+            assert taken is reference.take_next(first)
+            assert look.n_passed(taken) == reference.n_passed(taken)
+            assert look.free_in_s == reference.free_in_s()
             if rng.random() < 0.5:
                 taken.known.begin_call(rng.randint(1, BATCH), now_s)
                 look.note_started(taken)
         assert not look.has_free
 
-    async def test_a_whole_number_of_pieces_is_not_missed_by_rounding(self) -> None:
-        # The pace of all less that of the slow worker itself is 99.99999999999999
-        # pieces a second here; 99 pieces would be passed over for 100.
+    async def test_the_number_of_skipped_pieces_is_not_rounded_down(self) -> None:
+        # The total pace minus that of the slow worker is 99.99999999999999 pieces per
+        # second here; 99 pieces would be skipped instead of 100.
         now_s = time.monotonic()
         slow, other = callers_of(2, FakeCalls(), call_s=1.0, piece_s=0.0)
         slow.known.times.learn(1, 1.0, now_s)
@@ -203,8 +203,8 @@
         assert look.n_passed(slow) == 100
 
 
-def note_crashes(guard: CrashGuard, fingerprint: str, n_crashes: int) -> None:
-    """Let a guard know of crashes of a request, one after another."""
+def report_crashes(guard: CrashGuard, fingerprint: str, n_crashes: int) -> None:
+    """Report successive crashes of a request to a guard."""
     for level in range(1, n_crashes + 1):
         ended_s = time.monotonic()
         crash = Crash(worker_id=f"x{level}", born_ms=1, level=level, ended_s=ended_s)
@@ -213,14 +213,14 @@
 
 class TestCrashedWorkers:
     @pytest.mark.parametrize("n_crashes", [1, 2])
-    async def test_pieces_of_what_has_crashed_one_go_to_one_worker_at_a_time(
+    async def test_pieces_of_a_crashing_request_run_at_one_worker_at_a_time(
         self, n_crashes: int
     ) -> None:
-        # Sent to all idle workers in one look, they crash all of them together.
+        # Sent to all idle workers at once, they would crash all of them together.
         calls = FakeCalls()
         guard = crash_guard(calls, WorkerTable())
         callers = callers_of(3, calls, guard, batch=1)
-        note_crashes(guard, "s", n_crashes)
+        report_crashes(guard, "s", n_crashes)
         dispatch = ServiceDispatch(callers=lambda: callers, guard=guard)
         dispatch.queue.add(due(f"p{n}", fingerprint="s") for n in range(3))
         dispatch.wake()
@@ -228,12 +228,12 @@
         assert len(calls.batches) == 1
         dispatch.stop()
 
-    async def test_it_is_sent_everywhere_again_once_it_has_ended_well(self) -> None:
-        # Kept apart for longer, a popular request would wait call after call.
+    async def test_an_answered_request_is_sent_to_all_workers_again(self) -> None:
+        # If it stayed isolated, a popular request would run one call after another.
         calls = FakeCalls()
         guard = crash_guard(calls, WorkerTable())
         callers = callers_of(3, calls, guard, batch=1)
-        note_crashes(guard, "s", 1)
+        report_crashes(guard, "s", 1)
         dispatch = ServiceDispatch(callers=lambda: callers, guard=guard)
         dispatch.queue.add(due(f"p{n}", fingerprint="s") for n in range(3))
         dispatch.wake()
--- a/tests/chain/test_usable_workers.py
+++ b/tests/chain/test_usable_workers.py
@@ -1,4 +1,4 @@
-"""Who may get work, found once and again whenever that changes."""
+"""Which workers may receive work, cached until the answer changes."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """The monotonic clock, set by a test."""
+    """The monotonic clock, set by the test."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.now_s = 100.0
@@ -38,7 +38,9 @@
         table = table_of(worker("a", "s"), worker("b", "s"))
         assert table.usable("s") is table.usable("s")
 
-    def test_one_that_comes_or_goes_changes_it(self, clock: Clock) -> None:
+    def test_listing_and_removing_workers_changes_the_result(
+        self, clock: Clock
+    ) -> None:
         table = table_of(worker("a", "s"))
         assert ids(table) == ["a"]
         table.put(worker("b", "s"))
@@ -48,9 +50,7 @@
         table.remove("b")
         assert ids(table) == []
 
-    def test_a_suspect_is_passed_over_until_its_time_is_over(
-        self, clock: Clock
-    ) -> None:
+    def test_a_suspect_is_not_usable_until_its_time_is_over(self, clock: Clock) -> None:
         a, b = worker("a", "s"), worker("b", "s")
         table = table_of(a, b)
         assert ids(table) == ["a", "b"]
@@ -58,13 +58,13 @@
         assert ids(table) == ["b"]
         clock.now_s += SUSPECT_S / 2
         table.mark_suspect(b)
-        assert ids(table) == ["a", "b"], "with all silent any is tried"
+        assert ids(table) == ["a", "b"], "if all workers are suspect, all are usable"
         clock.now_s += SUSPECT_S / 2
         assert ids(table) == ["a"]
         clock.now_s += SUSPECT_S / 2
         assert ids(table) == ["a", "b"]
 
-    def test_one_that_answers_is_used_at_once(self, clock: Clock) -> None:
+    def test_a_suspect_that_answers_is_usable_at_once(self, clock: Clock) -> None:
         a = worker("a", "s")
         table = table_of(a, worker("b", "s"))
         table.mark_suspect(a)
@@ -72,15 +72,15 @@
         table.clear_suspicion(a)
         assert ids(table) == ["a", "b"]
 
-    def test_those_that_were_tried_are_left_out(self, clock: Clock) -> None:
+    def test_excluded_workers_are_left_out(self, clock: Clock) -> None:
         table = table_of(worker("a", "s"), worker("b", "s"))
         assert ids(table, excluded=frozenset({"a"})) == ["b"]
         assert ids(table) == ["a", "b"]
 
-    # A worker starts again under its id. Whoever hears that its former start has
-    # ended asks who may get work, before the new one is listed; what was found then
-    # must not stand for later.
-    def test_what_a_listener_finds_meanwhile_does_not_last(self, clock: Clock) -> None:
+    # A worker restarts under its id. A listener for the end of its former start asks
+    # for the usable workers before the new start is listed; the result must not be
+    # cached for later.
+    def test_a_result_computed_in_a_listener_is_not_cached(self, clock: Clock) -> None:
         table = table_of(worker("a", "s"), worker("b", "s"))
         found: list[list[str]] = []
         table.leave_listeners.append(lambda _: found.append(ids(table)))
--- a/tests/chain/test_varying_sizes.py
+++ b/tests/chain/test_varying_sizes.py
@@ -1,10 +1,10 @@
-"""Calls stay full where results are larger or smaller than published.
+"""Calls stay full if results are larger or smaller than published.
 
-Pattern: one and a half times a day's requests, bursts of each kind and of all, at
-workers whose memory for results two full calls fill. Grounds for the figures: the
-published size of a result is an approximation; results that found no memory were seen
-where those kept had nine tenths of it by their published sizes, the mean of some
-thirty, which sizes that differ by two fifths from request to request explain.
+Pattern: one and a half times the usual request rate, with bursts of each kind and of
+all kinds, at workers whose memory for results is filled by two full calls. Reasons for
+the figures: the published size of a result is an approximation. Results found no memory
+when the kept results, about thirty, used nine tenths of it by their published sizes.
+Sizes that differ by two fifths between requests explain this.
 """
 
 import statistics
@@ -15,7 +15,7 @@
 from trefoilpaddle.coordination.chain import overdue_queue
 from trefoilpaddle.state.chain.result_memory import ResultMemory
 
-from .__main__ import play, worth_in_time
+from .__main__ import simulate, value_in_time
 from .cell_loads import UNEVEN_DAY
 
 SEEDS = (1, 2, 3, 4, 5)
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Means:
-    """Worth in time, share not served, and pieces of a call of the last stage."""
+    """Value in time, share not served, and pieces per call of the last stage."""
 
-    worth: float
+    value: float
     unserved: float
     n_pieces: float
 
 
 def means() -> Means:
-    """Return the means over seeds."""
-    days = [play(UNEVEN_DAY, seed) for seed in SEEDS]
+    """Return the means over the seeds."""
+    days = [simulate(UNEVEN_DAY, seed) for seed in SEEDS]
     return Means(
-        worth=statistics.mean(worth_in_time(day, UNEVEN_DAY) for day in days),
+        value=statistics.mean(value_in_time(day, UNEVEN_DAY) for day in days),
         unserved=statistics.mean(
             (day.refused.total() + day.left.total()) / day.asked.total() for day in days
         ),
@@ -42,8 +42,8 @@
     )
 
 
-def by_what_is_free_now(patch: pytest.MonkeyPatch) -> None:
-    """Take what is free by now for what was free when a result found no memory."""
+def use_memory_free_now(patch: pytest.MonkeyPatch) -> None:
+    """Use the memory that is free now instead of that when a result found no memory."""
     learn_full = ResultMemory.learn_full
 
     def learn(
@@ -55,25 +55,25 @@
 
 
 class TestFullCalls:
-    # The last piece of a full call finds no memory. What was freed while the call was
-    # made counted as kept by others for four seconds; the next calls carried half of
-    # what fits, and chains in bursts were refused.
+    # The last piece of a full call finds no memory. Memory that was freed during the
+    # call counted as kept by others for four seconds; the next calls carried half of
+    # what fits, and chains were refused in bursts.
     def test_a_result_that_finds_no_memory_does_not_empty_the_next_calls(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Without late chains, which fill whatever is left.
+        # Without overdue chains, which use all spare capacity.
         monkeypatch.setattr(overdue_queue, "MAX_WAITING", 0)
         after = means()
-        by_what_is_free_now(monkeypatch)
+        use_memory_free_now(monkeypatch)
         before = means()
         assert after.n_pieces > before.n_pieces + 1.0
-        assert after.worth > before.worth + 0.02
+        assert after.value > before.value + 0.02
 
-    def test_nor_are_more_callers_refused_for_it(
+    def test_a_result_that_finds_no_memory_refuses_no_more_callers(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         after = means()
-        by_what_is_free_now(monkeypatch)
+        use_memory_free_now(monkeypatch)
         before = means()
         assert after.n_pieces > before.n_pieces + 1.0
         assert after.unserved < before.unserved - 0.02
--- a/tests/chain/test_worker_caller.py
+++ b/tests/chain/test_worker_caller.py
@@ -1,4 +1,4 @@
-"""What is learnt of one stage worker: its times, and its memory for results."""
+"""State that is learnt of one stage worker: its times and its memory for results."""
 
 import asyncio
 import time
@@ -27,11 +27,11 @@
 KNOWN = WorkerHandover(
     worker_id="s1", born_ms=100, busy_s=0.0, ratio=1.0, busy_per_s=100.0, held=()
 )
-"""Of an idle worker that keeps nothing."""
+"""State of an idle worker that keeps no results."""
 
 
 class Rig:
-    """A caller of one worker, and what it gave back."""
+    """A caller of one worker, and the pieces that it returned."""
 
     def __init__(
         self, calls: FakeCalls, *, is_known: bool = True, **fields: float
@@ -65,23 +65,23 @@
 
 
 class TestTimes:
-    def test_a_slow_worker_is_learnt(self) -> None:
+    def test_the_times_of_a_slow_worker_are_learnt(self) -> None:
         times = PieceTimes(service=piece_service("s", call_s=0.2, piece_s=0.0))
         for number in range(30):
             times.learn(4, 0.8, float(number))
         assert 0.7 < times.call_s(4) < 0.81
 
-    def test_what_was_slow_is_tried_again_after_a_while(self) -> None:
-        # It is given little while it is slow, so few calls tell of its recovery.
+    def test_learnt_slowness_decays_while_idle(self) -> None:
+        # A slow worker receives few calls, so few calls show its recovery.
         times = PieceTimes(service=piece_service("s", call_s=0.2, piece_s=0.0))
         for number in range(30):
             times.learn(4, 1.0, float(number))
         assert times.idle_ratio(29.0) > 4.5
         assert times.idle_ratio(29.0 + 4 * RATIO_HALF_LIFE_S) < 1.3
 
-    def test_the_pace_follows_what_binds(self) -> None:
-        # With full calls a worker would make 16 a second; its memory lets it
-        # make 4. A chain is admitted by the pace that is there.
+    def test_the_pace_follows_the_bottleneck(self) -> None:
+        # With full calls a worker would complete 16 pieces per second; its memory
+        # limits it to 4. Chains must be admitted by the actual pace.
         service = piece_service("s", batch=4, call_s=0.25, piece_s=0.0)
         times = PieceTimes(service=service)
         times.learn(1, 0.25, 0.0)
@@ -96,7 +96,7 @@
     def memory(self, **fields: float) -> ResultMemory:
         return ResultMemory(service=piece_service("s", memory_bytes=10, **fields))
 
-    def test_results_count_from_the_sending_of_their_call(self) -> None:
+    def test_results_count_from_the_start_of_their_call(self) -> None:
         memory = self.memory()
         memory.begin_call(4)
         assert memory.free_bytes(NOW_S) == 6
@@ -106,52 +106,52 @@
         memory.free("a")
         assert memory.is_empty(NOW_S)
 
-    def test_they_run_out(self) -> None:
+    def test_results_expire(self) -> None:
         memory = self.memory(retention_s=4.0)
         memory.keep("a", 8, NOW_S)
         assert memory.used_bytes(NOW_S + 3.9) == 8
         assert memory.used_bytes(NOW_S + 4.1) == 0
 
-    def test_what_others_left_counts_until_it_has_run_out(self) -> None:
-        # A scheduler is lost and nobody frees its results any more.
+    def test_results_of_others_count_until_they_expire(self) -> None:
+        # A scheduler is lost and its results are not freed any more.
         memory = self.memory(retention_s=4.0)
         memory.keep("a", 2, NOW_S)
         memory.learn_report(2, 3, NOW_S)
         assert memory.free_bytes(NOW_S + 3.9) == 3
         assert memory.free_bytes(NOW_S + 4.1) == 10
 
-    def test_asking_again_does_not_make_it_last_longer(self) -> None:
-        # Asked every half second, the worker seemed to keep for eight seconds
-        # what runs out after four.
+    def test_a_further_report_does_not_extend_the_expiry(self) -> None:
+        # With a report every half second, results that expire after four seconds
+        # seemed to be kept for eight.
         memory = self.memory(retention_s=4.0)
         for half in range(8):
             memory.learn_report(2, 3, NOW_S + half / 2)
         assert memory.free_bytes(NOW_S + 4.1) == 10
 
-    def test_a_report_that_is_cut_to_whole_units_takes_nothing_away(self) -> None:
-        # Four and nearly five free read the same. Believed to the letter, small
-        # memories counted as full for as long as results are kept.
+    def test_a_rounded_report_does_not_reduce_free_memory(self) -> None:
+        # 4 and nearly 5 free units are reported alike. If the lower bound were taken
+        # for exact, small memories would count as full while results are kept.
         memory = self.memory()
         memory.learn_report(9, 11, NOW_S)
         assert memory.free_bytes(NOW_S) == 10
 
-    def test_a_result_that_found_none_leaves_place_for_smaller_ones(self) -> None:
+    def test_after_lack_of_memory_smaller_results_are_tried(self) -> None:
         memory = self.memory()
         memory.learn_full(4, NOW_S, own_bytes=0)
         assert 3 < memory.free_bytes(NOW_S) < 4
 
-    def test_and_for_one_more_of_its_size_after_a_while(self) -> None:
+    def test_after_a_while_a_result_of_the_same_size_is_tried(self) -> None:
         memory = self.memory()
         memory.learn_full(2, NOW_S, own_bytes=0)
         assert 3.5 < memory.free_bytes(NOW_S + PROBE_INTERVAL_S) < 4
 
-    def test_only_what_its_own_results_left_then_is_taken_for_others(self) -> None:
+    def test_others_are_estimated_from_own_results_at_that_time(self) -> None:
         memory = self.memory()
         memory.keep("a", 3, NOW_S)
         memory.learn_full(2, NOW_S, own_bytes=9)
         assert memory.free_bytes(NOW_S) == 7
 
-    def test_what_the_scheduler_before_had_made_counts(self) -> None:
+    def test_results_of_the_former_scheduler_count(self) -> None:
         memory = self.memory()
         memory.take_over_results(
             [HeldResult(handle="a", n_bytes=4, expires_in_s=1.0)], NOW_S
@@ -161,10 +161,10 @@
 
 
 class TestPace:
-    async def test_an_idle_worker_that_was_passed_over_keeps_its_pace(self) -> None:
-        # A piece waits a moment for a nearer worker. The time for which this one
-        # had idled before counted as its turn: after some of these its pace was
-        # next to none, and chains were refused while workers stood idle.
+    async def test_an_idle_worker_that_was_skipped_keeps_its_pace(self) -> None:
+        # A piece waits briefly for a worker of its preferred domain. The preceding idle
+        # time of this worker counted as busy: after some repetitions its pace was
+        # almost zero, and chains were refused while workers were idle.
         rig = Rig(FakeCalls(call_s=0.02))
         before_per_s = rig.caller.known.times.busy_per_s
         for _ in range(6):
@@ -175,10 +175,10 @@
 
 
 class TestAsking:
-    async def test_one_that_others_may_have_called_is_asked_first(self) -> None:
-        # A scheduler crashes. The workers still hold its results and make its
-        # calls; the next one, not knowing them, had 3,343 pieces of a day turned
-        # away, 790 calls in one second.
+    async def test_a_worker_of_a_former_scheduler_is_asked_first(self) -> None:
+        # A scheduler crashes. The workers still keep its results and run its calls. As
+        # the next scheduler did not know of them, 3,343 pieces found no memory in a
+        # day, with up to 790 calls in one second.
         said = WorkerReport(
             n_queued=1, is_busy=True, least_free_bytes=1e5, most_free_bytes=2e5
         )
@@ -190,12 +190,12 @@
         assert not rig.caller.is_free(now_s)
         assert 0.1 < rig.caller.known.busy_s(now_s) < 0.4
 
-    async def test_one_that_does_not_answer_is_called_all_the_same(self) -> None:
+    async def test_a_worker_that_sends_no_report_is_called(self) -> None:
         rig = Rig(FakeCalls(said=None), is_known=False)
         rig.caller.is_free(time.monotonic())
         await until(lambda: rig.caller.is_free(time.monotonic()))
 
-    async def test_a_full_one_is_left_for_half_a_call_and_asked(self) -> None:
+    async def test_a_full_worker_is_paused_for_half_a_call_and_asked(self) -> None:
         calls = FakeCalls(make=lambda _, __: CallFault.FULL)
         rig = Rig(calls, call_s=0.2)
         await rig.call(due("a"))
@@ -205,7 +205,7 @@
         rig.caller.is_free(now_s + 0.15)
         await until(lambda: calls.n_reports == 1)
 
-    async def test_one_without_memory_is_asked_and_offers_less(self) -> None:
+    async def test_a_worker_without_memory_is_asked_and_offers_less(self) -> None:
         def no_memory(_: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             return [PieceFault.NO_MEMORY] * len(works)
 
@@ -219,12 +219,12 @@
         assert offer.free_bytes < 1e5
 
 
-class TestFreedMeanwhile:
+class TestFreedDuringCall:
     async def test_memory_that_is_freed_during_a_call_stays_free(self) -> None:
-        # A worker's results are a little larger than published, and the last piece
-        # of a full call finds no memory. All that was freed while the call was
-        # made counted as kept by others, so the worker got a third of its calls'
-        # pieces for four seconds, and callers in a burst were refused.
+        # A worker's results are slightly larger than published, and the last piece of a
+        # full call finds no memory. All memory that was freed during the call counted
+        # as kept by others, so calls of the worker carried a third of their pieces for
+        # four seconds, and callers in a burst were refused.
         def all_but_last(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             rig.caller.known.memory.free("before")
             return [*(made(at, w) for w in works[:-1]), PieceFault.NO_MEMORY]
@@ -239,16 +239,16 @@
 
 
 class TestNewStart:
-    async def test_what_was_under_way_is_given_up_at_once(self) -> None:
-        # The worker crashes and is back under its id before its calls are given
-        # up. Waiting for their answers, their requests lost a second and a half.
+    async def test_calls_to_the_former_start_fail_at_once(self) -> None:
+        # The worker crashes and is back under its id before its calls time out. Waiting
+        # for their responses delayed their requests by one and a half seconds.
         rig = Rig(FakeCalls(call_s=9.0))
         work = due("a")
         rig.caller.start([work], n_waiting=0)
         rig.caller.end()
         assert work.outcome.result() is PieceFault.LOST
 
-    async def test_a_late_answer_of_the_old_start_belongs_to_nobody(self) -> None:
+    async def test_a_late_response_of_the_former_start_is_ignored(self) -> None:
         gate = asyncio.Event()
         calls = FakeCalls()
 
@@ -276,38 +276,40 @@
 
 
 class TestFetched:
-    async def test_it_is_told_when_a_worker_has_the_inputs(
+    async def test_the_request_is_notified_when_inputs_are_fetched(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(worker_caller, "FETCH_S", 0.01)
-        told: list[str] = []
+        notified: list[str] = []
         rig = Rig(FakeCalls(call_s=0.1))
-        work = due("a", on_fetched=lambda: told.append("a"))
+        work = due("a", on_fetched=lambda: notified.append("a"))
         rig.caller.start([work], n_waiting=0)
-        await until(lambda: told == ["a"])
+        await until(lambda: notified == ["a"])
         assert work.is_pending
 
-    async def test_not_before_the_call_was_sent(
+    async def test_the_delay_counts_from_the_sending_of_the_call(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A gateway's processor falls behind, and a call leaves a tenth of a second
-        # after it was begun. Counted from then, its inputs were freed before their
-        # reader asked for them: 589 pieces of a day found an input gone, and their
-        # chains were made again, which took more of that processor.
+        # A gateway is short of processor time and sends a call 0.1 s after it was
+        # begun. When the delay was counted from the beginning, inputs were freed before
+        # the worker fetched them: 589 pieces of a day found an input gone, and their
+        # chains ran again, which took more processor time.
         monkeypatch.setattr(worker_caller, "FETCH_S", 0.01)
-        told: list[str] = []
+        notified: list[str] = []
         rig = Rig(FakeCalls(sending_s=0.1, call_s=0.1))
-        rig.caller.start([due("a", on_fetched=lambda: told.append("a"))], n_waiting=0)
+        rig.caller.start(
+            [due("a", on_fetched=lambda: notified.append("a"))], n_waiting=0
+        )
         await asyncio.sleep(0.08)
-        assert told == []
-        await until(lambda: told == ["a"])
+        assert notified == []
+        await until(lambda: notified == ["a"])
 
     @pytest.mark.parametrize("end", [CallFault.FULL, PieceFault.NO_MEMORY])
-    async def test_not_of_a_call_that_was_turned_away(
+    async def test_a_refused_call_does_not_notify(
         self, monkeypatch: pytest.MonkeyPatch, end: CallFault | PieceFault
     ) -> None:
-        # The worker has no place for the call, or no memory for its results, and
-        # says so at once. Told all the same that it has the inputs, the request
+        # The worker has no slot for the call, or no memory for its results, and refuses
+        # at once. When the request was still notified that the inputs were fetched, it
         # freed them, and the next worker did not find them.
         def turn_away(
             _: Worker, works: Sequence[PieceWork]
@@ -315,8 +317,8 @@
             return end if isinstance(end, CallFault) else [end] * len(works)
 
         monkeypatch.setattr(worker_caller, "FETCH_S", 0.03)
-        told: list[str] = []
+        notified: list[str] = []
         rig = Rig(FakeCalls(make=turn_away))
-        await rig.call(due("a", on_fetched=lambda: told.append("a")))
+        await rig.call(due("a", on_fetched=lambda: notified.append("a")))
         await asyncio.sleep(0.05)
-        assert told == []
+        assert notified == []
--- a/tests/chain/test_worker_choice.py
+++ b/tests/chain/test_worker_choice.py
@@ -11,7 +11,7 @@
 
 ENGINE = EngineService(name="engine", n_slots=64, cache_tokens=300_000)
 PLAIN = PlainService(name="plain")
-NOBODY: frozenset[str] = frozenset()
+NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
 def prompt(session: str, *, shared: int = 6000, own: int = 2000) -> Prompt:
@@ -25,25 +25,27 @@
 
 def choice(domain: str = "a", n_per_domain: int = 3) -> WorkerChoice:
     workers = WorkerTable()
-    for near in "abc":
+    for domain_name in "abc":
         for number in range(n_per_domain):
-            workers.put(worker(f"{near}{number}", "engine", domain=near))
-        workers.put(worker(f"p{near}", "plain", domain=near))
+            workers.put(worker(f"{domain_name}{number}", "engine", domain=domain_name))
+        workers.put(worker(f"p{domain_name}", "plain", domain=domain_name))
     return WorkerChoice(failure_domain=domain, workers=workers)
 
 
 def chosen(at: WorkerChoice, need: Need) -> Worker:
-    got = at.choose(ENGINE, need, without=NOBODY)
+    got = at.choose(ENGINE, need, without=NONE_EXCLUDED)
     assert got is not None
     return got
 
 
 class TestEngines:
     def test_gateways_agree_on_a_sessions_engine(self) -> None:
-        # Six gateways serve one session in turn. Each that read its 6,000
-        # shared tokens at an engine of its own would cost 0.15 s of one.
+        # Six gateways serve one session in turn. If each used a different engine, each
+        # engine would spend 0.15 s on reading the 6,000 shared tokens.
         need = Need(prompt=prompt("s1"))
-        found = {chosen(choice(near), need).worker_id for near in "abcabc"}
+        found = {
+            chosen(choice(domain_name), need).worker_id for domain_name in "abcabc"
+        }
         assert len(found) == 1
 
     def test_sessions_spread_over_the_engines(self) -> None:
@@ -53,7 +55,7 @@
         assert len(counts) == 9
         assert max(counts.values()) < 3 * min(counts.values())
 
-    def test_an_engine_that_has_read_it_is_kept(self) -> None:
+    def test_an_engine_that_has_read_the_prompt_is_kept(self) -> None:
         at = choice()
         need = Need(prompt=prompt("s1"))
         first = chosen(at, need)
@@ -62,8 +64,8 @@
             assert chosen(at, need) == first
 
     def test_a_hot_session_overflows_to_others(self) -> None:
-        # Much of the traffic is about one thing. Its engine must not queue all
-        # of it while the others are idle.
+        # A large part of the traffic belongs to one session. Its engine must not queue
+        # all of it while the others are idle.
         at = choice()
         need = Need(prompt=prompt("hot"))
         counts: Counter[str] = Counter()
@@ -78,11 +80,11 @@
         for context in opened:
             context.__exit__(None, None, None)
 
-    def test_large_results_stay_in_their_domain_when_little_is_read(self) -> None:
+    def test_large_inputs_outweigh_a_short_shared_prompt(self) -> None:
         need = Need(prompt=prompt("s1", shared=200), input_bytes=4e6, input_domain="b")
         assert chosen(choice("a"), need).failure_domain == "b"
 
-    def test_an_ended_engine_has_read_nothing(self) -> None:
+    def test_the_prompts_of_a_removed_engine_are_forgotten(self) -> None:
         workers = WorkerTable()
         workers.put(worker("e1", "engine"))
         at = WorkerChoice(failure_domain="here", workers=workers)
@@ -96,15 +98,15 @@
 
 
 class TestPlain:
-    def test_the_own_domain_goes_first_until_it_has_more_open(self) -> None:
+    def test_the_own_domain_is_preferred_until_it_has_more_open(self) -> None:
         at = choice("a")
         need = Need()
-        first = at.choose(PLAIN, need, without=NOBODY)
+        first = at.choose(PLAIN, need, without=NONE_EXCLUDED)
         assert first is not None and first.worker_id == "pa"
         with at.open(first, need), at.open(first, need):
-            second = at.choose(PLAIN, need, without=NOBODY)
+            second = at.choose(PLAIN, need, without=NONE_EXCLUDED)
             assert second is not None and second.worker_id != "pa"
 
-    def test_one_that_was_tried_is_passed_over(self) -> None:
+    def test_an_excluded_worker_is_not_chosen(self) -> None:
         got = choice("a").choose(PLAIN, Need(), without=frozenset({"pa"}))
         assert got is not None and got.worker_id in {"pb", "pc"}
--- a/tests/chain/test_worker_ends.py
+++ b/tests/chain/test_worker_ends.py
@@ -1,4 +1,4 @@
-"""Which ends of connections are taken for ends of workers."""
+"""Which interrupted connections count as worker crashes."""
 
 import asyncio
 import time
@@ -18,7 +18,7 @@
 
 
 class Rig:
-    """Ends of the workers of one table, as they are found."""
+    """Crash detection for the workers of one table, and the runs it reported."""
 
     def __init__(self) -> None:
         self.calls = FakeCalls()
@@ -53,8 +53,8 @@
         await self.ends.settled(FIRST)
 
 
-class TestEnds:
-    async def test_a_refused_connection_tells_at_once(self) -> None:
+class TestCrashes:
+    async def test_a_refused_connection_confirms_a_crash_at_once(self) -> None:
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.run(RunOutcome.BROKEN)
@@ -62,7 +62,7 @@
         await rig.settle()
         assert rig.found == ["f1", "f2"]
 
-    async def test_a_later_break_at_an_ended_worker_counts_too(self) -> None:
+    async def test_a_later_failure_at_a_crashed_worker_counts_too(self) -> None:
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.run(RunOutcome.BROKEN)
@@ -73,14 +73,16 @@
     @pytest.mark.parametrize(
         "end", [RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.LEFT]
     )
-    async def test_a_new_start_tells_of_the_end_before(self, end: RunOutcome) -> None:
+    async def test_a_new_start_confirms_the_crash_of_the_former(
+        self, end: RunOutcome
+    ) -> None:
         rig = Rig()
         rig.run(end)
         rig.workers.put(replace(FIRST, born_ms=2000))
         assert rig.found == ["f1"]
 
-    async def test_a_break_after_the_new_start_is_listed_counts(self) -> None:
-        # Under its id and address a worker is back before its break is noticed.
+    async def test_a_failure_after_the_new_start_is_listed_counts(self) -> None:
+        # The worker is back under its id and address before the failure is noticed.
         rig = Rig()
         rig.workers.put(replace(FIRST, born_ms=2000))
         rig.run(RunOutcome.BROKEN)
@@ -89,17 +91,17 @@
     @pytest.mark.parametrize(
         "end", [RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.LEFT]
     )
-    async def test_another_worker_at_its_address_tells_of_the_end(
+    async def test_another_worker_at_its_address_confirms_the_crash(
         self, end: RunOutcome
     ) -> None:
-        # A worker that goes dark answers nothing, and comes back under a new id.
+        # A worker stops responding, and is back under a new id.
         rig = Rig()
         rig.run(end)
         rig.workers.put(replace(FIRST, worker_id="w2", born_ms=2000))
         assert rig.found == ["f1"]
 
-    async def test_an_entry_that_runs_out_tells_of_the_end(self) -> None:
-        # Its host is gone: an answer broke, and nothing says whether it listens.
+    async def test_an_expired_entry_confirms_the_crash(self) -> None:
+        # Its host is gone: an answer was interrupted, and connecting gives no result.
         rig = Rig()
         rig.calls.is_dark = True
         rig.run(RunOutcome.BROKEN)
@@ -107,7 +109,7 @@
         rig.workers.remove("w1")
         assert rig.found == ["f1"]
 
-    async def test_a_caller_that_left_before_the_crash_hides_nothing(self) -> None:
+    async def test_a_run_whose_caller_left_counts(self) -> None:
         rig = Rig()
         rig.run(RunOutcome.LEFT)
         rig.ends.confirm(FIRST, Evidence.TOLD)
@@ -122,23 +124,23 @@
         assert record.decision.detail == "a peer says so; requests f1"
 
 
-class TestNoEnds:
-    async def test_a_reset_connection_blames_nobody(self) -> None:
-        # Half of a machine's connections are reset; their workers go on.
+class TestNoCrashes:
+    async def test_a_reset_connection_blames_no_request(self) -> None:
+        # Half of the connections of a host are reset; its workers keep running.
         rig = Rig()
         rig.run(RunOutcome.BROKEN)
         await rig.settle()
         assert rig.found == []
 
-    async def test_a_worker_that_is_cut_off_blames_nobody(self) -> None:
-        # Its requests fall silent and its entry runs out, and it runs all the while.
+    async def test_a_partitioned_worker_blames_no_request(self) -> None:
+        # Its requests get no answer and its entry expires, but the worker runs on.
         rig = Rig()
         rig.run(RunOutcome.SILENT)
         rig.workers.remove("w1")
         assert rig.found == []
 
-    async def test_a_release_blames_nobody(self) -> None:
-        # A worker that leaves breaks off what lasts longer than its notice.
+    async def test_a_leaving_worker_blames_no_request(self) -> None:
+        # A leaving worker interrupts requests that last longer than its notice period.
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.workers.put(replace(FIRST, is_leaving=True))
@@ -147,8 +149,8 @@
         rig.workers.remove("w1")
         assert rig.found == []
 
-    async def test_one_that_left_without_a_word_blames_nobody(self) -> None:
-        # Some workers only take their entry away, and end some time after it.
+    async def test_a_worker_that_left_unannounced_blames_no_request(self) -> None:
+        # Some workers only remove their entry, and exit some time later.
         rig = Rig()
         rig.calls.refusing.add("w1")
         rig.workers.remove("w1")
@@ -157,18 +159,18 @@
         assert rig.found == []
 
     @pytest.mark.parametrize("end", [RunOutcome.BROKEN, RunOutcome.LEFT])
-    async def test_one_that_leaves_soon_after_blames_nobody(
+    async def test_a_worker_that_leaves_soon_after_blames_no_request(
         self, end: RunOutcome
     ) -> None:
-        # It has reset a connection, or a caller left, and takes its entry away then.
+        # It has reset a connection, or a caller left, and then it removes its entry.
         rig = Rig()
         rig.run(end)
         await rig.settle()
         rig.workers.remove("w1")
         assert rig.found == []
 
-    async def test_an_answer_that_is_told_twice_is_looked_at_once(self) -> None:
-        # A worker spoils many answers: each look is a connection to it.
+    async def test_repeated_failures_check_the_worker_only_once(self) -> None:
+        # A worker sends many truncated answers; each check is a connection to it.
         rig = Rig()
         for _ in range(5):
             rig.run(RunOutcome.BROKEN)
--- a/tests/chain/test_worker_starts.py
+++ b/tests/chain/test_worker_starts.py
@@ -1,4 +1,4 @@
-"""A worker that starts again under its id holds and knows nothing of before."""
+"""A worker that restarts under its id has no state of the former start."""
 
 import asyncio
 from dataclasses import replace
@@ -43,26 +43,26 @@
         assert left == ended == [FIRST]
 
     def test_an_earlier_start_that_arrives_late_changes_nothing(self) -> None:
-        # A peer that lags tells of the process that is gone; taken at its word,
-        # requests go to an address where nobody listens.
+        # A lagging peer reports the process that is gone. If it were listed again,
+        # requests would be sent to an address where nothing listens.
         workers = table(LATER)
         digest = workers.digest
         assert not workers.put(replace(FIRST, address="10.0.0.9:1"))
         assert workers.get("w") == LATER
         assert workers.digest == digest
 
-    def test_nor_once_the_later_one_is_gone(self) -> None:
+    def test_an_earlier_start_is_ignored_after_the_later_is_removed(self) -> None:
         workers = table(LATER)
         workers.remove("w")
         assert not workers.put(FIRST)
         assert workers.put(LATER)
 
-    def test_the_digest_tells_starts_apart(self) -> None:
+    def test_the_digest_differs_between_starts(self) -> None:
         assert table(FIRST).digest != table(LATER).digest
 
-    def test_a_call_to_the_earlier_start_says_nothing_of_the_later(self) -> None:
-        # The worker crashes under a call and is back before the call is given
-        # up. Passed over for that, a healthy worker stands idle.
+    def test_a_call_to_the_earlier_start_does_not_affect_the_later(self) -> None:
+        # The worker crashes during a call and is back before the call is abandoned. If
+        # the new start counted as suspect, a healthy worker would be idle.
         workers = table(FIRST, LATER)
         workers.mark_suspect(FIRST)
         assert not workers.is_suspect("w")
@@ -70,13 +70,13 @@
         workers.clear_suspicion(FIRST)
         assert workers.is_suspect("w")
 
-    def test_suspicion_ends_with_the_start_that_it_was_of(self) -> None:
+    def test_suspicion_ends_with_its_start(self) -> None:
         workers = table(FIRST)
         workers.mark_suspect(FIRST)
         workers.put(LATER)
         assert not workers.is_suspect("w")
 
-    def test_one_that_changes_its_service_leaves_the_old(self) -> None:
+    def test_a_worker_that_changes_its_service_leaves_the_old_one(self) -> None:
         workers = table(FIRST)
         workers.put(replace(FIRST, service="other"))
         assert workers.listed("model") == []
@@ -85,7 +85,7 @@
 
 
 class TestEngines:
-    def test_what_the_earlier_start_has_read_is_forgotten(self) -> None:
+    def test_prompts_read_by_the_earlier_start_are_forgotten(self) -> None:
         workers = table(FIRST)
         choice = WorkerChoice(failure_domain="here", workers=workers)
         need = Need(prompt=PROMPT)
@@ -95,9 +95,9 @@
         workers.put(LATER)
         assert choice.unread_tokens("w", PROMPT) == PROMPT.n_tokens
 
-    def test_a_late_event_of_the_earlier_start_is_not_the_laters(self) -> None:
-        # The first event was on its way when the engine crashed. Its successor
-        # has not read the prompt; sessions would go on being sent there for it.
+    def test_a_late_event_of_the_earlier_start_does_not_count(self) -> None:
+        # The first event was in transit when the engine crashed. The new start has not
+        # read the prompt; otherwise its session would still be sent there.
         workers = table(FIRST)
         choice = WorkerChoice(failure_domain="here", workers=workers)
         with choice.open(FIRST, Need(prompt=PROMPT)) as request:
@@ -105,7 +105,7 @@
             request.read()
         assert choice.unread_tokens("w", PROMPT) == PROMPT.n_tokens
 
-    async def test_what_is_open_at_the_earlier_start_counts_no_more(self) -> None:
+    async def test_requests_open_at_the_earlier_start_do_not_count(self) -> None:
         workers = table(FIRST)
         choice = WorkerChoice(failure_domain="here", workers=workers)
         with choice.open(FIRST, Need(prompt=PROMPT)):
--- a/tests/chain/virtual_time.py
+++ b/tests/chain/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer, so that seconds take none."""
+"""An event loop whose clock jumps to the next timer instead of waiting for it."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,7 +10,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop that never waits: with nothing to run it is at its next timer."""
+    """A loop that never waits: when idle, it sets its clock to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -27,17 +27,17 @@
 
 
 def run_virtual(patch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> T:
-    """Run `work` in virtual time, the monotonic clock included."""
+    """Run `work` in virtual time, which `time.monotonic` returns as well."""
     loop = VirtualLoop()
     patch.setattr("time.monotonic", loop.time)
     try:
-        return loop.run_until_complete(_to_the_end(work))
+        return loop.run_until_complete(_run_to_completion(work))
     finally:
         loop.close()
 
 
-async def _to_the_end(work: Coroutine[Any, Any, T]) -> T:
-    """Return what `work` returns, and leave nothing running behind it."""
+async def _run_to_completion(work: Coroutine[Any, Any, T]) -> T:
+    """Return the result of `work`; cancel all tasks that are still running then."""
     try:
         return await work
     finally:
