--- a/tests/chain/__main__.py
+++ b/tests/chain/__main__.py
@@ -56,7 +56,7 @@
 
 def value_in_time(outcome: Outcome, load: Load) -> float:
     """Return the share of the requested value that was answered in time."""
-    requested = sum(kind.value * outcome.asked[kind.name] for kind in load.kinds)
+    requested = sum(kind.value * outcome.arrived[kind.name] for kind in load.kinds)
     answered = sum(kind.value * outcome.in_time[kind.name] for kind in load.kinds)
     return answered / requested
 
@@ -133,7 +133,7 @@
         load = replace(scaled(TIGHT_DAY, n_per_service), length_s=length_s)
         n_workers = sum(load.n_workers.values())
         began_s = time.process_time()
-        n_chains = simulate(load, seed=1).asked.total()
+        n_chains = simulate(load, seed=1).arrived.total()
         chain_ms = 1000 * (time.process_time() - began_s) / n_chains
         line = f"{n_workers:13} {n_chains:7} {n_chains / length_s:9.0f}"
         line += f" {chain_ms:11.2f}"
--- a/tests/chain/cell_model.py
+++ b/tests/chain/cell_model.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    asked, in_time, late, refused, left, again : Counter of str
+    arrived, in_time, late, refused, left, again : Counter of str
         Number of requests by kind. `left` counts callers that had left when their
         answer began, `again` callers that retried and were refused again.
     waited_s : dict of str to list of float
@@ -60,7 +60,7 @@
         Calls, their pieces and their total time, by service.
     """
 
-    asked: Counter[str] = field(default_factory=Counter)
+    arrived: Counter[str] = field(default_factory=Counter)
     in_time: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
@@ -79,7 +79,7 @@
 
     def share_in_time(self, kind: str) -> float:
         """Return the share of the requests of a kind that were answered in time."""
-        return self.in_time[kind] / max(1, self.asked[kind])
+        return self.in_time[kind] / max(1, self.arrived[kind])
 
     def mean_pieces(self, service: str) -> float:
         """Return the mean number of pieces of a call."""
@@ -299,7 +299,7 @@
     async def _call(self, kind: Kind, request_id: str) -> None:
         arrived_s = retried_s = time.monotonic()
         leaves_s = arrived_s + min(kind.event_timeout_s, kind.deadline_s)
-        self.outcome.asked[kind.name] += 1
+        self.outcome.arrived[kind.name] += 1
         work = self._work(kind, request_id, arrived_s)
         chain = await self.run_chain(work)
         end = chain.end
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -132,7 +132,7 @@
             yield StreamEvent(number=number, data=f"id: {number}\n\n".encode())
         await asyncio.sleep(self.hangs_s)
         if self.breaks:
-            raise StreamBrokenError("cut")
+            raise StreamBrokenError("interrupted")
 
 
 Script = FakeAnswer | CallFault
@@ -152,11 +152,11 @@
     call_s: float = 0.01
     sending_s: float = 0.0
     free_gate: asyncio.Event | None = None
-    said: WorkerReport | None = None
+    worker_report: WorkerReport | None = None
     n_reports: int = 0
     refusing: set[str] = field(default_factory=set)
-    is_dark: bool = False
-    n_looks: int = 0
+    is_unreachable: bool = False
+    n_checks: int = 0
 
     @asynccontextmanager
     async def exchange(
@@ -183,19 +183,19 @@
         on_sent()
         await asyncio.sleep(self.call_s)
         if self.make is None:
-            return Ok([made(worker, work) for work in works])
+            return Ok([result_of(worker, work) for work in works])
         ends = self.make(worker, works)
         return Err(ends) if isinstance(ends, CallFault) else Ok(ends)
 
     async def report(self, worker: Worker, *, timeout_s: float) -> WorkerReport | None:
         self.n_reports += 1
         await asyncio.sleep(0)
-        return self.said
+        return self.worker_report
 
     async def is_listening(self, worker: Worker) -> bool | None:
-        self.n_looks += 1
+        self.n_checks += 1
         await asyncio.sleep(0)
-        return None if self.is_dark else worker.worker_id not in self.refusing
+        return None if self.is_unreachable else worker.worker_id not in self.refusing
 
     async def free_results(self, worker: Worker, handles: Sequence[str]) -> bool:
         if self.free_gate is not None:
@@ -204,7 +204,7 @@
         return True
 
 
-def made(worker: Worker, work: PieceWork) -> PieceResult:
+def result_of(worker: Worker, work: PieceWork) -> PieceResult:
     handle = f"{worker.worker_id}/{work.request_id}.{work.stage}.{work.piece}"
     return PieceResult(handle=handle, worker_id=worker.worker_id)
 
--- a/tests/chain/test_answer_bound.py
+++ b/tests/chain/test_answer_bound.py
@@ -56,7 +56,7 @@
             await wait(delivery)
     except AnswerDueError as due:
         return delivery.failure_outcome(due.reason, retry_after_s=0.0)
-    raise AssertionError("it went on to its own end")
+    raise AssertionError("the wait was not interrupted")
 
 
 def simulate(
--- a/tests/chain/test_attempts.py
+++ b/tests/chain/test_attempts.py
@@ -65,7 +65,7 @@
     slack: float = 100.0,
     inputs: FakeInputs | None = None,
     n_crashes: int = 0,
-    apart: Sequence[str] = (),
+    isolated: Sequence[str] = (),
 ) -> Attempts:
     workers = WorkerTable()
     for number in range(n_workers):
@@ -80,7 +80,7 @@
             ended_s=now_s - 9.5 + number,
         )
         guard.hear_crash(FINGERPRINT, crash)
-    for run_id, worker_id in enumerate(apart):
+    for run_id, worker_id in enumerate(isolated):
         run = IsolatedRun(run_id=run_id, fingerprint="0" * 32, worker_id=worker_id)
         guard.hear_run(run)
     job = Job(
@@ -274,8 +274,8 @@
         # counted the attempt twice, as sent and as timed out, so that the limit of two
         # attempts seemed reached, and it ended a stream that could be resumed.
         monkeypatch.setattr(patience_module, "GAP_S", 0.05)
-        silent = FakeAnswer(n_events=2, hangs_s=5.0)
-        calls = FakeCalls(scripts=[silent, FakeAnswer(n_events=2, first=3)])
+        unresponsive = FakeAnswer(n_events=2, hangs_s=5.0)
+        calls = FakeCalls(scripts=[unresponsive, FakeAnswer(n_events=2, first=3)])
         sink = FakeSink()
         assert isinstance(await attempts(calls, STREAM).run(sink), Answered)
         assert sink.seen == ["begin", "1", "2", "3", "4", "end"]
@@ -314,10 +314,10 @@
 
     async def test_other_requests_avoid_workers_that_run_suspects(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer()])
-        await attempts(calls, ONCE, apart=("w0", "w1")).run(FakeSink())
+        await attempts(calls, ONCE, isolated=("w0", "w1")).run(FakeSink())
         assert calls.sent[0][0] == "w2"
 
     async def test_without_another_worker_they_share_it_with_a_suspect(self) -> None:
         calls = FakeCalls(scripts=[FakeAnswer()])
-        running = attempts(calls, ONCE, n_workers=1, apart=("w0",))
+        running = attempts(calls, ONCE, n_workers=1, isolated=("w0",))
         assert isinstance(await running.run(FakeSink()), Answered)
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -211,8 +211,8 @@
         # burst waited for 0.4 of 16 s, and its stages ran although its caller had left:
         # about 50 chats a day.
         days = [simulate(monkeypatch, seed=seed) for seed in SEEDS]
-        n_asked = sum(day.asked.total() for day in days)
-        assert sum(day.left.total() for day in days) <= MAX_LEFT * n_asked
+        n_arrived = sum(day.arrived.total() for day in days)
+        assert sum(day.left.total() for day in days) <= MAX_LEFT * n_arrived
 
     def test_waits_bounded_by_deadlines_alone_exceed_them(
         self, monkeypatch: pytest.MonkeyPatch
@@ -228,7 +228,7 @@
             day.n_begun_after(name, after_s)
             for name, after_s in event_timeout_s.items()
         )
-        assert n_left > 3 * MAX_LEFT * day.asked.total()
+        assert n_left > 3 * MAX_LEFT * day.arrived.total()
 
 
 def at_once(_: ChainWork) -> float:
@@ -238,5 +238,5 @@
 def late(
     name: str, *, priority: int = 0, deadline_in_s: float = LEAST_WAIT_S / WAIT_SHARE
 ) -> ChainWork:
-    made = work(name, due_in_s=-1.0, priority=priority)
-    return replace(made, deadline_s=time.monotonic() + deadline_in_s + 0.1)
+    chain = work(name, due_in_s=-1.0, priority=priority)
+    return replace(chain, deadline_s=time.monotonic() + deadline_in_s + 0.1)
--- a/tests/chain/test_cells.py
+++ b/tests/chain/test_cells.py
@@ -90,9 +90,9 @@
     def test_the_first_cell_keeps_its_name_when_divided(self) -> None:
         # Its scheduler continues with the domains that it keeps.
         listed = listed_in("abcdef", n_each=3)
-        whole, cut = cells_of(listed, SIX), cells_of(listed, SIX, lambda _: 6)
-        assert whole[0].name == cut[0].name
-        assert cut[0].failure_domains < whole[0].failure_domains
+        undivided, divided = cells_of(listed, SIX), cells_of(listed, SIX, lambda _: 6)
+        assert undivided[0].name == divided[0].name
+        assert divided[0].failure_domains < undivided[0].failure_domains
 
 
 def listed_in(domains: str, *, n_each: int) -> list[Worker]:
@@ -131,14 +131,14 @@
         at.dispatch.failure_domains = frozenset({"here", "there"})
         ends = await asyncio.gather(
             *(
-                at.run(replace(work(name, near=near), stages=LARGE))
-                for name, near in zip("ab", NEAR, strict=True)
+                at.run(replace(work(name, preferred_domain=domain), stages=LARGE))
+                for name, domain in zip("ab", PREFERRED, strict=True)
             )
         )
         assert [
             end.failure_domain for end in ends if isinstance(end, ChainCompleted)
-        ] == [*NEAR]
+        ] == [*PREFERRED]
 
 
-NEAR = ("there", "here")
+PREFERRED = ("there", "here")
 LARGE = tuple(replace(stage, result_bytes=1.5e6) for stage in DIAMOND)
--- a/tests/chain/test_chain_router.py
+++ b/tests/chain/test_chain_router.py
@@ -29,9 +29,9 @@
     FakeCalls,
     budgets,
     journal,
-    made,
     piece_service,
     process,
+    result_of,
     scheduler,
     table,
     worker,
@@ -67,15 +67,15 @@
 class FakeLink:
     """A link to a gateway that has sent something just now, or nothing at all."""
 
-    def __init__(self, *, heard: bool) -> None:
+    def __init__(self, *, is_connected: bool) -> None:
         now_s = time.monotonic()
-        self.connection = FakeConnection(now_s) if heard else None
+        self.connection = FakeConnection(now_s) if is_connected else None
         self.n_asked = 0
 
     async def ask(self, question: object, *, timeout_s: float) -> object:
         self.n_asked += 1
         await asyncio.sleep(timeout_s)
-        raise AssertionError("nobody waits that long")
+        raise AssertionError("the request was not cancelled")
 
     def send(self, message: object) -> bool:
         return True
@@ -84,8 +84,8 @@
 class FakePeers:
     """Links to gateways, either all connected or none."""
 
-    def __init__(self, *, heard: bool) -> None:
-        self.only = FakeLink(heard=heard)
+    def __init__(self, *, is_connected: bool) -> None:
+        self.only = FakeLink(is_connected=is_connected)
 
     def link(self, address: Address) -> FakeLink:
         return self.only
@@ -98,7 +98,7 @@
     own_id: str,
     members: list[MemberRecord],
     *,
-    heard: bool = True,
+    is_connected: bool = True,
     workers: WorkerTable | None = None,
     region_of: Mapping[str, str] | None = None,
 ) -> ChainRouter:
@@ -110,7 +110,7 @@
         links=SchedulerLinks(
             own_id=own_id,
             live=lambda: members,
-            peers=FakePeers(heard=heard),  # type: ignore[arg-type]
+            peers=FakePeers(is_connected=is_connected),  # type: ignore[arg-type]
         ),
         schedulers=CellSchedulers(
             process=own,
@@ -134,7 +134,7 @@
         def make(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if at.service == "t" and faults:
                 return [faults.pop()] * len(works)
-            return [made(at, each) for each in works]
+            return [result_of(at, each) for each in works]
 
         calls = FakeCalls(make=make)
         workers = WorkerTable()
@@ -183,7 +183,7 @@
         links = SchedulerLinks(
             own_id="b",
             live=lambda: members,
-            peers=FakePeers(heard=True),  # type: ignore[arg-type]
+            peers=FakePeers(is_connected=True),  # type: ignore[arg-type]
         )
         cell = Cell(name="north", failure_domains=frozenset({"here"}))
         for number in range(1, 6):
@@ -207,7 +207,7 @@
             workers.put(worker(f"{name}1", name))
         routes = table(services=[piece_service("s"), piece_service("t")])
         own = process("b")
-        peers = FakePeers(heard=True)
+        peers = FakePeers(is_connected=True)
         at = ChainRouter(
             links=SchedulerLinks(
                 own_id="b",
@@ -242,7 +242,7 @@
 
     def test_an_unresponsive_gateway_is_skipped(self) -> None:
         members = [member("a", 10), member("b", 20)]
-        assert schedules_itself(router("b", members, heard=False))
+        assert schedules_itself(router("b", members, is_connected=False))
 
     def test_gateways_of_other_domains_are_the_last_choice(self) -> None:
         far = member("a", 10, "far")
--- a/tests/chain/test_chain_scheduler.py
+++ b/tests/chain/test_chain_scheduler.py
@@ -25,7 +25,15 @@
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 
 from ..waiting import until
-from .fakes import FakeCalls, journal, made, piece_service, scheduler, table, worker
+from .fakes import (
+    FakeCalls,
+    journal,
+    piece_service,
+    result_of,
+    scheduler,
+    table,
+    worker,
+)
 
 DIAMOND = (
     StagePlan(service="s", after=(), result_bytes=1000.0),
@@ -41,7 +49,7 @@
     due_in_s: float = 5.0,
     n_pieces: tuple[int, ...] = (2, 1, 3),
     priority: int = 0,
-    near: str = "",
+    preferred_domain: str = "",
 ) -> ChainWork:
     now_s = time.monotonic()
     return ChainWork(
@@ -53,7 +61,7 @@
         due_s=now_s + due_in_s,
         deadline_s=now_s + 9.0,
         priority=priority,
-        preferred_domain=near,
+        preferred_domain=preferred_domain,
     )
 
 
@@ -141,7 +149,7 @@
         def fail(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if at.worker_id == "t1":
                 return [PieceFault.INPUT_GONE] * len(works)
-            return [made(at, each) for each in works]
+            return [result_of(at, each) for each in works]
 
         calls = FakeCalls(make=fail)
         end = await Rig(calls).scheduler.run(work())
@@ -156,7 +164,7 @@
         ) -> list[PieceOutcome] | CallFault:
             if at.worker_id == "s1":
                 return CallFault.SILENT
-            return [made(at, each) for each in works]
+            return [result_of(at, each) for each in works]
 
         rig = Rig(FakeCalls(make=answer))
         rig.workers.put(worker("s2", "s"))
@@ -170,7 +178,7 @@
         def answer(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             if len(calls.batches) == 1:
                 raise ValueError("unforeseen")
-            return [made(at, each) for each in works]
+            return [result_of(at, each) for each in works]
 
         calls = FakeCalls(make=answer)
         end = await Rig(calls).scheduler.run(work())
@@ -183,7 +191,7 @@
             tries.append(len(works))
             if at.worker_id == "s1" and len(tries) == 1:
                 return [PieceFault.NO_MEMORY] * len(works)
-            return [made(at, each) for each in works]
+            return [result_of(at, each) for each in works]
 
         end = await Rig(FakeCalls(make=answer)).scheduler.run(work())
         assert isinstance(end, ChainCompleted)
--- a/tests/chain/test_engine_times.py
+++ b/tests/chain/test_engine_times.py
@@ -23,9 +23,9 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    made = Clock()
-    monkeypatch.setattr(engine_times, "time", made)
-    return made
+    fake = Clock()
+    monkeypatch.setattr(engine_times, "time", fake)
+    return fake
 
 
 class TestDecay:
--- a/tests/chain/test_fleet_restarts.py
+++ b/tests/chain/test_fleet_restarts.py
@@ -122,8 +122,8 @@
         fleet = stopped_in_turn(monkeypatch, seed)
         outcome = fleet.outcome
         n_answered = outcome.in_time.total() + outcome.late.total()
-        assert n_answered + outcome.refused.total() == outcome.asked.total()
-        assert outcome.refused.total() < 0.25 * outcome.asked.total()
+        assert n_answered + outcome.refused.total() == outcome.arrived.total()
+        assert outcome.refused.total() < 0.25 * outcome.arrived.total()
 
 
 class TestLostTogether:
--- a/tests/chain/test_service_dispatch.py
+++ b/tests/chain/test_service_dispatch.py
@@ -65,9 +65,9 @@
 
 class TestCost:
     @pytest.mark.parametrize("n_workers", [8, 32, 128])
-    @pytest.mark.parametrize("is_in_vain", [False, True])
+    @pytest.mark.parametrize("has_exclusions", [False, True])
     async def test_the_cost_per_worker_does_not_grow_with_the_cell(
-        self, monkeypatch: pytest.MonkeyPatch, *, n_workers: int, is_in_vain: bool
+        self, monkeypatch: pytest.MonkeyPatch, *, n_workers: int, has_exclusions: bool
     ) -> None:
         # For each free worker, the times of all other workers of the service were
         # computed. A chain cost a scheduler 12 ms of processor time in a cell of 183
@@ -88,7 +88,7 @@
         calls = FakeCalls()
         callers = callers_of(n_workers, calls)
         others = frozenset(caller.worker.worker_id for caller in callers[1:])
-        excluded = others if is_in_vain else frozenset()
+        excluded = others if has_exclusions else frozenset()
         dispatch = ServiceDispatch(
             callers=lambda: callers, guard=crash_guard(calls, WorkerTable())
         )
@@ -99,7 +99,7 @@
         dispatch.stop()
         assert len(looks) == n_workers
         assert max(looks.values()) <= LOOKS_PER_WORKER
-        n_calls = 1 if is_in_vain else n_workers
+        n_calls = 1 if has_exclusions else n_workers
         await until(lambda: len(calls.batches) == n_calls)
 
 
--- a/tests/chain/test_varying_sizes.py
+++ b/tests/chain/test_varying_sizes.py
@@ -36,7 +36,8 @@
     return Means(
         value=statistics.mean(value_in_time(day, UNEVEN_DAY) for day in days),
         unserved=statistics.mean(
-            (day.refused.total() + day.left.total()) / day.asked.total() for day in days
+            (day.refused.total() + day.left.total()) / day.arrived.total()
+            for day in days
         ),
         n_pieces=statistics.mean(day.mean_pieces("draw") for day in days),
     )
--- a/tests/chain/test_worker_caller.py
+++ b/tests/chain/test_worker_caller.py
@@ -17,7 +17,7 @@
 from trefoilpaddle.state.chain.workers import Worker, WorkerTable
 
 from ..waiting import until
-from .fakes import FakeCalls, crash_guard, journal, made, piece_service, worker
+from .fakes import FakeCalls, crash_guard, journal, piece_service, result_of, worker
 from .test_piece_queue import piece
 
 NOW_S = 1000.0
@@ -179,10 +179,10 @@
         # A scheduler crashes. The workers still keep its results and run its calls. As
         # the next scheduler did not know of them, 3,343 pieces found no memory in a
         # day, with up to 790 calls in one second.
-        said = WorkerReport(
+        worker_report = WorkerReport(
             n_queued=1, is_busy=True, least_free_bytes=1e5, most_free_bytes=2e5
         )
-        rig = Rig(FakeCalls(said=said), is_known=False, call_s=0.2)
+        rig = Rig(FakeCalls(worker_report=worker_report), is_known=False, call_s=0.2)
         now_s = time.monotonic()
         assert not rig.caller.is_free(now_s)
         await until(lambda: rig.caller.known.memory.used_bytes(now_s) > 0)
@@ -191,7 +191,7 @@
         assert 0.1 < rig.caller.known.busy_s(now_s) < 0.4
 
     async def test_a_worker_that_sends_no_report_is_called(self) -> None:
-        rig = Rig(FakeCalls(said=None), is_known=False)
+        rig = Rig(FakeCalls(worker_report=None), is_known=False)
         rig.caller.is_free(time.monotonic())
         await until(lambda: rig.caller.is_free(time.monotonic()))
 
@@ -227,7 +227,7 @@
         # four seconds, and callers in a burst were refused.
         def all_but_last(at: Worker, works: Sequence[PieceWork]) -> list[PieceOutcome]:
             rig.caller.known.memory.free("before")
-            return [*(made(at, w) for w in works[:-1]), PieceFault.NO_MEMORY]
+            return [*(result_of(at, w) for w in works[:-1]), PieceFault.NO_MEMORY]
 
         rig = Rig(FakeCalls(make=all_but_last), memory_bytes=10e5)
         now_s = time.monotonic()
@@ -272,7 +272,7 @@
         gate.set()
         await asyncio.sleep(0.05)
         assert work.outcome.result() is PieceFault.LOST
-        assert made(AT, work).handle not in calls.freed
+        assert result_of(AT, work).handle not in calls.freed
 
 
 class TestFetched:
--- a/tests/chain/test_worker_ends.py
+++ b/tests/chain/test_worker_ends.py
@@ -103,7 +103,7 @@
     async def test_an_expired_entry_confirms_the_crash(self) -> None:
         # Its host is gone: an answer was interrupted, and connecting gives no result.
         rig = Rig()
-        rig.calls.is_dark = True
+        rig.calls.is_unreachable = True
         rig.run(RunOutcome.BROKEN)
         await rig.settle()
         rig.workers.remove("w1")
@@ -175,4 +175,4 @@
         for _ in range(5):
             rig.run(RunOutcome.BROKEN)
             await rig.settle()
-        assert rig.calls.n_looks == 1
+        assert rig.calls.n_checks == 1
--- a/tests/chain/test_worker_starts.py
+++ b/tests/chain/test_worker_starts.py
@@ -24,10 +24,10 @@
 
 
 def table(*workers: Worker) -> WorkerTable:
-    made = WorkerTable()
+    workers_table = WorkerTable()
     for each in workers:
-        made.put(each)
-    return made
+        workers_table.put(each)
+    return workers_table
 
 
 class TestTable:
