--- a/src/trefoilpaddle/state/chain/chain_progress.py
+++ b/src/trefoilpaddle/state/chain/chain_progress.py
@@ -47,7 +47,7 @@
         return 0 < self._work.n_pieces[stage] == len(results)
 
     def is_done(self, stage: int) -> bool:
-        """Return True if a stage need not be run, or not any more."""
+        """Return True if a stage need not be run, or need not be run again."""
         return stage in self._done
 
     def mark_done(self, stage: int) -> None:
--- a/src/trefoilpaddle/state/chain/exit_rate.py
+++ b/src/trefoilpaddle/state/chain/exit_rate.py
@@ -9,9 +9,9 @@
 MAX_ATTRIBUTED_EXITS: Final = 16
 """Exits within the window up to which a request may have caused them.
 
-More workers than this lose power, or their network, together. The requests that ran
-there are not the cause, and reports of all of them would saturate the links between
-gateways.
+If there are more, the workers have lost power, or their network, together. The requests
+that ran there are not the cause, and reports of all of them would saturate the links
+between gateways.
 """
 
 
--- a/src/trefoilpaddle/state/chain/workers.py
+++ b/src/trefoilpaddle/state/chain/workers.py
@@ -57,7 +57,10 @@
         )
 
     def fingerprint(self) -> int:
-        """Return a checksum of the listed fields, to compare tables of workers."""
+        """Return a checksum of id, service, address, leaving state and start time.
+
+        Tables of workers are compared by it.
+        """
         fields = (
             self.worker_id,
             self.service,
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -76,8 +76,9 @@
     def test_freeing_results_once_read_serves_more(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The memory of the workers that keep results limits their calls. If results
-        # are kept until the next stage has completed, slots of each call stay empty.
+        # Results are small for the time that they are kept, and the memory of the
+        # workers that keep them limits their calls. If results are kept until the next
+        # stage has completed, slots of each call stay empty.
         chosen = mean_value(monkeypatch, TIGHT_DAY)
         monkeypatch.setattr(worker_caller, "FETCH_S", FOR_EVER_S)
         assert chosen > mean_value(monkeypatch, TIGHT_DAY) + 0.02
--- a/tests/chain/test_worker_choice.py
+++ b/tests/chain/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go: sessions to engines that read them, others by load."""
+"""Choice of workers: sessions go to engines that read them, others go by load."""
 
 from collections import Counter
 
