--- a/src/trefoilpaddle/coordination/chain/attempts.py
+++ b/src/trefoilpaddle/coordination/chain/attempts.py
@@ -116,7 +116,7 @@
         while True:
             refusal = self._guard.refusal(self._job.fingerprint)
             if refusal is not None:
-                return self._delivery.end(
+                return self._delivery.failure_outcome(
                     refusal.reason, retry_after_s=refusal.retry_after_s
                 )
             worker = self._choose()
@@ -172,7 +172,7 @@
         else:
             self._delivery.may_have_run = True
         if fault is not CallFault.FULL and fault is not CallFault.INPUTS_GONE:
-            self._workers.suspect(worker)
+            self._workers.mark_suspect(worker)
 
     def _may_retry(self, reason: Reason, worker: Worker) -> bool:
         """Return True if the request may go to another worker.
@@ -202,13 +202,13 @@
 
     def _outcome_of(self, reason: Reason) -> Outcome:
         """Return the outcome of a request that no worker has answered."""
-        return self._delivery.end(reason, retry_after_s=UNANSWERED_RETRY_S)
+        return self._delivery.failure_outcome(reason, retry_after_s=UNANSWERED_RETRY_S)
 
     async def _pass_failure_on(self, failed: WorkerFailed, sink: CallerSink) -> Outcome:
         """Pass a worker's failure on unchanged, unless an answer has begun."""
         if self._delivery.is_begun:
             return Failed(reason=Reason.TARGET_FAILED, is_begun=True)
-        self._delivery.begin()
+        self._delivery.begin_answer()
         await sink.whole(failed.head, failed.body)
         return Answered()
 
--- a/src/trefoilpaddle/coordination/chain/cell_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/cell_dispatch.py
@@ -7,7 +7,7 @@
 
 from ...state.chain.cell_handover import CellHandover
 from ...state.chain.piece_times import MIN_PACE_PER_S
-from ...state.chain.piece_work import PieceMade, PieceWork
+from ...state.chain.piece_work import PieceResult, PieceWork
 from ...state.chain.routes import PieceService, RouteTable
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Journal
@@ -143,7 +143,7 @@
         self.on_freed: Callable[[Worker, list[str]], None] | None = None
         self.table = table
         workers.leave_listeners.append(self._on_leave)
-        workers.end_listeners.append(self._on_exit)
+        workers.restart_listeners.append(self._on_exit)
 
     def close(self) -> None:
         """Unsubscribe from worker changes, as a new scheduler of the cell has begun.
@@ -152,7 +152,7 @@
         stayed subscribed would never be released, with its state of all workers.
         """
         self._workers.leave_listeners.remove(self._on_leave)
-        self._workers.end_listeners.remove(self._on_exit)
+        self._workers.restart_listeners.remove(self._on_exit)
 
     def has_worker(self, service: str) -> bool:
         """Return True if a worker of the service may get work."""
@@ -239,7 +239,7 @@
             if caller is not None:
                 caller.known.take_over(state, now_s)
 
-    def adopt_result(self, made: PieceMade, n_bytes: float) -> None:
+    def adopt_result(self, made: PieceResult, n_bytes: float) -> None:
         """Count the memory of a result that the previous scheduler had computed.
 
         Parameters
@@ -269,13 +269,13 @@
         caller = self._callers.get(worker_id)
         return "" if caller is None else caller.worker.failure_domain
 
-    def free(self, made: PieceMade) -> None:
+    def free(self, made: PieceResult) -> None:
         """Free a result that all following stages have read."""
         caller = self._caller_of(made)
         if caller is not None:
             caller.free(made.handle)
 
-    def _caller_of(self, made: PieceMade) -> WorkerCaller | None:
+    def _caller_of(self, made: PieceResult) -> WorkerCaller | None:
         """Return the caller of the worker that holds a result.
 
         None if that process has exited.
--- a/src/trefoilpaddle/coordination/chain/cell_map.py
+++ b/src/trefoilpaddle/coordination/chain/cell_map.py
@@ -3,7 +3,7 @@
 from collections.abc import Hashable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from ...state.chain.cells import Cell, cells_of, workers_borne
+from ...state.chain.cells import Cell, cells_of, worker_capacity
 from ...state.chain.routes import PieceService, RouteTable
 from ...state.chain.workers import WorkerTable
 from .scheduler_links import SchedulerLinks
@@ -101,4 +101,4 @@
 
     def _worker_capacity(self, region: str) -> int:
         """Return how many stage workers a region's strongest gateway can schedule."""
-        return workers_borne(self._links.max_millicores(region))
+        return worker_capacity(self._links.max_millicores(region))
--- a/src/trefoilpaddle/coordination/chain/cell_schedulers.py
+++ b/src/trefoilpaddle/coordination/chain/cell_schedulers.py
@@ -19,7 +19,7 @@
 from ...protocol.gen.stage.ttypes import Hello
 from ...protocol.reasons import Reason
 from ...state.chain.cells import Cell
-from ...state.chain.chain_work import ChainEnd, ChainFailed, ChainMoved, ChainWork
+from ...state.chain.chain_work import ChainFailed, ChainMoved, ChainOutcome, ChainWork
 from ...state.chain.routes import RouteTable
 from ...state.chain.workers import Worker
 from ...state.journal import Decision, Event, Figure, Journal
@@ -95,7 +95,7 @@
         self._journal: Journal = process.journal
         self._by_cell: dict[str, ChainScheduler] = {}
         self._cells: dict[str, Cell] = {}
-        self._running: dict[str, asyncio.Task[ChainEnd]] = {}
+        self._running: dict[str, asyncio.Task[ChainOutcome]] = {}
         process.server.answer(
             RunChain, self._run_for_peer, timeout_s=CHAIN_RESPONSE_TIMEOUT_S
         )
@@ -140,10 +140,12 @@
                 scheduler.dispatch.failure_domains = cell.failure_domains
                 self._cells[cell.name] = cell
 
-    async def run(self, cell: Cell, work: ChainWork) -> ChainEnd:
+    async def run(self, cell: Cell, work: ChainWork) -> ChainOutcome:
         """Run a chain here and return its outcome."""
         if self._has_abandoned and cell.name not in self._by_cell:
-            return ChainMoved(successor=NO_SUCCESSOR, made=work.made)
+            return ChainMoved(
+                successor=NO_SUCCESSOR, completed_pieces=work.completed_pieces
+            )
         task = asyncio.create_task(self.of(cell).run(work))
         self._running[work.request_id] = task
         try:
--- a/src/trefoilpaddle/coordination/chain/chain_execution.py
+++ b/src/trefoilpaddle/coordination/chain/chain_execution.py
@@ -8,14 +8,14 @@
 from ...protocol.reasons import Reason
 from ...state.chain.chain_progress import ChainProgress
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.fingerprint import stage_fingerprint
-from ...state.chain.piece_work import PieceFault, PieceMade, PieceWork
+from ...state.chain.piece_work import PieceFault, PieceResult, PieceWork
 from ...state.chain.repeat_budget import RepeatBudgets
 from ...state.journal import Decision, Event, Figure, Journal
 from .admission import Reservations
@@ -98,8 +98,8 @@
         self._journal = journal
         self._is_handed_over = False
         self._progress = ChainProgress(work=work)
-        for each in work.made:
-            dispatch.adopt_result(each.made, work.stages[each.stage].result_bytes)
+        for each in work.completed_pieces:
+            dispatch.adopt_result(each.result, work.stages[each.stage].result_bytes)
         self._reserved = {
             index
             for index in range(len(work.stages))
@@ -108,7 +108,7 @@
         for index in self._reserved:
             reservations.add(work.stages[index].service, work.n_pieces[index])
 
-    async def run(self) -> ChainEnd:
+    async def run(self) -> ChainOutcome:
         """Run all stages; return the outcome with the handles of the last stages.
 
         If another gateway has taken the cell over meanwhile, the outcome carries the
@@ -131,15 +131,15 @@
             return ChainFailed(reason=reason, is_begun=True)
         if self._is_handed_over:
             # The next scheduler frees these results.
-            made = self._progress.take_all()
-            return ChainMoved(successor="", is_admitted=True, made=made)
+            made = self._progress.pop_all()
+            return ChainMoved(successor="", is_admitted=True, completed_pieces=made)
         return self._outcome()
 
-    def _outcome(self) -> ChainMade:
+    def _outcome(self) -> ChainCompleted:
         last = self._work.last_stages()
         n_bytes = self._progress.bytes_by_domain(last, self._dispatch.failure_domain_of)
         most = n_bytes.most_common(1)
-        return ChainMade(
+        return ChainCompleted(
             handles=tuple(
                 made.handle for stage in last for made in self._progress.results(stage)
             ),
@@ -156,7 +156,7 @@
 
     def free_all(self) -> None:
         """Free all results that workers still hold for this request."""
-        for index in self._progress.stages():
+        for index in self._progress.kept_stages():
             self._free_stage(index)
 
     async def _run_stage(
@@ -182,7 +182,7 @@
                 self._record(index, fault, time.monotonic() - began_s)
                 if fault is not None:
                     raise StageFaultError(fault)
-                self._progress.finish(index)
+                self._progress.mark_done(index)
                 self._free_read_inputs(index)
         completed[index].set_result(None)
 
@@ -235,7 +235,7 @@
         service = self._work.stages[index].service
         excluded: frozenset[str] = frozenset()
         n_tries = 0
-        while missing := self._progress.missing(index):
+        while missing := self._progress.missing_pieces(index):
             if not self._dispatch.has_worker(service):
                 return Reason.NO_TARGET
             if not self._progress.has_inputs(index):
@@ -263,22 +263,22 @@
         faults: dict[PieceFault, PieceWork] = {}
         try:
             for work in works:
-                match await work.end:
+                match await work.outcome:
                     case PieceFault() as fault:
                         faults.setdefault(fault, work)
-                        self._progress.forget_fetched(index, work.piece)
-                    case PieceMade():
+                        self._progress.clear_fetched(index, work.piece)
+                    case PieceResult():
                         continue
         finally:
             # This wait is cancelled if the caller leaves or another stage fails.
             # Pieces that are still queued must not be run then.
             for work in works:
-                if work.is_open:
-                    work.end.cancel()
-                elif not work.end.cancelled():
-                    piece_result = work.end.result()
-                    if isinstance(piece_result, PieceMade):
-                        self._progress.note_made(index, work.piece, piece_result)
+                if work.is_pending:
+                    work.outcome.cancel()
+                elif not work.outcome.cancelled():
+                    piece_result = work.outcome.result()
+                    if isinstance(piece_result, PieceResult):
+                        self._progress.record_result(index, work.piece, piece_result)
         return faults
 
     def _pieces(
@@ -301,10 +301,10 @@
                 result_bytes=plan.result_bytes,
                 due_s=self._due_of(index),
                 deadline_s=self._work.deadline_s,
-                near=preferred_domain,
-                far_s=cross_domain_wait_s(n_bytes),
+                preferred_domain=preferred_domain,
+                cross_domain_wait_s=cross_domain_wait_s(n_bytes),
                 queued_s=time.monotonic(),
-                avoided=excluded,
+                excluded_workers=excluded,
                 on_fetched=functools.partial(self._record_fetched, index, piece),
             )
             for piece in missing
@@ -319,12 +319,12 @@
         """
         plan = self._work.stages[index]
         if not plan.after:
-            return self._work.near, n_pieces * plan.result_bytes
+            return self._work.preferred_domain, n_pieces * plan.result_bytes
         n_bytes = self._progress.bytes_by_domain(
             plan.after, self._dispatch.failure_domain_of
         )
         if not n_bytes:
-            return self._work.near, 0.0
+            return self._work.preferred_domain, 0.0
         return n_bytes.most_common(1)[0][0], n_pieces * float(n_bytes.total())
 
     def _reason_to_abandon(
@@ -344,7 +344,7 @@
         if n_tries >= MAX_TRIES:
             return REASON_OF[fault]
         is_without_budget = faults.keys() <= RETRIED_WITHOUT_BUDGET
-        if is_without_budget or self._budgets.of(service).spend(now_s):
+        if is_without_budget or self._budgets.for_service(service).spend(now_s):
             return None
         return Reason.RETRY_BUDGET
 
@@ -355,16 +355,16 @@
         their time does. Results that were kept until the next stage is complete would
         occupy it for a whole call longer.
         """
-        if self._progress.note_fetched(index, piece):
+        if self._progress.record_fetched(index, piece):
             self._free_read_inputs(index)
 
     def _free_read_inputs(self, index: int) -> None:
         """Free the inputs that a stage was the last one to read."""
-        for preceding in self._progress.readable(index):
+        for preceding in self._progress.fully_read_stages(index):
             self._free_stage(preceding)
 
     def _free_stage(self, index: int) -> None:
-        for made in self._progress.take_stage(index):
+        for made in self._progress.pop_stage(index):
             self._dispatch.free(made)
 
     def _due_of(self, index: int) -> float:
--- a/src/trefoilpaddle/coordination/chain/chain_router.py
+++ b/src/trefoilpaddle/coordination/chain/chain_router.py
@@ -13,8 +13,8 @@
 from ...protocol.reasons import Reason
 from ...state.chain.cells import Cell
 from ...state.chain.chain_work import (
-    ChainEnd,
     ChainFailed,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.repeat_budget import RepeatBudgets
@@ -107,7 +107,7 @@
         """Treat the services to which `table` assigns pieces as stage services."""
         self._cells.activate(table)
 
-    async def run(self, work: ChainWork, endpoint: SchedulerEndpoint) -> ChainEnd:
+    async def run(self, work: ChainWork, endpoint: SchedulerEndpoint) -> ChainOutcome:
         """Run a chain at one scheduler."""
         if endpoint.link is None:
             return await self._schedulers.run(endpoint.cell, work)
@@ -177,7 +177,9 @@
     def may_repeat(self, services: set[str]) -> bool:
         """Spend a repeat of each service; return False if a budget is exhausted."""
         now_s = time.monotonic()
-        return all(self._budgets.of(service).spend(now_s) for service in services)
+        return all(
+            self._budgets.for_service(service).spend(now_s) for service in services
+        )
 
     def record_refusal(self, endpoint: SchedulerEndpoint, finish_s: float) -> None:
         """Record that a cell has refused a chain.
--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -12,16 +12,16 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.bearable_waits import BearableWaits
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.refused_chains import RefusedChains
 from ...state.chain.repeat_budget import RepeatBudgets
+from ...state.chain.tolerable_waits import TolerableWaits
 from ...state.journal import Decision, Event, Figure, Journal
 from .admission import Reservations, admission_limit_s, forecast_s, unloaded_duration_s
 from .cell_dispatch import CellDispatch
@@ -108,7 +108,7 @@
         self._journal = journal
         self._reservations = Reservations()
         self._refused = RefusedChains()
-        self._waits = BearableWaits()
+        self._waits = TolerableWaits()
         self._overdue = OverdueQueue(
             has_capacity=self._has_capacity_for_overdue,
             unloaded_s=lambda work: unloaded_duration_s(work, self.dispatch),
@@ -119,7 +119,7 @@
         self.began_s = time.monotonic()
         self.successor = ""
 
-    async def run(self, work: ChainWork) -> ChainEnd:
+    async def run(self, work: ChainWork) -> ChainOutcome:
         """Run all stages of `work`, or refuse it before any stage is begun.
 
         A chain that would be late is refused at once the first time. A chain that
@@ -127,7 +127,9 @@
         capacity. Results are kept until `free` is called.
         """
         if self.successor:
-            return ChainMoved(successor=self.successor, made=work.made)
+            return ChainMoved(
+                successor=self.successor, completed_pieces=work.completed_pieces
+            )
         refusal = await self._refusal(work)
         if refusal is not None:
             return refusal
@@ -177,7 +179,7 @@
             self._record(event, Reason.NONE, work, finish_s, limit_s, detail)
             return None
         now_s = time.monotonic()
-        self._refused.note(work.piece_key, work.due_s, now_s)
+        self._refused.record(work.piece_key, work.due_s, now_s)
         reason = Reason.PREDICTED_LATE
         self._record(Event.REFUSED, reason, work, finish_s, limit_s, detail)
         return ChainFailed(
@@ -193,9 +195,12 @@
         Never True if the previous scheduler has already computed a part of it.
         """
         left_s = work.deadline_s - now_s
-        return not work.made and unloaded_duration_s(work, self.dispatch) > left_s
+        return (
+            not work.completed_pieces
+            and unloaded_duration_s(work, self.dispatch) > left_s
+        )
 
-    async def _execute(self, work: ChainWork) -> ChainEnd:
+    async def _execute(self, work: ChainWork) -> ChainOutcome:
         execution = ChainExecution(
             work=work,
             dispatch=self.dispatch,
@@ -207,7 +212,7 @@
         is_complete = False
         try:
             outcome = await execution.run()
-            is_complete = isinstance(outcome, ChainMade)
+            is_complete = isinstance(outcome, ChainCompleted)
             return outcome
         finally:
             if is_complete:
@@ -227,7 +232,7 @@
         now_s = time.monotonic()
         finish_s = forecast_s(work, self.dispatch, self._reservations)
         services = frozenset(plan.service for plan in work.stages)
-        wait_s = self._waits.of_more_urgent(BELOW_ALL_PRIORITIES, services, now_s)
+        wait_s = self._waits.min_of_more_urgent_s(BELOW_ALL_PRIORITIES, services, now_s)
         limit_s = unloaded_duration_s(work, self.dispatch) + OVERDUE_WAIT_SHARE * min(
             wait_s, MAX_TOLERABLE_WAIT_S
         )
@@ -245,10 +250,10 @@
         unloaded_s = unloaded_duration_s(work, self.dispatch)
         left_s = work.due_s - now_s
         services = frozenset(plan.service for plan in work.stages)
-        urgent_wait_s = self._waits.of_more_urgent(work.priority, services, now_s)
+        urgent_wait_s = self._waits.min_of_more_urgent_s(work.priority, services, now_s)
         limit_s = admission_limit_s(work, left_s, unloaded_s, urgent_wait_s)
         if first_due_s is None:
-            self._waits.note(
+            self._waits.record(
                 work.route,
                 priority=work.priority,
                 services=services,
--- a/src/trefoilpaddle/coordination/chain/crash_guard.py
+++ b/src/trefoilpaddle/coordination/chain/crash_guard.py
@@ -10,12 +10,12 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.apart_runs import ApartRun, ApartRuns
-from ...state.chain.crash_book import Crash, CrashBook, Standing
-from ...state.chain.end_rate import EndRate
+from ...state.chain.crash_registry import Crash, CrashRegistry, CrashStatus
+from ...state.chain.exit_rate import ExitRate
+from ...state.chain.isolated_runs import IsolatedRun, IsolatedRuns
 from ...state.chain.piece_work import PieceWork
 from ...state.chain.requests import Refused
-from ...state.chain.worker_runs import OpenEndedRun, RunEnd
+from ...state.chain.worker_runs import RunOutcome, UnansweredRun
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Decision, Event, Figure, Journal
 from .crash_relay import CrashRelay
@@ -29,8 +29,8 @@
 RUN_ID_BITS: Final = 62
 
 EVENT_OF_STATUS: Final = {
-    Standing.SUSPECT: Event.REQUEST_SUSPECTED,
-    Standing.BLOCKED: Event.REQUEST_BLOCKED,
+    CrashStatus.SUSPECT: Event.REQUEST_SUSPECTED,
+    CrashStatus.BLOCKED: Event.REQUEST_BLOCKED,
 }
 """Events of requests whose crash status has become worse."""
 
@@ -46,7 +46,7 @@
         Client that calls workers.
     journal : Journal
         Receives decisions.
-    book : CrashBook
+    book : CrashRegistry
         The crashes on record.
     relay : CrashRelay
         Exchanges crashes with other gateways.
@@ -69,16 +69,16 @@
         workers: WorkerTable,
         calls: TargetCalls,
         journal: Journal,
-        book: CrashBook,
+        book: CrashRegistry,
         relay: CrashRelay,
     ) -> None:
         self._workers = workers
         self._journal = journal
         self._registry = book
         self._relay = relay
-        self._isolated_runs = ApartRuns()
+        self._isolated_runs = IsolatedRuns()
         self._n_open: Counter[str] = Counter()
-        self._rate = EndRate()
+        self._rate = ExitRate()
         self._exits = WorkerExits(
             workers=workers, calls=calls, journal=journal, on_ended=self._on_ended
         )
@@ -88,10 +88,10 @@
 
     def refusal(self, fingerprint: str) -> Refused | None:
         """Return why a request must not be sent to a worker now, or None."""
-        match self._registry.standing(fingerprint):
-            case Standing.BLOCKED:
+        match self._registry.status(fingerprint):
+            case CrashStatus.BLOCKED:
                 return Refused(reason=Reason.CRASHES_WORKERS)
-            case Standing.SUSPECT if self._isolated_runs.is_open(fingerprint):
+            case CrashStatus.SUSPECT if self._isolated_runs.is_running(fingerprint):
                 return Refused(reason=Reason.RUNS_APART, retry_after_s=ISOLATED_RETRY_S)
             case _:
                 return None
@@ -108,17 +108,19 @@
         """True if no request is on record as having crashed a worker."""
         return not len(self._registry)
 
-    def status(self, fingerprint: str) -> Standing:
+    def status(self, fingerprint: str) -> CrashStatus:
         """Return the crash status of a request."""
-        return self._registry.standing(fingerprint)
+        return self._registry.status(fingerprint)
 
     def is_running(self, fingerprint: str) -> bool:
         """Return True if a request runs from here, or as a suspect from any gateway."""
-        return fingerprint in self._n_open or self._isolated_runs.is_open(fingerprint)
+        return fingerprint in self._n_open or self._isolated_runs.is_running(
+            fingerprint
+        )
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Return True if a request must run isolated from other requests."""
-        return self._registry.standing(fingerprint) is Standing.SUSPECT
+        return self._registry.status(fingerprint) is CrashStatus.SUSPECT
 
     def isolating_workers(self) -> frozenset[str]:
         """Return the workers at which suspects run, which others should not use."""
@@ -136,9 +138,9 @@
             return
         level = self._registry.level(fingerprint)
         self._n_open[fingerprint] += 1
-        isolated: ApartRun | None = None
+        isolated: IsolatedRun | None = None
         if self.is_suspect(fingerprint):
-            isolated = ApartRun(
+            isolated = IsolatedRun(
                 run_id=random.getrandbits(RUN_ID_BITS),
                 fingerprint=fingerprint,
                 worker_id=worker.worker_id,
@@ -191,36 +193,36 @@
         if is_known:
             self._record(Event.REQUEST_CLEARED, fingerprint)
 
-    def _close(self, fingerprint: str, isolated: ApartRun | None) -> None:
+    def _close(self, fingerprint: str, isolated: IsolatedRun | None) -> None:
         self._n_open[fingerprint] -= 1
         if not self._n_open[fingerprint]:
             del self._n_open[fingerprint]
         if isolated is not None:
-            self._announce_run(replace(isolated, for_s=0.0))
+            self._announce_run(replace(isolated, isolation_s=0.0))
 
     def _record_end(
-        self, worker: Worker, fingerprint: str, level: int, end: RunEnd
+        self, worker: Worker, fingerprint: str, level: int, end: RunOutcome
     ) -> None:
         match end:
-            case RunEnd.NOT_RUN:
+            case RunOutcome.NOT_RUN:
                 return
-            case RunEnd.ANSWERED:
-                if self._registry.standing(fingerprint) is not Standing.CLEAR:
+            case RunOutcome.ANSWERED:
+                if self._registry.status(fingerprint) is not CrashStatus.CLEAR:
                     self.clear(fingerprint)
-            case RunEnd.REFUSED:
+            case RunOutcome.REFUSED:
                 self._exits.confirm(worker, Evidence.REFUSES)
-            case RunEnd.BROKEN | RunEnd.SILENT | RunEnd.LEFT:
+            case RunOutcome.BROKEN | RunOutcome.SILENT | RunOutcome.LEFT:
                 self._exits.record(
-                    OpenEndedRun(
+                    UnansweredRun(
                         worker=worker,
                         fingerprint=fingerprint,
                         level=level,
                         ended_s=time.monotonic(),
-                        end=end,
+                        outcome=end,
                     )
                 )
 
-    def _on_ended(self, worker: Worker, runs: Sequence[OpenEndedRun]) -> None:
+    def _on_ended(self, worker: Worker, runs: Sequence[UnansweredRun]) -> None:
         for run in runs:
             crash = Crash(
                 worker_id=worker.worker_id,
@@ -243,22 +245,22 @@
             self._exits.confirm(worker, Evidence.REPORTED)
 
     def _record_crash(self, fingerprint: str, crash: Crash) -> None:
-        if not self._rate.takes(crash.worker_id, crash.ended_s):
+        if not self._rate.record_exit(crash.worker_id, crash.ended_s):
             return
-        previous = self._registry.standing(fingerprint)
-        if not self._registry.note(fingerprint, crash):
+        previous = self._registry.status(fingerprint)
+        if not self._registry.record(fingerprint, crash):
             return
         self._relay.announce_crash(fingerprint)
-        status = self._registry.standing(fingerprint)
+        status = self._registry.status(fingerprint)
         if status is not previous and status in EVENT_OF_STATUS:
             self._record(EVENT_OF_STATUS[status], fingerprint)
 
-    def receive_run(self, run: ApartRun) -> bool:
+    def receive_run(self, run: IsolatedRun) -> bool:
         """Record where a peer runs a suspect; return True if that was not known."""
-        return self._isolated_runs.hear(run)
+        return self._isolated_runs.record(run)
 
-    def _announce_run(self, run: ApartRun) -> None:
-        self._isolated_runs.hear(run)
+    def _announce_run(self, run: IsolatedRun) -> None:
+        self._isolated_runs.record(run)
         self._relay.announce_run(run)
 
     def _record(self, event: Event, fingerprint: str) -> None:
--- a/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
+++ b/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
@@ -108,9 +108,11 @@
         """
         found: list[tuple[float, int, str, int]] = []
         for domain, group in self._free.items():
-            is_other_domain = first is not None and first.near != domain
+            is_other_domain = first is not None and first.preferred_domain != domain
             cross_domain_wait_s = (
-                first.far_s if first is not None and is_other_domain else 0.0
+                first.cross_domain_wait_s
+                if first is not None and is_other_domain
+                else 0.0
             )
             index = _index_of_least(group, cross_domain_wait_s)
             found.append(
--- a/src/trefoilpaddle/coordination/chain/running_chain.py
+++ b/src/trefoilpaddle/coordination/chain/running_chain.py
@@ -7,10 +7,10 @@
 
 from ...protocol.reasons import Reason
 from ...state.chain.chain_work import (
-    ChainEnd,
+    ChainCompleted,
     ChainFailed,
-    ChainMade,
     ChainMoved,
+    ChainOutcome,
     ChainWork,
 )
 from .chain_router import ChainRouter
@@ -57,7 +57,7 @@
         self._has_run = False
         self._endpoint: SchedulerEndpoint | None = None
 
-    async def run(self) -> ChainEnd:
+    async def run(self) -> ChainOutcome:
         """Run the chain at a scheduler that admits it; return its last outcome.
 
         A chain that is run once more is admitted even if it will be late: the work
@@ -81,13 +81,15 @@
                 )
         return outcome
 
-    async def _try_endpoints(self, work: ChainWork) -> ChainEnd:
+    async def _try_endpoints(self, work: ChainWork) -> ChainOutcome:
         """Run the chain at the first scheduler that admits it; return its outcome."""
         services = _services(work)
         if not services:
-            return ChainMade(handles=())
-        outcome: ChainEnd = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
-        for endpoint in await self._router.connected_endpoints(services, work.near):
+            return ChainCompleted(handles=())
+        outcome: ChainOutcome = ChainFailed(reason=Reason.NO_TARGET, is_begun=False)
+        for endpoint in await self._router.connected_endpoints(
+            services, work.preferred_domain
+        ):
             outcome = await self._run_and_follow(work, endpoint)
             if not isinstance(outcome, ChainFailed) or outcome.is_begun:
                 return outcome
@@ -98,7 +100,7 @@
 
     async def _run_and_follow(
         self, work: ChainWork, endpoint: SchedulerEndpoint
-    ) -> ChainEnd:
+    ) -> ChainOutcome:
         """Run the chain at a scheduler and at its successors; return the outcome."""
         for _ in range(MAX_MOVES):
             self._endpoint = endpoint
@@ -107,13 +109,19 @@
                 return outcome
             # A chain that was admitted is not subject to admission again.
             must_be_on_time = work.must_be_on_time and not outcome.is_admitted
-            work = replace(work, made=outcome.made, must_be_on_time=must_be_on_time)
+            work = replace(
+                work,
+                completed_pieces=outcome.completed_pieces,
+                must_be_on_time=must_be_on_time,
+            )
             moved = self._router.links.endpoint_at(endpoint.cell, outcome.successor)
             if moved is None:
                 await self._router.links.connect(endpoint.cell)
                 moved = self._router.links.endpoint(endpoint.cell)
             endpoint = moved
-        return ChainFailed(reason=Reason.PEER_SILENT, is_begun=bool(work.made))
+        return ChainFailed(
+            reason=Reason.PEER_SILENT, is_begun=bool(work.completed_pieces)
+        )
 
     def free(self) -> None:
         """Free the results of the chain; further calls do nothing."""
--- a/src/trefoilpaddle/coordination/chain/service_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/service_dispatch.py
@@ -78,7 +78,7 @@
         """
         self._is_handed_over = True
         for work in self.queue.drain():
-            work.settle(PieceFault.MOVED)
+            work.resolve(PieceFault.MOVED)
 
     def submit(self, works: Sequence[PieceWork]) -> None:
         """Queue pieces; they are dispatched after a short delay.
@@ -90,7 +90,7 @@
         """
         if self._is_handed_over:
             for work in works:
-                work.settle(PieceFault.MOVED)
+                work.resolve(PieceFault.MOVED)
             return
         self.queue.add(works)
         if self._window_timer is None:
@@ -120,7 +120,7 @@
         callers = self._callers()
         if not callers:
             for work in self.queue.drain():
-                work.settle(PieceFault.NO_WORKER)
+                work.resolve(PieceFault.NO_WORKER)
             return
         free = [caller for caller in callers if caller.is_free(now_s)]
         if free:
@@ -132,10 +132,10 @@
     ) -> None:
         """Send queued pieces to the free workers, one worker after another."""
         snapshot = DispatchSnapshot(callers=callers, free=free, now_s=now_s)
-        self.queue.drop_hopeless(now_s + snapshot.shortest_call_s())
+        self.queue.drop_unservable(now_s + snapshot.shortest_call_s())
         if not self._guard.has_no_crashes:
             self.queue.drop_blocked(self._guard.status)
-        self.queue.allow_avoided({caller.worker.worker_id for caller in callers})
+        self.queue.allow_excluded({caller.worker.worker_id for caller in callers})
         first: PieceWork | None = None
         is_late = False
         while len(self.queue) and snapshot.has_free:
@@ -143,12 +143,12 @@
             # the most urgent piece only if it was on time and is not any more.
             done_s = now_s + snapshot.shortest_free_call_s()
             if first is None or (not is_late and first.due_s < done_s):
-                first = self.queue.first(done_s)
+                first = self.queue.most_urgent(done_s)
                 is_late = first is not None and first.due_s < done_s
             caller = snapshot.take_next(first)
             n_skipped = snapshot.n_skipped(caller)
             offer = caller.known.offer(
-                now_s, n_passed=n_skipped, near_free_in_s=snapshot.free_in_s
+                now_s, n_skipped=n_skipped, free_in_s_by_domain=snapshot.free_in_s
             )
             batch = self.queue.take_batch(offer, self._may_share())
             if batch:
@@ -163,7 +163,7 @@
         if self._guard.has_no_crashes:
             return None
         return CallSharing(
-            standing=self._guard.status, is_running=self._guard.is_running
+            status=self._guard.status, is_running=self._guard.is_running
         ).may_share
 
     def _schedule_check(self) -> None:
@@ -176,7 +176,7 @@
         callers = self._callers()
         if callers:
             now_s = time.monotonic()
-            self.queue.drop_hopeless(now_s + _shortest_call_s(callers, 1, now_s))
+            self.queue.drop_unservable(now_s + _shortest_call_s(callers, 1, now_s))
         self.trigger()
 
 
--- a/src/trefoilpaddle/coordination/chain/worker_caller.py
+++ b/src/trefoilpaddle/coordination/chain/worker_caller.py
@@ -13,7 +13,7 @@
 
 from ...protocol.reasons import Reason
 from ...state.chain.known_worker import KnownWorker
-from ...state.chain.piece_work import PieceEnd, PieceFault, PieceMade, PieceWork
+from ...state.chain.piece_work import PieceFault, PieceOutcome, PieceResult, PieceWork
 from ...state.chain.routes import PieceService
 from ...state.chain.target_answers import CallFault, WorkerReport
 from ...state.chain.workers import Worker, WorkerTable
@@ -208,10 +208,10 @@
 
         Requests a report if the worker holds results of other schedulers.
         """
-        self.known.block(now_s)
+        self.known.mark_blocked(now_s)
         self._freeing.flush()
         if (
-            self.known.memory.has_foreign(now_s)
+            self.known.memory.has_external_results(now_s)
             and now_s - self._report_requested_s > REPORT_PERIOD_S
         ):
             self._request_report()
@@ -229,8 +229,8 @@
         """
         now_s = time.monotonic()
         memory = self.known.memory
-        is_new = now_s - self._created_s < memory.service.keep_s
-        return is_new or memory.is_short(now_s)
+        is_new = now_s - self._created_s < memory.service.retention_s
+        return is_new or memory.is_low(now_s)
 
     def _record_freed(self, handles: list[str]) -> None:
         """Count the memory of results as free once the worker has confirmed it.
@@ -250,7 +250,7 @@
         """
         self._has_exited = True
         for work in self._in_flight:
-            work.settle(PieceFault.LOST)
+            work.resolve(PieceFault.LOST)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -273,7 +273,7 @@
             fetching.append(loop.call_later(INPUT_FETCH_S, _notify_fetched, batch))
 
         kept_bytes = self.known.memory.own_bytes(began_s)
-        self.known.memory.send(n_bytes)
+        self.known.memory.begin_call(n_bytes)
         try:
             try:
                 with call.running:
@@ -316,28 +316,28 @@
     def _complete(
         self,
         batch: list[PieceWork],
-        ends: list[PieceEnd],
+        ends: list[PieceOutcome],
         began_s: float,
         *,
         n_waiting: int,
         kept_bytes: float,
     ) -> None:
         now_s = time.monotonic()
-        self._workers.trust(self.worker)
-        n_made = sum(1 for end in ends if isinstance(end, PieceMade))
+        self._workers.clear_suspicion(self.worker)
+        n_made = sum(1 for end in ends if isinstance(end, PieceResult))
         self.known.learn_call(n_made, n_waiting=n_waiting, began_s=began_s, now_s=now_s)
         without_memory = []
         made_bytes = 0.0
         for work, end in zip(batch, ends, strict=True):
-            if isinstance(end, PieceMade):
+            if isinstance(end, PieceResult):
                 made_bytes += work.result_bytes
                 self.known.memory.keep(end.handle, work.result_bytes, now_s)
-                if not work.is_open:
+                if not work.is_pending:
                     self.free(end.handle)
             if end is PieceFault.NO_MEMORY:
                 without_memory.append(work)
             else:
-                work.settle(end)
+                work.resolve(end)
         if without_memory:
             # These pieces were not begun. Sent again at once, they would be rejected
             # again, call after call.
@@ -383,10 +383,10 @@
 
     def _fail(self, batch: list[PieceWork], fault: CallFault, began_s: float) -> None:
         took_s = time.monotonic() - began_s
-        self._workers.suspect(self.worker)
+        self._workers.mark_suspect(self.worker)
         end = PieceFault.FULL if fault.has_not_run else PieceFault.LOST
         for work in batch:
-            work.settle(end)
+            work.resolve(end)
         # The worker may have computed the results; only a report shows what it holds.
         self.known.is_current = False
         reason = Reason.TARGET_DOWN if fault.has_not_run else Reason.CONNECTION_LOST
@@ -422,5 +422,5 @@
 def _notify_fetched(batch: list[PieceWork]) -> None:
     """Notify the chains of a call's pieces that their inputs have been fetched."""
     for work in batch:
-        if work.on_fetched is not None and not work.end.cancelled():
+        if work.on_fetched is not None and not work.outcome.cancelled():
             work.on_fetched()
--- a/src/trefoilpaddle/coordination/chain/worker_choice.py
+++ b/src/trefoilpaddle/coordination/chain/worker_choice.py
@@ -108,7 +108,7 @@
         without : frozenset of str
             Excluded workers.
         """
-        workers = self._workers.usable(service.name, without=without)
+        workers = self._workers.usable(service.name, excluded=without)
         if not workers:
             return None
         if isinstance(service, EngineService) and need.prompt is not None:
@@ -144,7 +144,7 @@
 
     def record_read(self, worker_id: str, prompt: Prompt) -> None:
         """Record that an engine has read a prompt."""
-        self._record.note(worker_id, prompt)
+        self._record.record(worker_id, prompt)
 
     def _engine_costs_s(
         self, workers: Sequence[Worker], prompt: Prompt, need: Need
--- a/src/trefoilpaddle/coordination/chain/worker_exits.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exits.py
@@ -16,7 +16,7 @@
 from absl import logging
 
 from ...protocol.reasons import Reason
-from ...state.chain.worker_runs import OpenEndedRun, RunEnd
+from ...state.chain.worker_runs import RunOutcome, UnansweredRun
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Decision, Event, Figure, Journal
 from .target_calls import TargetCalls
@@ -53,16 +53,16 @@
 
 # Entries also expire if a worker is disconnected, or leaves without announcing it.
 EVIDENCE_BY_RUN_END: Final = {
-    RunEnd.BROKEN: frozenset(Evidence),
-    RunEnd.LEFT: frozenset(Evidence) - {Evidence.EXPIRED},
-    RunEnd.SILENT: frozenset(Evidence) - {Evidence.EXPIRED},
+    RunOutcome.BROKEN: frozenset(Evidence),
+    RunOutcome.LEFT: frozenset(Evidence) - {Evidence.EXPIRED},
+    RunOutcome.SILENT: frozenset(Evidence) - {Evidence.EXPIRED},
 }
 """Evidence that attributes an exit to a run without an answer, by the run's end."""
 
 Start = tuple[str, int]
 """Id and start time of a worker process; a restarted worker keeps its id."""
 
-ExitListener = Callable[[Worker, Sequence[OpenEndedRun]], None]
+ExitListener = Callable[[Worker, Sequence[UnansweredRun]], None]
 
 
 class WorkerExits:
@@ -103,15 +103,15 @@
         self._calls = calls
         self._journal = journal
         self._on_ended = on_ended
-        self._pending: deque[OpenEndedRun] = deque(maxlen=MAX_PENDING_RUNS)
+        self._pending: deque[UnansweredRun] = deque(maxlen=MAX_PENDING_RUNS)
         self._exits: dict[Start, tuple[float, Evidence]] = {}
         self._checks: dict[Start, asyncio.Task[None]] = {}
         self._checked_s: dict[Start, float] = {}
-        workers.end_listeners.append(self._on_restart)
+        workers.restart_listeners.append(self._on_restart)
         workers.leave_listeners.append(self._on_leave)
         workers.new_listeners.append(self._on_new)
 
-    def record(self, run: OpenEndedRun) -> None:
+    def record(self, run: UnansweredRun) -> None:
         """Record a run without an answer; check whether its worker has exited."""
         self._forget_old(run.ended_s)
         worker = run.worker
@@ -126,7 +126,7 @@
         known = self._exits.get(_start(worker))
         if known is not None:
             self.confirm(worker, known[1])
-        elif run.end is RunEnd.BROKEN:
+        elif run.outcome is RunOutcome.BROKEN:
             self._check(worker)
 
     def confirm(self, worker: Worker, evidence: Evidence) -> None:
@@ -140,7 +140,7 @@
             run
             for run in self._pending
             if _start(run.worker) == _start(worker)
-            and evidence in EVIDENCE_BY_RUN_END[run.end]
+            and evidence in EVIDENCE_BY_RUN_END[run.outcome]
         ]
         if not found:
             return
@@ -194,8 +194,9 @@
         """Treat broken runs at a worker that still listens as unresponsive ones."""
         self._pending = deque(
             (
-                replace(run, end=RunEnd.SILENT)
-                if _start(run.worker) == _start(worker) and run.end is RunEnd.BROKEN
+                replace(run, outcome=RunOutcome.SILENT)
+                if _start(run.worker) == _start(worker)
+                and run.outcome is RunOutcome.BROKEN
                 else run
                 for run in self._pending
             ),
@@ -240,7 +241,7 @@
         }
 
     def _record_exit(
-        self, worker: Worker, evidence: Evidence, runs: Sequence[OpenEndedRun]
+        self, worker: Worker, evidence: Evidence, runs: Sequence[UnansweredRun]
     ) -> None:
         requests = sorted({run.fingerprint for run in runs})
         self._journal.record(
--- /dev/null
+++ b/src/trefoilpaddle/state/chain/crash_registry.py
@@ -0,0 +1,212 @@
+"""Worker crashes by the request that ran there, and the restrictions that follow."""
+
+import time
+from collections import Counter, OrderedDict
+from dataclasses import dataclass, field
+from enum import Enum, unique
+from typing import Final
+
+from .fingerprint import account_part
+
+BLOCK_AFTER: Final = 3
+"""Number of crashes after which a request is sent to no worker."""
+
+BLOCK_S: Final = {3: 600.0, 4: 3600.0}
+"""Seconds for which a request is blocked, by its number of crashes.
+
+With more crashes it is blocked until its record expires. After the block it runs once
+more, isolated, so that a request that ran at crashing workers by chance is cleared.
+"""
+
+RETENTION_S: Final = 86400.0
+"""Seconds for which a crash is remembered."""
+
+MAX_REQUESTS: Final = 2048
+"""Requests that are remembered; those with the fewest crashes are evicted first."""
+
+MAX_REQUESTS_PER_ACCOUNT: Final = 256
+"""The same limit per client account: twice what runs at the largest worker."""
+
+MAX_LEVEL: Final = 8
+"""Crashes of one request that are counted; further crashes have no effect."""
+
+MAX_CLEARED: Final = 2048
+"""Cleared requests that are remembered, so that late reports do not undo this."""
+
+
+@unique
+class CrashStatus(Enum):
+    """What may be done with a request after worker crashes."""
+
+    CLEAR = "clear"
+    """No crash is known."""
+    WATCHED = "watched"
+    """One worker has crashed while it ran the request."""
+    SUSPECT = "suspect"
+    """The request has at most one run at a time, isolated from other requests."""
+    BLOCKED = "blocked"
+    """The request is sent to no worker."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Crash:
+    """The crash of a worker while it ran a request.
+
+    Parameters
+    ----------
+    worker_id : str
+        Id of the worker.
+    born_ms : int
+        Start time of the worker; 0 if it reports none.
+    level : int
+        One more than the number of crashes that the gateway knew when the run began.
+        Crashes of runs that began with the same knowledge count as one: workers that
+        lose power together end many runs of a popular request, and the reports of
+        these crashes arrive late.
+    ended_s : float
+        Monotonic time of the crash.
+    """
+
+    worker_id: str
+    born_ms: int
+    level: int
+    ended_s: float
+
+
+@dataclass(slots=True, kw_only=True)
+class CrashRecord:
+    """The crashes of one request: the first that was reported of each level."""
+
+    crashes: dict[int, Crash] = field(default_factory=dict)
+
+    def level(self) -> int:
+        """Return how many crashes there were in succession."""
+        return max(self.crashes, default=0)
+
+    def last_crash_s(self) -> float:
+        """Return the monotonic time of the latest crash."""
+        return max(crash.ended_s for crash in self.crashes.values())
+
+
+class CrashRegistry:
+    """Records crashes by request, bounded in count and time.
+
+    A request that any worker answers is cleared of all its crashes: a request that
+    crashes every worker is never answered.
+    """
+
+    __slots__ = ("_cleared_s", "_of_account", "_records")
+
+    def __init__(self) -> None:
+        self._records: dict[str, CrashRecord] = {}
+        self._of_account: Counter[str] = Counter()
+        self._cleared_s: OrderedDict[str, float] = OrderedDict()
+
+    def __len__(self) -> int:
+        return len(self._records)
+
+    def record(self, fingerprint: str, crash: Crash) -> bool:
+        """Record a crash; return True if it was not known yet."""
+        now_s = time.monotonic()
+        is_old = now_s - crash.ended_s > RETENTION_S
+        if is_old or crash.level > MAX_LEVEL or self.is_cleared(fingerprint, crash):
+            return False
+        record = self._records.get(fingerprint)
+        if record is None:
+            if not self._ensure_capacity(fingerprint, now_s):
+                return False
+            record = self._records[fingerprint] = CrashRecord()
+            self._of_account[account_part(fingerprint)] += 1
+        if crash.level in record.crashes:
+            return False
+        record.crashes[crash.level] = crash
+        return True
+
+    def clear(self, fingerprint: str) -> bool:
+        """Forget the crashes of a request; return True if this changed anything."""
+        is_change = fingerprint not in self._cleared_s or fingerprint in self._records
+        self._forget(fingerprint)
+        self._cleared_s[fingerprint] = time.monotonic()
+        self._cleared_s.move_to_end(fingerprint)
+        while len(self._cleared_s) > MAX_CLEARED:
+            self._cleared_s.popitem(last=False)
+        return is_change
+
+    def is_cleared(self, fingerprint: str, crash: Crash) -> bool:
+        """Return True if a request was cleared after a crash."""
+        cleared_s = self._cleared_s.get(fingerprint)
+        return cleared_s is not None and crash.ended_s <= cleared_s
+
+    def status(self, fingerprint: str) -> CrashStatus:
+        """Return what may be done with a request now, given its fingerprint."""
+        record = self._records.get(fingerprint)
+        if record is None:
+            return CrashStatus.CLEAR
+        age_s = time.monotonic() - record.last_crash_s()
+        level = record.level()
+        if age_s > RETENTION_S:
+            self._forget(fingerprint)
+            return CrashStatus.CLEAR
+        if level >= BLOCK_AFTER:
+            is_over = age_s > BLOCK_S.get(level, RETENTION_S)
+            return CrashStatus.SUSPECT if is_over else CrashStatus.BLOCKED
+        return CrashStatus.SUSPECT if level == BLOCK_AFTER - 1 else CrashStatus.WATCHED
+
+    def level(self, fingerprint: str) -> int:
+        """Return how many crashes of a request there were in succession."""
+        record = self._records.get(fingerprint)
+        return 0 if record is None else record.level()
+
+    def crashes(self, fingerprint: str) -> tuple[Crash, ...]:
+        """Return the crashes of a request, one for each level."""
+        record = self._records.get(fingerprint)
+        return () if record is None else tuple(record.crashes.values())
+
+    def fingerprints(self) -> list[str]:
+        """Return the fingerprints of all requests that are remembered."""
+        return list(self._records)
+
+    def _ensure_capacity(self, fingerprint: str, now_s: float) -> bool:
+        """Evict a record if a limit is reached; return False if none may be evicted.
+
+        Above the limit of a client account, only records of that account are evicted.
+        """
+        account = account_part(fingerprint)
+        if self._of_account[account] >= MAX_REQUESTS_PER_ACCOUNT:
+            return self._evict_least_severe(account)
+        if len(self._records) < MAX_REQUESTS:
+            return True
+        for known in [f for f, r in self._records.items() if _is_expired(r, now_s)]:
+            self._forget(known)
+        if len(self._records) < MAX_REQUESTS:
+            return True
+        return self._evict_least_severe(self._of_account.most_common(1)[0][0])
+
+    def _evict_least_severe(self, account: str) -> bool:
+        """Evict the record of an account with the fewest and oldest crashes.
+
+        Records of suspect and blocked requests stay: a caller that sends many different
+        bodies could otherwise evict the records of the requests that crashed workers.
+        """
+        least = min(
+            (
+                (record.level(), record.last_crash_s(), fingerprint)
+                for fingerprint, record in self._records.items()
+                if account_part(fingerprint) == account
+            ),
+        )
+        if least[0] >= BLOCK_AFTER - 1:
+            return False
+        self._forget(least[2])
+        return True
+
+    def _forget(self, fingerprint: str) -> None:
+        if self._records.pop(fingerprint, None) is not None:
+            account = account_part(fingerprint)
+            self._of_account[account] -= 1
+            if not self._of_account[account]:
+                del self._of_account[account]
+
+
+def _is_expired(record: CrashRecord, now_s: float) -> bool:
+    return now_s - record.last_crash_s() > RETENTION_S
--- a/src/trefoilpaddle/state/chain/worker_runs.py
+++ b/src/trefoilpaddle/state/chain/worker_runs.py
@@ -1,4 +1,4 @@
-"""Runs of requests at workers, and how each of them ended."""
+"""Runs of requests at workers, and their outcomes."""
 
 from dataclasses import dataclass
 from enum import Enum, unique
@@ -8,56 +8,56 @@
 
 
 @unique
-class RunEnd(Enum):
-    """How the run of a request at a worker ended, as its gateway saw it."""
+class RunOutcome(Enum):
+    """Outcome of the run of a request at a worker, as observed by the gateway."""
 
     ANSWERED = "answered"
-    """The worker answered whole, with a success or a failure of its own."""
+    """The worker answered completely, with a success or a failure of its own."""
     NOT_RUN = "not_run"
-    """The worker did not run it."""
+    """The worker did not run the request."""
     REFUSED = "refused"
     """Nothing listened at the worker's address."""
     BROKEN = "broken"
-    """The connection ended within the answer."""
+    """The connection closed before the answer was complete."""
     SILENT = "silent"
-    """The worker fell silent."""
+    """The worker did not respond in time."""
     LEFT = "left"
-    """The caller left; what became of the run was not seen."""
+    """The caller disconnected; the outcome of the run was not observed."""
 
 
-def end_of_fault(fault: CallFault) -> RunEnd:
-    """Return how a run ended that a call's fault ended."""
+def outcome_of_fault(fault: CallFault) -> RunOutcome:
+    """Return the outcome of a run whose call ended with a fault."""
     match fault:
         case CallFault.REFUSED:
-            return RunEnd.REFUSED
+            return RunOutcome.REFUSED
         case CallFault.BROKEN:
-            return RunEnd.BROKEN
+            return RunOutcome.BROKEN
         case CallFault.SILENT:
-            return RunEnd.SILENT
+            return RunOutcome.SILENT
         case _:
-            return RunEnd.NOT_RUN
+            return RunOutcome.NOT_RUN
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OpenEndedRun:
-    """A run that has no answer; its worker may have ended under it.
+class UnansweredRun:
+    """A run without an answer; its worker may have crashed during it.
 
     Parameters
     ----------
     worker : Worker
-        Where it ran.
+        Worker that ran the request.
     fingerprint : str
-        The request.
+        Fingerprint of the request.
     level : int
-        Crashes of the request that were known as it began.
+        Crashes of the request that were known when the run began.
     ended_s : float
-        Monotonic time of its end.
-    end : RunEnd
-        How it ended.
+        Monotonic time at which the run ended.
+    outcome : RunOutcome
+        How the run ended.
     """
 
     worker: Worker
     fingerprint: str
     level: int
     ended_s: float
-    end: RunEnd
+    outcome: RunOutcome
--- a/tests/chain/crash_fleet.py
+++ b/tests/chain/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways that tell one another of crashes, over links that can be cut."""
+"""Gateways that notify one another of crashes over links that can be disconnected."""
 
 import asyncio
 import contextlib
@@ -11,8 +11,8 @@
 from trefoilpaddle.coordination.chain.crash_relay import CrashRelay
 from trefoilpaddle.coordination.members.overlay import neighbours
 from trefoilpaddle.protocol.frames import Message, decode, encode
-from trefoilpaddle.state.chain.crash_book import CrashBook, Standing
-from trefoilpaddle.state.chain.worker_runs import RunEnd
+from trefoilpaddle.state.chain.crash_registry import CrashRegistry, CrashStatus
+from trefoilpaddle.state.chain.worker_runs import RunOutcome
 from trefoilpaddle.state.chain.workers import WorkerTable
 from trefoilpaddle.transport.connection import Address
 
@@ -22,7 +22,7 @@
 
 
 class Gateway:
-    """What one gateway knows of crashes."""
+    """One gateway, as far as it handles crashes."""
 
     def __init__(self, number: int, calls: FakeCalls, n_workers: int) -> None:
         self.process = process(f"g{number}")
@@ -31,7 +31,7 @@
         self.workers = WorkerTable()
         for each in range(n_workers):
             self.workers.put(replace(worker(f"w{each}"), born_ms=1))
-        self.book = CrashBook()
+        self.book = CrashRegistry()
         self.notes = journal()
         self.relay = CrashRelay(
             process=self.process, links=lambda: self.links, book=self.book
@@ -44,14 +44,14 @@
             relay=self.relay,
         )
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         message = decode(data[LENGTH_BYTES:]).unwrap().message
         for listener in self.process.message_listeners:
             listener(None, message)  # type: ignore[arg-type]
 
 
 class FakeLink:
-    """A way from one gateway to another."""
+    """A link from one gateway to another."""
 
     def __init__(self, fleet: "CrashFleet", to: Gateway) -> None:
         self._fleet = fleet
@@ -65,17 +65,17 @@
         data = encode(message)
         self._fleet.n_messages += 1
         self._fleet.n_bytes += len(data)
-        asyncio.get_running_loop().call_soon(self._to.hear, data)
+        asyncio.get_running_loop().call_soon(self._to.receive, data)
         return True
 
 
 class CrashFleet:
-    """Gateways with the links that members keep.
+    """Gateways with the links that members of the fleet keep.
 
     Attributes
     ----------
     n_messages, n_bytes : int
-        Sent so far between gateways.
+        Messages and bytes sent between gateways so far.
     """
 
     def __init__(self, n_gateways: int, n_workers: int) -> None:
@@ -94,20 +94,20 @@
             ]
 
     async def run_at(
-        self, number: int, worker_id: str, fingerprint: str, end: RunEnd
+        self, number: int, worker_id: str, fingerprint: str, end: RunOutcome
     ) -> None:
-        """Run a request at a worker; one that ends broken ends the worker."""
+        """Run a request at a worker; the outcome BROKEN crashes the worker."""
         gateway = self.every[number]
         at = gateway.workers.get(worker_id)
         assert at is not None
         with gateway.guard.running(at, fingerprint) as run:
             await asyncio.sleep(0.002)
             run.end = end
-            if end is RunEnd.BROKEN:
+            if end is RunOutcome.BROKEN:
                 self.calls.refusing.add(worker_id)
         await gateway.guard.wait_for_exit_check(at)
 
-    def start_again(self, worker_id: str) -> None:
+    def restart(self, worker_id: str) -> None:
         """List a new start of a worker at all gateways."""
         self.calls.refusing.discard(worker_id)
         for gateway in self.every:
@@ -115,16 +115,16 @@
             assert known is not None
             gateway.workers.put(replace(known, born_ms=known.born_ms + 1))
 
-    def standings(self, fingerprint: str) -> set[Standing]:
-        """Return what the gateways hold of a request."""
-        return {gateway.book.standing(fingerprint) for gateway in self.every}
+    def statuses(self, fingerprint: str) -> set[CrashStatus]:
+        """Return the crash statuses that the gateways have for a request."""
+        return {gateway.book.status(fingerprint) for gateway in self.every}
 
 
 @contextlib.asynccontextmanager
 async def crash_fleet(
     n_gateways: int = 8, *, n_workers: int = 9
 ) -> AsyncIterator[CrashFleet]:
-    """Let gateways tell one another while the context is open."""
+    """Run gateways that notify one another while the context is open."""
     fleet = CrashFleet(n_gateways, n_workers)
     running = [asyncio.create_task(each.relay.run()) for each in fleet.every]
     try:
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -1,4 +1,4 @@
-"""Workers, calls and a caller that a test scripts."""
+"""Workers, calls and a caller that are scripted by a test."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -18,14 +18,14 @@
     TargetCalls,
 )
 from trefoilpaddle.roles.process import Identity, Process
-from trefoilpaddle.state.chain.crash_book import CrashBook
-from trefoilpaddle.state.chain.piece_work import PieceEnd, PieceMade, PieceWork
+from trefoilpaddle.state.chain.crash_registry import CrashRegistry
+from trefoilpaddle.state.chain.piece_work import PieceOutcome, PieceResult, PieceWork
 from trefoilpaddle.state.chain.repeat_budget import RepeatBudgets
 from trefoilpaddle.state.chain.requests import CallerRequest
 from trefoilpaddle.state.chain.routes import (
     PieceService,
     PlainService,
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     Split,
@@ -63,7 +63,7 @@
         "call_s": 0.02,
         "piece_s": 0.001,
         "memory_bytes": 1e6,
-        "keep_s": 4.0,
+        "retention_s": 4.0,
     }
     return PieceService(name=name, **(known | fields))  # type: ignore[arg-type]
 
@@ -74,7 +74,7 @@
         "host": "h",
         "prefix": "/",
         "splits": (Split(service="plain", weight=1.0),),
-        "repeat": Repeat.NON_IDEMPOTENT,
+        "repeat": RepeatPolicy.NON_IDEMPOTENT,
         "timeout_s": 2.0,
         "target_latency_s": 0.5,
     }
@@ -101,7 +101,7 @@
         "headers": (),
         "body": b"",
         "body_digest": b"",
-        "came_s": now_s,
+        "received_s": now_s,
         "deadline_s": now_s + 2.0,
     }
     return CallerRequest(**(known | fields))  # type: ignore[arg-type]
@@ -113,7 +113,7 @@
 
 @dataclass
 class FakeAnswer:
-    """An answer of a worker: a body, or events that may break off."""
+    """An answer of a worker: a body, or events that may be interrupted."""
 
     head: AnswerHead = OK_HEAD
     body: bytes = b"body"
@@ -132,7 +132,7 @@
             yield StreamEvent(number=number, data=f"id: {number}\n\n".encode())
         await asyncio.sleep(self.hangs_s)
         if self.breaks:
-            raise StreamBrokenError("cut")
+            raise StreamBrokenError("interrupted")
 
 
 Script = FakeAnswer | CallFault
@@ -140,23 +140,23 @@
 
 @dataclass
 class FakeCalls:
-    """Answers calls by what a test wrote for them."""
+    """Answers calls from a script of the test."""
 
     scripts: list[Script] = field(default_factory=list)
     sent: list[tuple[str, TargetCall]] = field(default_factory=list)
     batches: list[list[PieceWork]] = field(default_factory=list)
     freed: list[str] = field(default_factory=list)
-    make: Callable[[Worker, Sequence[PieceWork]], list[PieceEnd] | CallFault] | None = (
-        None
-    )
+    make: (
+        Callable[[Worker, Sequence[PieceWork]], list[PieceOutcome] | CallFault] | None
+    ) = None
     call_s: float = 0.01
     sending_s: float = 0.0
     free_gate: asyncio.Event | None = None
-    said: WorkerReport | None = None
+    worker_report: WorkerReport | None = None
     n_reports: int = 0
     refusing: set[str] = field(default_factory=set)
-    is_dark: bool = False
-    n_looks: int = 0
+    is_unreachable: bool = False
+    n_checks: int = 0
 
     @asynccontextmanager
     async def exchange(
@@ -176,26 +176,26 @@
         *,
         timeout_s: float,
         on_sent: Callable[[], None],
-    ) -> Result[list[PieceEnd], CallFault]:
+    ) -> Result[list[PieceOutcome], CallFault]:
         self.batches.append(list(works))
         if self.sending_s:
             await asyncio.sleep(self.sending_s)
         on_sent()
         await asyncio.sleep(self.call_s)
         if self.make is None:
-            return Ok([made(worker, work) for work in works])
+            return Ok([result_of(worker, work) for work in works])
         ends = self.make(worker, works)
         return Err(ends) if isinstance(ends, CallFault) else Ok(ends)
 
     async def report(self, worker: Worker, *, timeout_s: float) -> WorkerReport | None:
         self.n_reports += 1
         await asyncio.sleep(0)
-        return self.said
+        return self.worker_report
 
     async def is_listening(self, worker: Worker) -> bool | None:
-        self.n_looks += 1
+        self.n_checks += 1
         await asyncio.sleep(0)
-        return None if self.is_dark else worker.worker_id not in self.refusing
+        return None if self.is_unreachable else worker.worker_id not in self.refusing
 
     async def free_results(self, worker: Worker, handles: Sequence[str]) -> bool:
         if self.free_gate is not None:
@@ -204,14 +204,14 @@
         return True
 
 
-def made(worker: Worker, work: PieceWork) -> PieceMade:
+def result_of(worker: Worker, work: PieceWork) -> PieceResult:
     handle = f"{worker.worker_id}/{work.request_id}.{work.stage}.{work.piece}"
-    return PieceMade(handle=handle, worker_id=worker.worker_id)
+    return PieceResult(handle=handle, worker_id=worker.worker_id)
 
 
 @dataclass
 class FakeSink:
-    """What a caller saw."""
+    """Records what a caller receives."""
 
     seen: list[str] = field(default_factory=list)
 
@@ -251,7 +251,7 @@
 
 
 def crash_guard(calls: TargetCalls, workers: WorkerTable) -> CrashGuard:
-    book = CrashBook()
+    book = CrashRegistry()
     return CrashGuard(
         workers=workers,
         calls=calls,
@@ -262,7 +262,7 @@
 
 
 def process(name: str, domain: str = "here") -> Process:
-    """Return a gateway's process that is not running yet."""
+    """Return the process of a gateway that is not running yet."""
     return Process(
         identity=Identity(
             process_id=name,
--- a/tests/chain/test_request_path.py
+++ b/tests/chain/test_request_path.py
@@ -1,4 +1,4 @@
-"""A request from its route to its answer, and callers that leave."""
+"""The path of a request from its route to its answer, and callers that leave."""
 
 import asyncio
 import time
@@ -24,7 +24,7 @@
 from trefoilpaddle.state.chain.requests import Answered, Outcome, Refused
 from trefoilpaddle.state.chain.routes import (
     Account,
-    Repeat,
+    RepeatPolicy,
     Route,
     RouteTable,
     StagePlan,
@@ -51,7 +51,7 @@
 
 
 class SlowCalls(FakeCalls):
-    """Counts answers that were waited for to the end."""
+    """Counts the answers that were waited for until complete."""
 
     n_finished = 0
 
@@ -114,8 +114,8 @@
     async def test_stages_are_to_be_made_before_its_caller_leaves(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A chat has twenty seconds, and its caller leaves after seven without an
-        # event. Its chain was told of the twenty, and waited in line beyond the seven.
+        # A chat has a deadline of 20 s, but its caller leaves after 7 s without an
+        # event. Its chain received the deadline of 20 s and was queued beyond the 7 s.
         works: list[ChainWork] = []
 
         async def refuse(
@@ -126,13 +126,11 @@
 
         monkeypatch.setattr(ChainRouter, "run", refuse)
         stages = (StagePlan(service="s", after=(), result_bytes=1.0),)
-        chat = route(
-            is_stream=True, timeout_s=20.0, event_patience_s=7.0, stages=stages
-        )
+        chat = route(is_stream=True, timeout_s=20.0, event_timeout_s=7.0, stages=stages)
         rig = Rig(FakeCalls(), chat)
         rig.workers.put(worker("s1", "s"))
         now_s = time.monotonic()
-        outcome = await rig.serve(came_s=now_s, deadline_s=now_s + 20.0)
+        outcome = await rig.serve(received_s=now_s, deadline_s=now_s + 20.0)
         assert isinstance(outcome, Refused)
         assert [work.deadline_s <= now_s + 7.0 for work in works] == [True]
 
@@ -172,8 +170,8 @@
         await asyncio.gather(serving, return_exceptions=True)
 
     async def test_what_may_not_run_twice_is_finished(self) -> None:
-        # A caller reserves stock and leaves before the answer. Broken off, the
-        # reservation is half done; finished, at least the worker knows of it.
+        # A caller reserves stock and leaves before the answer. If the run is cancelled,
+        # the reservation is incomplete; if it is completed, the worker has its result.
         calls = SlowCalls()
         rig = Rig(calls, route())
         await self.leave(rig, calls)
@@ -182,7 +180,7 @@
 
     async def test_what_may_be_repeated_is_broken_off(self) -> None:
         calls = SlowCalls()
-        rig = Rig(calls, route(repeat=Repeat.IDEMPOTENT))
+        rig = Rig(calls, route(repeat=RepeatPolicy.IDEMPOTENT))
         await self.leave(rig, calls)
         await asyncio.sleep(0.1)
         assert calls.n_finished == 0
@@ -190,8 +188,8 @@
 
 class TestWhatIsCutOff:
     async def test_the_log_tells_it_from_a_caller_that_left(self) -> None:
-        # A gateway that stops closed the connections of requests that had no answer
-        # yet. Its log said of each that the caller had left.
+        # A gateway that stops closed the connections of requests without an answer. Its
+        # log reported for each of them that the caller had left.
         rig = Rig(SlowCalls(), route())
         rig.stop.order()
         rig.stop.is_closing = True
