--- a/src/trefoilpaddle/coordination/published/table_in_force.py
+++ b/src/trefoilpaddle/coordination/published/active_table.py
@@ -4,12 +4,12 @@
 
 from ...protocol.gen.chain.ttypes import StoreNews, TableChange
 from .published_store import PublishedTable
-from .store_notes import StoreNotes
+from .store_journal import StoreJournal
 from .store_relay import StoreRelay
-from .table_change import change_between, changed_data
+from .table_change import apply_change, change_between
 
 
-class TableInForce:
+class ActiveTable:
     """Puts each newer table in force, read, sent whole or told as a change.
 
     Parameters
@@ -20,14 +20,14 @@
         Returns the table that a peer's bytes hold, or None.
     relay : StoreRelay
         Keeps the newest table for peers.
-    notes : StoreNotes
+    journal : StoreJournal
         Keeps its version.
     """
 
     __slots__ = (
         "_decode",
+        "_journal",
         "_named_version",
-        "_notes",
         "_on_table",
         "_relay",
         "_unreadable_version",
@@ -39,12 +39,12 @@
         on_table: Callable[[PublishedTable], None],
         decode: Callable[[bytes], PublishedTable | None],
         relay: StoreRelay,
-        notes: StoreNotes,
+        journal: StoreJournal,
     ) -> None:
         self._on_table = on_table
         self._decode = decode
         self._relay = relay
-        self._notes = notes
+        self._journal = journal
         self._unreadable_version = 0
         self._named_version = 0
 
@@ -54,38 +54,40 @@
 
         A store that came back from a copy may not have it.
         """
-        return self._named_version > max(self._notes.version, self._unreadable_version)
+        return self._named_version > max(
+            self._journal.version, self._unreadable_version
+        )
 
-    def take(self, published: PublishedTable | None) -> bool:
+    def apply_if_newer(self, published: PublishedTable | None) -> bool:
         """Put a table in force unless it is older; True if it was newer."""
         # A read that was answered late, or a peer that lags, may bring an older
         # version; taking it would bring back routes and keys that are gone.
-        if published is None or published.table.version <= self._notes.version:
+        if published is None or published.table.version <= self._journal.version:
             return False
-        self._notes.version = published.table.version
+        self._journal.version = published.table.version
         self._relay.published = published
-        self._notes.table_in_force()
+        self._journal.record_active_table()
         self._on_table(published)
         return True
 
-    def take_data(self, data: bytes) -> None:
+    def apply_data(self, data: bytes) -> None:
         """Put a table in force that a peer has sent whole."""
-        self.take(self._decode(data))
+        self.apply_if_newer(self._decode(data))
 
-    def take_news(self, news: StoreNews) -> bool:
+    def apply_update(self, news: StoreNews) -> bool:
         """Put the table of news in force; return False if it is still missing."""
         self._named_version = max(self._named_version, news.version)
-        if news.version <= max(self._notes.version, self._unreadable_version):
+        if news.version <= max(self._journal.version, self._unreadable_version):
             return True
         base = self._relay.published
         if news.table is None or base is None:
             return False
-        data = changed_data(base, news.table)
+        data = apply_change(base, news.table)
         if data is None:
             return False
         published = self._decode(data)
         if published is not None:
-            return self.take(published)
+            return self.apply_if_newer(published)
         # These are the published bytes, and the store has no others. Asked for
         # with all news that name them, it would be read three times a second.
         self._unreadable_version = news.version
--- a/src/trefoilpaddle/coordination/published/late_answer.py
+++ b/src/trefoilpaddle/coordination/published/call_while_waiting.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 
-async def meanwhile(
+async def call_while_waiting(
     work: Coroutine[Any, Any, T],
     other: Callable[[], Awaitable[object]],
     *,
--- a/src/trefoilpaddle/coordination/published/published_store.py
+++ b/src/trefoilpaddle/coordination/published/published_store.py
@@ -71,7 +71,7 @@
         Ids of workers that are listed no more.
     unreadable : tuple of UnreadableEntry
         Entries that name no worker to use; one that did before is withdrawn.
-    returned : tuple of str
+    relisted : tuple of str
         Ids of those of `workers` that were not listed for a while meanwhile.
     """
 
@@ -80,7 +80,7 @@
     workers: tuple[Worker, ...] = ()
     removed: tuple[str, ...] = ()
     unreadable: tuple[UnreadableEntry, ...] = ()
-    returned: tuple[str, ...] = ()
+    relisted: tuple[str, ...] = ()
 
 
 class PublishedStore(Protocol):
--- a/src/trefoilpaddle/coordination/published/store_feed.py
+++ b/src/trefoilpaddle/coordination/published/store_feed.py
@@ -13,10 +13,10 @@
 from ...protocol.gen.chain.ttypes import StoreNews, StoreState
 from ...state.chain.workers import WorkerTable
 from ...state.journal import Event, Journal
-from .late_answer import meanwhile
+from .call_while_waiting import call_while_waiting
 from .published_store import PublishedStore, PublishedTable, StoreChanges, StoreFault
 from .store_position import StorePosition
-from .store_readers import Missing, StoreReaders
+from .store_readers import StoreReaders, UpdateGap
 from .store_relay import StoreRelay
 from .store_view import ListReason, StoreView
 from .worker_listing import Scope
@@ -32,19 +32,19 @@
 RETRY_S: Final = 0.3
 """Time to the next read after one that failed; half of the usual."""
 
-PATIENCE_S: Final = 0.3
+PEER_FALLBACK_S: Final = 0.3
 """How long a read may take before peers are asked, and again each so long.
 
 Many times the usual few milliseconds, and half of the time between two reads.
 """
 
-AWAY_S: Final = 1.2
+UNAVAILABLE_AFTER_S: Final = 1.2
 """How long a question hangs, with an answer to a later one, if the store was away.
 
 In less no entry runs out whose worker lives; the store was slow, or one answer lost.
 """
 
-DROP_LOOK_S: Final = 0.2
+EXPIRY_CHECK_S: Final = 0.2
 """Time between looks for workers whose time to come back is over."""
 
 
@@ -65,29 +65,29 @@
         Asked while the store does not answer.
     readers : StoreReaders
         Says whether this gateway reads; told what it has read.
-    ask_peers : callable
+    query_peers : callable
         Returns what live peers know of the store.
     decode : callable
         Returns the table that a peer's bytes hold, or None.
 
     Attributes
     ----------
-    is_away : bool
+    is_unavailable : bool
         True while the store does not answer.
     view : StoreView
         What is known of it.
     """
 
     __slots__ = (
-        "_ask_peers",
         "_asked_s",
         "_began_s",
+        "_query_peers",
         "_read_s",
         "_readers",
         "_relay",
         "_store",
         "_told_s",
-        "is_away",
+        "is_unavailable",
         "view",
     )
 
@@ -100,13 +100,13 @@
         journal: Journal,
         relay: StoreRelay,
         readers: StoreReaders,
-        ask_peers: Callable[[], Awaitable[list[StoreState]]],
+        query_peers: Callable[[], Awaitable[list[StoreState]]],
         decode: Callable[[bytes], PublishedTable | None],
     ) -> None:
         self._relay = relay
         self._readers = readers
-        readers.on_news = self.take_news
-        self._ask_peers = ask_peers
+        readers.on_update = self.apply_update
+        self._query_peers = query_peers
         self._store = store
         self.view = StoreView(
             workers=workers,
@@ -119,7 +119,7 @@
         self._began_s = 0.0
         self._told_s = 0.0
         self._read_s = time.monotonic()
-        self.is_away = False
+        self.is_unavailable = False
 
     @property
     def position(self) -> StorePosition:
@@ -129,32 +129,32 @@
     @property
     def is_known(self) -> bool:
         """True once a route table is in force."""
-        return self.view.notes.version > 0
+        return self.view.store_journal.version > 0
 
     async def run(self) -> None:
         """Read until cancelled."""
         while True:
             if not self.position.is_known or self._readers.must_read():
                 began_s = self._began_s = time.monotonic()
-                is_read = await meanwhile(
-                    self._read_any(), self._ask_meanwhile, every_s=PATIENCE_S
+                is_read = await call_while_waiting(
+                    self._read_any(), self._ask_meanwhile, every_s=PEER_FALLBACK_S
                 )
-                self._readers.note_read(is_answered=is_read)
+                self._readers.record_read(is_answered=is_read)
                 # Counted from the question, so that readers tell the others in time
                 # also while the store is slow.
                 rest_s = max(0.0, began_s + POLL_S - time.monotonic())
                 retry_s = min(RETRY_S, self._own_turn_s() or RETRY_S)
                 await self._pause(rest_s if is_read else retry_s)
             else:
-                self.view.listing.drop_lapsed(time.monotonic())
+                self.view.listing.remove_expired(time.monotonic())
                 await self._readers.wait()
 
     async def _pause(self, for_s: float) -> None:
         """Sleep, and drop meanwhile the workers whose time to come back is over."""
         ends_s = time.monotonic() + for_s
         while (left_s := ends_s - time.monotonic()) > 0.0:
-            await asyncio.sleep(min(left_s, DROP_LOOK_S))
-            self.view.listing.drop_lapsed(time.monotonic())
+            await asyncio.sleep(min(left_s, EXPIRY_CHECK_S))
+            self.view.listing.remove_expired(time.monotonic())
 
     async def _read_any(self) -> bool:
         """Read the store, or peers if it does not answer; True if one of them did.
@@ -196,7 +196,7 @@
         other gateways wait for what the readers hear.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(PEER_FALLBACK_S):
                 await self.read_once(is_again=True)
 
     async def read_once(self, *, is_again: bool = False) -> bool:
@@ -209,16 +209,18 @@
         """
         asked = self.position
         reason = self.view.list_reason
-        if not (self.is_away or is_again):
+        if not (self.is_unavailable or is_again):
             self._asked_s = time.monotonic()
         match await self._answer(asked):
             case Ok(changes):
                 hung_s = time.monotonic() - self._began_s if is_again else 0.0
-                self._note_answered(was_away=self.is_away or hung_s >= AWAY_S)
+                self._note_answered(
+                    was_away=self.is_unavailable or hung_s >= UNAVAILABLE_AFTER_S
+                )
                 return await self._take_answer(changes, asked, reason)
             case Err(StoreFault.HISTORY_LOST):
                 if self.position == asked:
-                    self.view.need_list(ListReason.LOST)
+                    self.view.request_list(ListReason.CHANGES_LOST)
                 if self.position.is_known or self._leaves_list_to_others():
                     # Others have told what came since, or of a later era.
                     return self.position.is_known
@@ -231,7 +233,7 @@
         """Return what the store says of all that came after a position."""
         if after.is_known:
             return await self._store.changes(after)
-        self.view.notes.listed(self.view.list_reason.value)
+        self.view.store_journal.record_list_request(self.view.list_reason.value)
         return await self._store.snapshot()
 
     async def _take_answer(
@@ -242,38 +244,38 @@
         self.view.enter_era(era)
         if era < self.position.era:
             # It was late; others told of a later era meanwhile.
-            self.view.table.take(changes.table)
+            self.view.table.apply_if_newer(changes.table)
             return False
         is_changes = asked.is_known
         if is_changes and (asked.era != era or not self.position.is_known):
             # Changes since a revision of another era lead on from nothing, and they
             # are not the list that is needed by now: taken for it, all other workers
             # would be gone. A table stands for itself.
-            self.view.table.take(changes.table)
+            self.view.table.apply_if_newer(changes.table)
             if self.position.is_known or self._leaves_list_to_others():
                 return self.position.is_known
             return await self.read_once()
-        if not is_changes and reason is ListReason.RETURN and self.position.is_known:
+        if not is_changes and reason is ListReason.RECOVERY and self.position.is_known:
             # Others have told what differs; a list would be told to all whole.
-            self.view.table.take(changes.table)
+            self.view.table.apply_if_newer(changes.table)
             return True
         scope = Scope.CHANGES if is_changes else self.view.list_scope
-        news = self.view.take_read(changes, scope)
+        news = self.view.apply_read(changes, scope)
         self._read_s = time.monotonic()
-        self._readers.tell(news)
+        self._readers.notify(news)
         return True
 
     async def read_peers(self) -> None:
         """Take from peers what they know and this gateway does not."""
-        for state in await self._ask_peers():
-            self.view.take_state(state)
+        for state in await self._query_peers():
+            self.view.apply_state(state)
             if state.answered_ms >= 0:
                 answered_s = time.monotonic() - state.answered_ms / MS_PER_S
                 self._told_s = max(self._told_s, answered_s)
 
-    def take_news(self, news: StoreNews) -> Missing | None:
+    def apply_update(self, news: StoreNews) -> UpdateGap | None:
         """Take what a reader has read; return what is missing since, or None."""
-        missing = self.view.take_news(news)
+        missing = self.view.apply_update(news)
         if missing is None:
             self._note_back()
             self._read_s = self._told_s = time.monotonic()
@@ -285,9 +287,9 @@
 
     def _own_turn_s(self) -> float:
         """Return how long the first list of an era is still left to others."""
-        if not self.view.is_void:
+        if not self.view.needs_era_list:
             return 0.0
-        turn_s = self.view.voided_s + self._readers.list_delay_s()
+        turn_s = self.view.era_entered_s + self._readers.list_delay_s()
         return max(0.0, turn_s - time.monotonic())
 
     def _note_answered(self, *, was_away: bool) -> None:
@@ -298,25 +300,25 @@
         """
         self._relay.answered_s = time.monotonic()
         if was_away and self._told_s <= self._asked_s:
-            self.view.listing.note_back(time.monotonic())
+            self.view.listing.record_recovery(time.monotonic())
         self._note_back()
 
     def _note_back(self) -> None:
-        if not self.is_away:
+        if not self.is_unavailable:
             return
         self._set_away(False)
         self._note_source(Event.CONFIG_SOURCE_BACK, "")
 
     def _note_away(self, fault: StoreFault) -> None:
-        if self.is_away:
+        if self.is_unavailable:
             return
         self._set_away(True)
         self._note_source(Event.CONFIG_SOURCE_LOST, fault.value)
 
-    def _set_away(self, is_away: bool) -> None:
-        self.is_away = is_away
-        self._relay.is_away = is_away
+    def _set_away(self, is_unavailable: bool) -> None:
+        self.is_unavailable = is_unavailable
+        self._relay.is_unavailable = is_unavailable
 
     def _note_source(self, event: Event, detail: str) -> None:
         age_s = time.monotonic() - self._read_s
-        self.view.notes.source(event, detail, age_s=age_s)
+        self.view.store_journal.record_source_change(event, detail, age_s=age_s)
--- a/src/trefoilpaddle/coordination/published/store_notes.py
+++ b/src/trefoilpaddle/coordination/published/store_journal.py
@@ -13,7 +13,7 @@
 """Workers that one line names."""
 
 
-class StoreNotes:
+class StoreJournal:
     """Writes these lines, each with how far this gateway's view has got.
 
     Parameters
@@ -36,20 +36,20 @@
         self.version = 0
         self.position = StorePosition()
 
-    def table_in_force(self) -> None:
+    def record_active_table(self) -> None:
         """Note that another route table is in force."""
         self._note(Event.CONFIG_IN_FORCE)
 
-    def listed(self, reason: str) -> None:
+    def record_list_request(self, reason: str) -> None:
         """Note that the whole store is asked for."""
         self._note(Event.STORE_LISTED, detail=reason)
 
-    def source(self, event: Event, detail: str, *, age_s: float) -> None:
+    def record_source_change(self, event: Event, detail: str, *, age_s: float) -> None:
         """Note that the store is gone or back, and how old the view is."""
         age = Figure(name="age_s", value=age_s)
         self._note(event, detail=detail, figures=(*self._at_position(), age))
 
-    def unreadable(self, entry: UnreadableEntry) -> None:
+    def record_unreadable(self, entry: UnreadableEntry) -> None:
         """Note an entry that names no worker to use."""
         self._note(
             Event.ENTRY_UNREADABLE,
@@ -58,7 +58,7 @@
             figures=self._at_position(),
         )
 
-    def worker(
+    def record_worker_change(
         self, event: Event, worker_id: str, known: Worker | None, *, is_leaving: bool
     ) -> None:
         """Note that a worker came, changed or went."""
@@ -70,7 +70,7 @@
             figures=self._at_position(),
         )
 
-    def returned(
+    def record_recovery(
         self,
         earlier: StorePosition,
         *,
--- a/src/trefoilpaddle/coordination/published/store_readers.py
+++ b/src/trefoilpaddle/coordination/published/store_readers.py
@@ -24,25 +24,25 @@
 N_READERS: Final = 2
 """Gateways of a group that read. With one, all would read whenever it restarts."""
 
-REGION_GATEWAYS: Final = 96
+MAX_REGION_GROUP_SIZE: Final = 96
 """Gateways of a region up to which they are one group, else each failure domain.
 
 Each group pays for readers of its own. A reader tells all others of its group 1.7
 times a second, with more of them more than a host may send for control.
 """
 
-TOLD_S: Final = 0.8
+UPDATE_TIMEOUT_S: Final = 0.8
 """How long a gateway goes by what a reader has told it last.
 
 A reader reads every 0.6 s. What is published is in force at all within this,
 one read and its way: far less than the two seconds in which it must be.
 """
 
-LOOK_S: Final = 0.3
+CHECK_INTERVAL_S: Final = 0.3
 """Time between looks of a gateway that is told; half of the time between reads."""
 
 
-LIST_TURNS_S: Final = 0.6
+LIST_STAGGER_S: Final = 0.6
 """Time over which those that do not read take turns to list the store after a return.
 
 With what the readers have before them it leaves room for a read within 3 s.
@@ -50,16 +50,16 @@
 
 
 @unique
-class Missing(Enum):
+class UpdateGap(Enum):
     """What news do not give, so that the store is read at once."""
 
     LIST = "it needs the whole list"
     CHANGES = "news lead on from later"
     TABLE = "news name a newer table"
-    NOTHING = "news are of an earlier era"
+    STALE = "news are of an earlier era"
 
 
-NOT_TOLD: Final = "it was not told"
+NO_RECENT_UPDATE: Final = "it was not told"
 """Why a gateway reads beside the readers without news that lack something."""
 
 
@@ -75,7 +75,7 @@
 
     Attributes
     ----------
-    on_news : callable or None
+    on_update : callable or None
         Takes what a reader has read; returns what is missing since, or None.
     """
 
@@ -86,7 +86,7 @@
         "_process",
         "_told_s",
         "_was_reader",
-        "on_news",
+        "on_update",
     )
 
     def __init__(
@@ -94,11 +94,11 @@
     ) -> None:
         self._process = process
         self._live = live
-        self._told_s = -TOLD_S
+        self._told_s = -UPDATE_TIMEOUT_S
         self._is_behind = asyncio.Event()
-        self._missing: Missing | None = None
+        self._missing: UpdateGap | None = None
         self._was_reader = False
-        self.on_news: Callable[[StoreNews], Missing | None] | None = None
+        self.on_update: Callable[[StoreNews], UpdateGap | None] | None = None
         process.message_listeners.append(self._on_message)
 
     def must_read(self) -> bool:
@@ -110,7 +110,7 @@
         if is_reader:
             return True
         told_age_s = time.monotonic() - self._told_s
-        is_due = self._is_behind.is_set() or told_age_s >= TOLD_S
+        is_due = self._is_behind.is_set() or told_age_s >= UPDATE_TIMEOUT_S
         if is_due:
             self._note_beside(told_age_s)
         return is_due
@@ -126,19 +126,19 @@
         ranked = [each.process_id for each in sorted(self._group(), key=duty_rank)]
         n_before = ranked.index(own_id) if own_id in ranked else len(ranked)
         if n_before < N_READERS:
-            return n_before * LOOK_S
+            return n_before * CHECK_INTERVAL_S
         turn = (n_before - N_READERS) / len(ranked)
-        return N_READERS * LOOK_S + turn * LIST_TURNS_S
+        return N_READERS * CHECK_INTERVAL_S + turn * LIST_STAGGER_S
 
     async def wait(self) -> None:
         """Wait until it is time to look again whether to read."""
         try:
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(CHECK_INTERVAL_S):
                 await self._is_behind.wait()
         except TimeoutError:
             return
 
-    def note_read(self, *, is_answered: bool) -> None:
+    def record_read(self, *, is_answered: bool) -> None:
         """Count what was missing as asked for, of the store or of peers.
 
         What the store has answered is as new as what a reader tells.
@@ -148,7 +148,7 @@
         if is_answered:
             self._told_s = time.monotonic()
 
-    def tell(self, news: StoreNews) -> None:
+    def notify(self, news: StoreNews) -> None:
         """Tell the others of the group what was read, if this is a reader.
 
         The first list of an era is told by whoever has it.
@@ -166,12 +166,12 @@
                     continue
 
     def _on_message(self, connection: Connection, message: Message) -> None:
-        if not isinstance(message, StoreNews) or self.on_news is None:
+        if not isinstance(message, StoreNews) or self.on_update is None:
             return
-        match self.on_news(message):
+        match self.on_update(message):
             case None:
                 self._told_s = time.monotonic()
-            case Missing.NOTHING:
+            case UpdateGap.STALE:
                 # Late, or of a reader that will soon know better: neither told nor
                 # asked for.
                 return
@@ -188,7 +188,7 @@
         """Return the gateways that share readers with this one, itself included."""
         own = self._process.identity
         in_region = [m for m in self._live() if m.region == own.region]
-        if len(in_region) <= REGION_GATEWAYS:
+        if len(in_region) <= MAX_REGION_GROUP_SIZE:
             return in_region
         return [m for m in in_region if m.failure_domain == own.failure_domain]
 
@@ -197,7 +197,9 @@
             Decision(
                 event=Event.STORE_READ_BESIDE,
                 peer=self._process.identity.process_id,
-                detail=NOT_TOLD if self._missing is None else self._missing.value,
+                detail=NO_RECENT_UPDATE
+                if self._missing is None
+                else self._missing.value,
                 figures=(Figure(name="told_age_s", value=told_age_s),),
             )
         )
--- a/src/trefoilpaddle/coordination/published/store_relay.py
+++ b/src/trefoilpaddle/coordination/published/store_relay.py
@@ -25,13 +25,13 @@
 from .store_wire import listed_to_wire, position_of
 from .worker_listing import WorkerListing
 
-ASK_TIMEOUT_S: Final = 0.3
+QUERY_TIMEOUT_S: Final = 0.3
 """Longest wait for a peer; many times a message's way within a region."""
 
 MAX_ANSWERED_MS: Final = 3_600_000
 """Longest time told since the store's last answer; it fits the field."""
 
-N_ASKED: Final = 2
+N_PEERS_QUERIED: Final = 2
 """Peers asked at a time; one of them may be turned away as well."""
 
 
@@ -57,7 +57,7 @@
         The newest table known here.
     position : StorePosition
         Up to which this gateway knows the store's changes.
-    is_away : bool
+    is_unavailable : bool
         True while this gateway cannot read the store itself.
     """
 
@@ -65,7 +65,7 @@
         "_process",
         "_workers",
         "answered_s",
-        "is_away",
+        "is_unavailable",
         "listing",
         "needs_list",
         "position",
@@ -80,15 +80,15 @@
         self.needs_list = False
         self.published: PublishedTable | None = None
         self.position = StorePosition()
-        self.is_away = False
-        process.server.answer(StorePull, self.answer)
+        self.is_unavailable = False
+        process.server.answer(StorePull, self.respond)
 
-    async def answer(self, question: StorePull, peer: Hello) -> StoreState:
+    async def respond(self, question: StorePull, peer: Hello) -> StoreState:
         """Answer a peer with what is newer than what it knows."""
         state = StoreState(
             era=self.position.era,
             revision=self.position.revision,
-            is_away=self.is_away,
+            is_away=self.is_unavailable,
             digest=self._digest() if self.position.is_known else 0,
         )
         if self.answered_s is not None:
@@ -116,21 +116,21 @@
     def _add_workers(self, state: StoreState) -> None:
         state.workers = [listed_to_wire(worker) for worker in self._workers.all()]
         if self.listing is not None:
-            state.lapsed = self.listing.lapsed_ids()
-            state.doubted = [listed_to_wire(each) for each in self.listing.doubted()]
-            state.back_ms = self.listing.back_ms(time.monotonic())
+            state.lapsed = self.listing.expired_ids()
+            state.doubted = [listed_to_wire(w) for w in self.listing.unconfirmed()]
+            state.back_ms = self.listing.recovery_age_ms(time.monotonic())
 
-    async def ask(
+    async def query_peers(
         self, members: Sequence[MemberRecord], own_id: str
     ) -> list[StoreState]:
         """Return what some live peers know."""
         others = [member for member in members if member.process_id != own_id]
-        asked = random.sample(others, min(N_ASKED, len(others)))
+        asked = random.sample(others, min(N_PEERS_QUERIED, len(others)))
         # Side by side: one that does not answer must not put off the other.
         answers = await asyncio.gather(*(self._ask(member) for member in asked))
         return [answer for answer in answers if answer is not None]
 
-    def question(self) -> StorePull:
+    def build_request(self) -> StorePull:
         """Return what peers are asked, with how far this gateway's view has got.
 
         Who needs the whole list takes one of its own revision, but none before
@@ -151,7 +151,7 @@
                 link = self._process.peers.link(address)
             case Err(_):
                 return None
-        match await link.ask(self.question(), timeout_s=ASK_TIMEOUT_S):
+        match await link.ask(self.build_request(), timeout_s=QUERY_TIMEOUT_S):
             case Ok(StoreState() as state):
                 return state
             case _:
--- a/src/trefoilpaddle/coordination/published/store_wire.py
+++ b/src/trefoilpaddle/coordination/published/store_wire.py
@@ -13,7 +13,7 @@
     return StorePosition(era=message.era, revision=message.revision)
 
 
-def changes_of_state(state: StoreState) -> StoreChanges:
+def changes_from_state(state: StoreState) -> StoreChanges:
     """Return the workers that the store lists as a peer knows it, without a table.
 
     Those whose entries ran out are left out: who has them gives them the time to
@@ -29,7 +29,7 @@
     )
 
 
-def list_of_news(news: StoreNews, base: Mapping[str, Worker]) -> StoreChanges:
+def list_from_update(news: StoreNews, base: Mapping[str, Worker]) -> StoreChanges:
     """Return all that is listed, from news that tell what differs from `base`."""
     listed = dict(base)
     for worker_id in news.removed:
@@ -39,12 +39,14 @@
     return StoreChanges(position=position_of(news), workers=tuple(listed.values()))
 
 
-def doubted_of(message: StoreNews | StoreState) -> tuple[Worker, ...]:
+def unconfirmed_from(message: StoreNews | StoreState) -> tuple[Worker, ...]:
     """Return the entries that a peer ignores."""
     return tuple(map(listed_from_wire, message.doubted or ()))
 
 
-def differing(base: Mapping[str, Worker], listed: Mapping[str, Worker]) -> StoreChanges:
+def difference(
+    base: Mapping[str, Worker], listed: Mapping[str, Worker]
+) -> StoreChanges:
     """Return what makes `listed` out of `base`, without position and table."""
     return StoreChanges(
         position=StorePosition(),
@@ -53,7 +55,7 @@
     )
 
 
-def changes_of_news(news: StoreNews) -> StoreChanges:
+def changes_from_update(news: StoreNews) -> StoreChanges:
     """Return what a reader says has changed, without its table."""
     return StoreChanges(
         position=position_of(news),
--- a/src/trefoilpaddle/coordination/published/table_change.py
+++ b/src/trefoilpaddle/coordination/published/table_change.py
@@ -47,7 +47,7 @@
     )
 
 
-def changed_data(base: PublishedTable, change: TableChange) -> bytes | None:
+def apply_change(base: PublishedTable, change: TableChange) -> bytes | None:
     """Return the bytes of the newest table; None if `change` does not fit `base`.
 
     What a peer sends may be damaged, or made from another table of that version.
--- a/src/trefoilpaddle/coordination/published/doubted_entries.py
+++ b/src/trefoilpaddle/coordination/published/unconfirmed_entries.py
@@ -6,7 +6,7 @@
 
 from ...state.chain.workers import Worker, WorkerTable
 
-DOUBT_S: Final = 5.0
+CONFIRM_TIMEOUT_S: Final = 5.0
 """How long an entry is doubted that stays listed.
 
 The store removes it after three heartbeats of silence: whoever stands there longer has
@@ -14,7 +14,7 @@
 """
 
 
-class DoubtedEntries:
+class UnconfirmedEntries:
     """Entries that a copy holds although later knowledge says otherwise.
 
     The copy is some seconds old. What was known as the store went away is later,
@@ -40,9 +40,9 @@
         """Return these entries, as the store lists them."""
         return list(self._by_id.values())
 
-    def judge(self, listed: Iterable[Worker], now_s: float) -> None:
+    def find_outdated(self, listed: Iterable[Worker], now_s: float) -> None:
         """Find them in the first list of an era; those of an earlier one go."""
-        self._until_s = now_s + DOUBT_S
+        self._until_s = now_s + CONFIRM_TIMEOUT_S
         by_id = {worker.worker_id: worker for worker in listed}
         taken = {
             known.address
@@ -55,7 +55,7 @@
             if self._is_outdated(worker, taken)
         }
 
-    def keep_listed(self, listed: Iterable[Worker]) -> None:
+    def retain_unchanged(self, listed: Iterable[Worker]) -> None:
         """Keep those that another list of the same era holds unchanged."""
         by_id = {worker.worker_id: worker for worker in listed}
         self._by_id = {
@@ -64,20 +64,20 @@
             if by_id.get(worker_id) == worker
         }
 
-    def adopt(self, worker: Worker, now_s: float) -> bool:
+    def add_from_peer(self, worker: Worker, now_s: float) -> bool:
         """Doubt an entry as a peer does; False if it is known otherwise here."""
         if self._workers.get(worker.worker_id) != worker:
             return False
         if not self._by_id:
-            self._until_s = now_s + DOUBT_S
+            self._until_s = now_s + CONFIRM_TIMEOUT_S
         self._by_id[worker.worker_id] = worker
         return True
 
-    def believe(self, worker_id: str) -> bool:
+    def confirm(self, worker_id: str) -> bool:
         """End a doubt: the entry was written or removed; True if there was one."""
         return self._by_id.pop(worker_id, None) is not None
 
-    def outlasting(self, now_s: float) -> list[Worker]:
+    def pop_still_listed(self, now_s: float) -> list[Worker]:
         """Return and forget those that were doubted long enough."""
         if now_s < self._until_s:
             return []
--- a/src/trefoilpaddle/coordination/published/worker_listing.py
+++ b/src/trefoilpaddle/coordination/published/worker_listing.py
@@ -9,11 +9,11 @@
 from ...protocol.const import MS_PER_S
 from ...state.chain.workers import Worker, WorkerTable
 from ...state.journal import Event
-from .doubted_entries import DOUBT_S, DoubtedEntries
 from .published_store import StoreChanges, UnreadableEntry
-from .store_notes import StoreNotes
+from .store_journal import StoreJournal
+from .unconfirmed_entries import CONFIRM_TIMEOUT_S, UnconfirmedEntries
 
-NOT_AWAY_MS: Final = -1
+NO_RECENT_RECOVERY_MS: Final = -1
 """Told of a store that was not away lately."""
 
 MAX_UNREADABLE: Final = 256
@@ -39,29 +39,29 @@
     ----------
     workers : WorkerTable
         Kept as the store lists them.
-    notes : StoreNotes
+    journal : StoreJournal
         Takes what changes.
-    lapse_s : float
+    recovery_grace_s : float
         How long an entry that ran out while the store was away may take.
     """
 
     __slots__ = (
         "_back_s",
         "_doubted",
-        "_lapse_s",
+        "_journal",
         "_lapsed",
-        "_notes",
+        "_recovery_grace_s",
         "_unreadable",
         "_workers",
     )
 
     def __init__(
-        self, *, workers: WorkerTable, notes: StoreNotes, lapse_s: float
+        self, *, workers: WorkerTable, journal: StoreJournal, recovery_grace_s: float
     ) -> None:
         self._workers = workers
-        self._notes = notes
-        self._lapse_s = lapse_s
-        self._doubted = DoubtedEntries(workers=workers)
+        self._journal = journal
+        self._recovery_grace_s = recovery_grace_s
+        self._doubted = UnconfirmedEntries(workers=workers)
         self._lapsed: dict[str, float] = {}
         self._unreadable: OrderedDict[str, str] = OrderedDict()
         self._back_s = 0.0
@@ -95,32 +95,32 @@
         }
         return listed | {worker.worker_id: worker for worker in self._doubted.all()}
 
-    def lapsed_ids(self) -> list[str]:
+    def expired_ids(self) -> list[str]:
         """Return the ids of workers whose entries ran out and may come back."""
         return list(self._lapsed)
 
-    def doubted(self) -> list[Worker]:
+    def unconfirmed(self) -> list[Worker]:
         """Return the entries that are ignored, as the store lists them."""
         return self._doubted.all()
 
-    def adopt_doubts(self, workers: Iterable[Worker], now_s: float) -> None:
+    def add_unconfirmed(self, workers: Iterable[Worker], now_s: float) -> None:
         """Take no work to the workers whose entries a peer doubts."""
         for worker in workers:
-            if self._doubted.adopt(worker, now_s):
+            if self._doubted.add_from_peer(worker, now_s):
                 self._lapsed.pop(worker.worker_id, None)
                 self._drop(worker.worker_id)
 
-    def note_back(self, back_s: float) -> None:
+    def record_recovery(self, back_s: float) -> None:
         """Note that the store came back at a moment of the monotonic clock."""
         self._back_s = max(self._back_s, back_s)
 
-    def back_ms(self, now_s: float) -> int:
+    def recovery_age_ms(self, now_s: float) -> int:
         """Return how long ago the store came back; -1 if it was not away."""
         back_for_s = now_s - self._back_s
-        was_away = self._back_s > 0.0 and back_for_s < self._lapse_s
-        return int(back_for_s * MS_PER_S) if was_away else NOT_AWAY_MS
+        was_away = self._back_s > 0.0 and back_for_s < self._recovery_grace_s
+        return int(back_for_s * MS_PER_S) if was_away else NO_RECENT_RECOVERY_MS
 
-    def take(
+    def apply(
         self, changes: StoreChanges, *, scope: Scope, now_s: float
     ) -> StoreChanges:
         """Take changes in; return those that others may not know."""
@@ -128,7 +128,7 @@
             case Scope.FIRST_LIST:
                 changes = self._of_copy(changes, now_s)
             case Scope.LIST:
-                self._doubted.keep_listed(changes.workers)
+                self._doubted.retain_unchanged(changes.workers)
         noticed = self._put(changes, scope=scope)
         removed = set(changes.removed)
         if scope is not Scope.CHANGES:
@@ -136,12 +136,12 @@
             removed |= set(self._workers.ids()) - listed
         self._withdraw(changes.unreadable)
         for worker_id in changes.removed:
-            self._doubted.believe(worker_id)
+            self._doubted.confirm(worker_id)
         for worker_id in removed:
             is_known = self._workers.get(worker_id) is not None
             if is_known and worker_id not in self._doubted:
                 self._lapsed.setdefault(worker_id, self._gone_s(now_s))
-        self.drop_lapsed(now_s)
+        self.remove_expired(now_s)
         return StoreChanges(
             position=changes.position,
             workers=noticed,
@@ -155,19 +155,19 @@
         Entries that another writer had overwritten as the copy was made count as
         missing: their workers have the time to write again.
         """
-        self._doubted.judge(changes.workers, now_s)
+        self._doubted.find_outdated(changes.workers, now_s)
         gone_s = self._gone_s(now_s)
         self._lapsed = dict.fromkeys(self._lapsed, gone_s)
         return replace(changes, unreadable=())
 
-    def list_outlasting(self, now_s: float) -> None:
+    def list_still_present(self, now_s: float) -> None:
         """List the workers whose entries stand in spite of doubt."""
-        if now_s >= self._back_s + DOUBT_S:
-            for worker in self._doubted.outlasting(now_s):
+        if now_s >= self._back_s + CONFIRM_TIMEOUT_S:
+            for worker in self._doubted.pop_still_listed(now_s):
                 self._lapsed.pop(worker.worker_id, None)
                 self._list(worker)
 
-    def drop_lapsed(self, now_s: float) -> None:
+    def remove_expired(self, now_s: float) -> None:
         """Drop the workers whose entries had the time to come back."""
         for worker_id, gone_s in list(self._lapsed.items()):
             if gone_s <= now_s:
@@ -181,12 +181,12 @@
     def _put(self, changes: StoreChanges, *, scope: Scope) -> tuple[Worker, ...]:
         """List workers; return those that others may not know as they are."""
         noticed: list[Worker] = []
-        returned = set(changes.returned)
+        returned = set(changes.relisted)
         for worker in changes.workers:
             was_doubted = worker.worker_id in self._doubted
             if was_doubted and scope is not Scope.CHANGES:
                 continue
-            self._doubted.believe(worker.worker_id)
+            self._doubted.confirm(worker.worker_id)
             self._unreadable.pop(worker.worker_id, None)
             was_lapsed = self._lapsed.pop(worker.worker_id, None) is not None
             is_news = self._list(worker)
@@ -212,7 +212,7 @@
         relied on, and the worker that it named may be gone.
         """
         for entry in entries:
-            self._doubted.believe(entry.worker_id)
+            self._doubted.confirm(entry.worker_id)
             if entry.worker_id and self._workers.get(entry.worker_id) is not None:
                 self._lapsed.pop(entry.worker_id, None)
                 self._workers.remove(entry.worker_id)
@@ -221,7 +221,7 @@
             self._unreadable[entry.worker_id] = entry.problem
             while len(self._unreadable) > MAX_UNREADABLE:
                 self._unreadable.popitem(last=False)
-            self._notes.unreadable(entry)
+            self._journal.record_unreadable(entry)
 
     def _gone_s(self, now_s: float) -> float:
         """Return when a worker that is no longer listed is taken as gone.
@@ -230,8 +230,10 @@
         meanwhile although their workers live, and come back when these write
         again. Dropping them all would leave no worker at all for as long.
         """
-        return max(now_s, self._back_s + self._lapse_s)
+        return max(now_s, self._back_s + self._recovery_grace_s)
 
     def _note(self, event: Event, worker_id: str, *, is_leaving: bool) -> None:
         known = self._workers.get(worker_id)
-        self._notes.worker(event, worker_id, known, is_leaving=is_leaving)
+        self._journal.record_worker_change(
+            event, worker_id, known, is_leaving=is_leaving
+        )
--- a/tests/platform_adapter/test_callers.py
+++ b/tests/platform_adapter/test_callers.py
@@ -8,7 +8,7 @@
 import pytest
 from adapter.caller_answers import AnswerWriter
 from adapter.caller_requests import decode_prompt
-from adapter.callers import CLOSE_LOOK_S, CallerServer
+from adapter.callers import CLOSE_CHECK_S, CallerServer
 from aiohttp import web_protocol
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -275,14 +275,14 @@
 
             def stand_still() -> None:
                 caller.sendall(GET + b"\r\n")
-                time.sleep(4 * CLOSE_LOOK_S)
+                time.sleep(4 * CLOSE_CHECK_S)
 
             async with serving(Served()) as port:
                 caller.setblocking(False)
                 loop = asyncio.get_running_loop()
                 await loop.sock_connect(caller, ("127.0.0.1", port))
                 await asyncio.sleep(0.05)
-                loop.call_later(CLOSE_LOOK_S / 5, stand_still)
+                loop.call_later(CLOSE_CHECK_S / 5, stand_still)
             assert status(await loop.sock_recv(caller, 1 << 16)) in (200, 503)
 
     async def test_who_sends_while_it_waits_for_the_last_is_told_at_once(self) -> None:
--- a/tests/platform_adapter/test_capacity_bound.py
+++ b/tests/platform_adapter/test_capacity_bound.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from capacity_bound import bound, capacity, demand
+from capacity_bound import capacity, compute_bound, demand
 
 STAGE = {"batch": 10, "call_ms": 200.0, "item_ms": 20.0, "room_mb": 1000.0}
 
@@ -29,14 +29,14 @@
     def test_what_is_worth_most_is_served_first(self) -> None:
         # 25 and 75 a second are asked for, 50 can be made: all of the first and
         # a third of the second.
-        found = bound(site(), {"name": "day"})
+        found = compute_bound(site(), {"name": "day"})
         assert found.share == pytest.approx((25 * 4 + 25) / (25 * 4 + 75))
         assert found.binding == "s time 100%"
 
     def test_room_for_results_may_bind_instead(self) -> None:
         # A result takes 1 MB for two calls of 0.4 s; 16 MB at each of two workers
         # hold 40 results a second.
-        found = bound(site(room_mb=16.0), {"name": "day"})
+        found = compute_bound(site(room_mb=16.0), {"name": "day"})
         assert found.share == pytest.approx((25 * 4 + 15) / (25 * 4 + 75))
         assert found.binding == "s room 100%"
 
--- a/tests/platform_adapter/test_entries.py
+++ b/tests/platform_adapter/test_entries.py
@@ -131,12 +131,12 @@
         # Other gateways may have heard that it was gone, or withdrawn.
         bad = item("w", value="*")
         gone = {"key": "servers/w", "revision": 2, "removed": True}
-        assert read(gone, item("w")).returned == ("w",)
-        assert read(bad, item("w")).returned == ("w",)
-        assert read(item("w"), gone, item("w")).returned == ("w",)
-        assert read(item("w")).returned == ()
-        assert read(gone, item("w"), gone).returned == ()
-        assert read(gone, item("w"), bad).returned == ()
+        assert read(gone, item("w")).relisted == ("w",)
+        assert read(bad, item("w")).relisted == ("w",)
+        assert read(item("w"), gone, item("w")).relisted == ("w",)
+        assert read(item("w")).relisted == ()
+        assert read(gone, item("w"), gone).relisted == ()
+        assert read(gone, item("w"), bad).relisted == ()
 
     def test_a_table_that_cannot_be_read_keeps_no_worker_back(self) -> None:
         for value in (None, 4, "*", encoded([1]), encoded({"version": 4, "routes": 1})):
--- a/tests/platform_adapter/test_gateway_process.py
+++ b/tests/platform_adapter/test_gateway_process.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from trefoilpaddle.coordination.published.store_readers import Missing
+from trefoilpaddle.coordination.published.store_readers import UpdateGap
 from trefoilpaddle.standins.platform.gateway_process import (
     DRAFT,
     GatewayProcess,
@@ -190,7 +190,7 @@
                 for gateway in every:
                     await until(partial(_is_in_force, gateway, version))
             logs = "".join(gateway.log() for gateway in every)
-            assert Missing.TABLE.value not in logs
+            assert UpdateGap.TABLE.value not in logs
 
 
 class TestStopping:
--- a/tests/platform_adapter/test_piece_messages.py
+++ b/tests/platform_adapter/test_piece_messages.py
@@ -2,7 +2,7 @@
 
 import orjson
 import pytest
-from adapter.piece_messages import decode_piece_ends
+from adapter.piece_messages import decode_piece_outcomes
 from result import Ok
 
 from tests.chain.fakes import worker
@@ -19,7 +19,7 @@
         # made again, and its result lay in the worker's memory until it ran out.
         made = worker("w1")
         data = orjson.dumps({"items": [{"handle": "w1:1/a"}, {"reason": reason}]})
-        assert decode_piece_ends(data, made, 2) == Ok(
+        assert decode_piece_outcomes(data, made, 2) == Ok(
             [
                 PieceMade(handle="w1:1/a", worker_id="w1", born_ms=made.born_ms),
                 PieceFault.FAILED,
--- a/tests/platform_adapter/test_store_client.py
+++ b/tests/platform_adapter/test_store_client.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 import pytest
-from adapter.store import MAX_LISTS, Page, StoreClient, decode_era
+from adapter.store import MAX_LIST_ATTEMPTS, Page, StoreClient, decode_era
 from result import Err, Ok
 
 from trefoilpaddle.coordination.published.published_store import (
@@ -79,7 +79,9 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async def get(_: object, path: str, query: dict[str, str]) -> Ok[Page]:
-            return Ok(Page(items=[], position=StorePosition(era=1), is_lost=True))
+            return Ok(
+                Page(items=[], position=StorePosition(era=1), is_history_lost=True)
+            )
 
         monkeypatch.setattr(StoreClient, "_get", get)
         assert await _unopened().snapshot() == Err(StoreFault.REFUSED)
@@ -130,7 +132,7 @@
 
         monkeypatch.setattr(StoreClient, "_get", get)
         assert await _unopened().snapshot() == Err(StoreFault.SILENT)
-        assert len(asked) == 2 * MAX_LISTS
+        assert len(asked) == 2 * MAX_LIST_ATTEMPTS
 
 
 def _unopened() -> StoreClient:
--- a/tests/platform_adapter/test_worker_client.py
+++ b/tests/platform_adapter/test_worker_client.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 import pytest
-from adapter.sessions import one_call_session, pooled_session
+from adapter.sessions import pooled_session, single_use_session
 from adapter.worker_answers import decode_event
 from adapter.worker_client import WorkerClient, request_headers
 from result import Err, Ok, Result
@@ -65,8 +65,8 @@
 
 @contextlib.asynccontextmanager
 async def worker_client() -> AsyncIterator[WorkerClient]:
-    async with one_call_session() as session, pooled_session() as kept_session:
-        yield WorkerClient(session=session, kept_session=kept_session)
+    async with single_use_session() as session, pooled_session() as keepalive_session:
+        yield WorkerClient(session=session, keepalive_session=keepalive_session)
 
 
 @contextlib.asynccontextmanager
@@ -336,7 +336,7 @@
 
 def test_a_session_is_made_in_a_loop() -> None:
     async def make() -> bool:
-        async with one_call_session() as session:
+        async with single_use_session() as session:
             return isinstance(session, aiohttp.ClientSession)
 
     assert asyncio.run(make())
--- a/tests/published/store_fleet.py
+++ b/tests/published/store_fleet.py
@@ -172,7 +172,7 @@
                 else None,
                 workers=tuple(entry for entry in last.values() if entry is not None),
                 removed=tuple(i for i, entry in last.items() if entry is None),
-                returned=tuple(i for i in gone if last[i] is not None),
+                relisted=tuple(i for i in gone if last[i] is not None),
             )
         )
 
@@ -199,14 +199,14 @@
             journal=self.notes,
             relay=self.relay,
             readers=self.readers,
-            ask_peers=self._ask,
+            query_peers=self._ask,
             decode=lambda data: published(int(data)),
         )
 
     async def _ask(self) -> list[StoreState]:
         others = [g for g in self.fleet.by_name.values() if g is not self]
-        question = self.relay.question()
-        return [await other.relay.answer(question, Hello()) for other in others]
+        question = self.relay.build_request()
+        return [await other.relay.respond(question, Hello()) for other in others]
 
     def _link(self, address: Address) -> SimpleNamespace:
         other = NAMES[address.port - 1]
@@ -245,7 +245,7 @@
             self.reading.send(None)
         except StopIteration as read:
             self.reading = None
-            self.readers.note_read(is_answered=bool(read.value))
+            self.readers.record_read(is_answered=bool(read.value))
 
     def ask_peers(self) -> None:
         """Ask the others, as it does while the store's answer is late."""
@@ -324,7 +324,7 @@
             self.deliver_all()
             self.now_s += store_feed.POLL_S
             for gateway in self.by_name.values():
-                gateway.feed.view.listing.drop_lapsed(self.now_s)
+                gateway.feed.view.listing.remove_expired(self.now_s)
                 if not gateway.feed.position.is_known or gateway.readers.must_read():
                     gateway.read()
             self.deliver_all()
@@ -356,7 +356,7 @@
         """Let time pass in which nobody reads."""
         self.now_s += for_s
         for gateway in self.by_name.values():
-            gateway.feed.view.listing.drop_lapsed(self.now_s)
+            gateway.feed.view.listing.remove_expired(self.now_s)
 
     def versions(self) -> dict[str, int]:
         """Return the version in force at each gateway."""
--- a/tests/published/store_network.py
+++ b/tests/published/store_network.py
@@ -169,7 +169,7 @@
                 table=self.table if is_newer else None,
                 workers=tuple(entry for entry in last.values() if entry is not None),
                 removed=tuple(i for i, entry in last.items() if entry is None),
-                returned=tuple(i for i in gone if last[i] is not None),
+                relisted=tuple(i for i in gone if last[i] is not None),
             )
         )
 
@@ -197,7 +197,7 @@
             await asyncio.sleep(timeout_s)
             return Err("silent")
         await asyncio.sleep(WAY_S)
-        state = await self._other.relay.answer(message, Hello())
+        state = await self._other.relay.respond(message, Hello())
         self._count(self._other, state)
         await asyncio.sleep(WAY_S)
         return Ok(state)
@@ -232,7 +232,7 @@
             journal=self.notes,
             relay=self.relay,
             readers=self.readers,
-            ask_peers=lambda: self.relay.ask(network.members, name),
+            query_peers=lambda: self.relay.query_peers(network.members, name),
             decode=decoded,
         )
 
--- a/tests/published/test_store_agreement.py
+++ b/tests/published/test_store_agreement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from trefoilpaddle.coordination.published import store_feed, store_view
-from trefoilpaddle.coordination.published.store_view import LAPSE_S, ListReason
+from trefoilpaddle.coordination.published.store_view import RECOVERY_GRACE_S, ListReason
 
 from .store_fleet import IDS, NAMES, fleet
 
@@ -32,9 +32,9 @@
             made.store.write("w1")
             other.read()
             made.deliver_all()
-            made.now_s += LAPSE_S + store_feed.POLL_S
+            made.now_s += RECOVERY_GRACE_S + store_feed.POLL_S
             for gateway in made.by_name.values():
-                gateway.feed.view.listing.drop_lapsed(made.now_s)
+                gateway.feed.view.listing.remove_expired(made.now_s)
             assert made.known() == dict.fromkeys(NAMES, sorted(IDS))
 
     async def test_it_is_named_after_a_whole_list(self) -> None:
@@ -163,15 +163,15 @@
             made.deliver_all()
             n_lists = last.n_lists
             made.store.lapse("w1")
-            for _ in range(store_view.MAX_DIFFERING):
+            for _ in range(store_view.MAX_DIGEST_MISMATCHES):
                 for name in ("a", "b"):
                     made.now_s += store_feed.POLL_S / 2
                     made.by_name[name].read()
                     made.deliver_all()
             assert last.feed.position.revision == made.store.revision
             assert last.n_lists == n_lists
-            made.now_s += LAPSE_S
-            last.feed.view.listing.drop_lapsed(made.now_s)
+            made.now_s += RECOVERY_GRACE_S
+            last.feed.view.listing.remove_expired(made.now_s)
             assert all(known == ["w2", "w3"] for known in made.known().values())
 
     async def test_a_list_asked_for_in_these_seconds_loses_no_worker(self) -> None:
@@ -191,7 +191,7 @@
             first.read()
             made.deliver_all()
             made.store.lapse("w1")
-            for left in reversed(range(store_view.MAX_DIFFERING)):
+            for left in reversed(range(store_view.MAX_DIGEST_MISMATCHES)):
                 made.now_s += store_feed.POLL_S / 2
                 first.read()
                 if not left:
@@ -231,7 +231,7 @@
                         readers[name] += store_feed.POLL_S
                         answers[name] = made.now_s + answer_s
                 for name in ("c", "d"):
-                    made.by_name[name].feed.view.listing.drop_lapsed(made.now_s)
+                    made.by_name[name].feed.view.listing.remove_expired(made.now_s)
                     assert not made.by_name[name].readers.must_read()
             assert {
                 name: each.n_lists for name, each in made.by_name.items()
@@ -255,9 +255,9 @@
                 made.lose(one, other)
             last.read()
             assert made.known()["d"] == sorted(IDS)
-            made.now_s += LAPSE_S
+            made.now_s += RECOVERY_GRACE_S
             for gateway in (first, last):
-                gateway.feed.view.listing.drop_lapsed(made.now_s)
+                gateway.feed.view.listing.remove_expired(made.now_s)
             assert made.known()["a"] == ["w2", "w3"]
             assert made.known()["d"] == ["w2", "w3"]
 
@@ -291,7 +291,7 @@
             last = made.by_name["d"]
             made.store.lapse("w1")
             last.read()
-            last.feed.view.need_list(ListReason.DIFFERING)
+            last.feed.view.request_list(ListReason.DIGEST_MISMATCH)
             last.ask_peers()
             assert made.known()["d"] == ["w2", "w3"]
             assert last.feed.position.revision == 0
--- a/tests/published/test_store_feed.py
+++ b/tests/published/test_store_feed.py
@@ -67,7 +67,7 @@
             journal=self.notes,
             relay=StoreRelay(process=own, workers=self.workers),
             readers=StoreReaders(process=own, live=list),
-            ask_peers=self._ask(),
+            query_peers=self._ask(),
             decode=lambda data: published(int(data)),
         )
 
@@ -187,7 +187,7 @@
         # The store is down for five seconds. When it is back all entries have
         # run out; the workers live and write again within two seconds. Taken
         # at its word, the store would leave no worker at all until then.
-        monkeypatch.setattr(store_view, "LAPSE_S", 0.05)
+        monkeypatch.setattr(store_view, "RECOVERY_GRACE_S", 0.05)
         rig = Rig(
             changes(1, "a", "b"),
             Err(StoreFault.SILENT),
@@ -251,7 +251,7 @@
         await rig.read(1)
         await rig.feed.read_peers()
         assert rig.tables == [5, 6]
-        assert rig.feed.is_away
+        assert rig.feed.is_unavailable
 
     async def test_what_a_peer_knows_less_of_is_not_taken(self) -> None:
         state = StoreState(revision=1, version=4, data=b"4", workers=[])
--- a/tests/published/test_store_readers.py
+++ b/tests/published/test_store_readers.py
@@ -19,8 +19,8 @@
 from trefoilpaddle.coordination.published.store_feed import POLL_S, StoreFeed
 from trefoilpaddle.coordination.published.store_position import StorePosition
 from trefoilpaddle.coordination.published.store_readers import (
+    MAX_REGION_GROUP_SIZE,
     N_READERS,
-    REGION_GATEWAYS,
     StoreReaders,
 )
 from trefoilpaddle.coordination.published.store_relay import StoreRelay
@@ -78,7 +78,7 @@
             journal=journal(),
             relay=StoreRelay(process=own, workers=self.workers),
             readers=self.readers,
-            ask_peers=self._ask,
+            query_peers=self._ask,
             decode=lambda data: published(int(data)),
         )
 
@@ -145,13 +145,15 @@
         calm = StoreNews(
             base_revision=10**6, revision=10**6 + 99, version=999, digest=2**62
         )
-        n_bytes = (REGION_GATEWAYS - 1) * (len(encode(calm)) + PACKET_HEADER_BYTES)
+        n_bytes = (MAX_REGION_GROUP_SIZE - 1) * (
+            len(encode(calm)) + PACKET_HEADER_BYTES
+        )
         assert n_bytes / POLL_S <= CONTROL_BYTES_PER_S
 
     def test_a_large_region_has_readers_in_each_failure_domain(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(store_readers, "REGION_GATEWAYS", 3)
+        monkeypatch.setattr(store_readers, "MAX_REGION_GROUP_SIZE", 3)
         near = [member(name, number, "here") for number, name in enumerate("cd")]
         far = [member(name, number, "far") for number, name in enumerate("ab", -9)]
         assert Rig("d", near + far).readers.is_reader()
@@ -164,13 +166,13 @@
     async def test_one_that_has_read_does_not_read_again_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(store_readers, "TOLD_S", 0.05)
+        monkeypatch.setattr(store_readers, "UPDATE_TIMEOUT_S", 0.05)
         rig = await follower()
-        rig.readers.note_read(is_answered=True)
+        rig.readers.record_read(is_answered=True)
         assert not rig.readers.must_read()
         await asyncio.sleep(0.06)
         assert rig.readers.must_read()
-        rig.readers.note_read(is_answered=False)
+        rig.readers.record_read(is_answered=False)
         assert rig.readers.must_read(), "nobody has said anything"
 
     async def test_one_that_is_not_told_reads_itself(
@@ -179,7 +181,7 @@
         # All readers of the group are killed at the same moment. Its members
         # learn of it seconds later; keys that are revoked meanwhile must not
         # stay in force until then.
-        monkeypatch.setattr(store_readers, "TOLD_S", 0.05)
+        monkeypatch.setattr(store_readers, "UPDATE_TIMEOUT_S", 0.05)
         rig = await follower()
         rig.hear(news(rig, 1, 2))
         await asyncio.sleep(0.06)
@@ -348,7 +350,7 @@
         ask = rig.store.changes
 
         async def interrupted(after: StorePosition) -> Answer:
-            for revision in range(2, 2 + store_view.MAX_DIFFERING):
+            for revision in range(2, 2 + store_view.MAX_DIGEST_MISMATCHES):
                 rig.hear(news(rig, revision - 1, revision, digest=1))
             return await ask(after)
 
@@ -364,12 +366,12 @@
         # The store was away for a moment, too short for this gateway to notice,
         # and entries ran out. Dropped at once, the workers are missing until
         # they write again.
-        monkeypatch.setattr(store_view, "LAPSE_S", 0.05)
+        monkeypatch.setattr(store_view, "RECOVERY_GRACE_S", 0.05)
         rig = await follower()
         rig.hear(news(rig, 1, 2, removed=["w1"], back_ms=0))
         assert "w1" in rig.workers.ids()
         await asyncio.sleep(0.06)
-        rig.feed.view.listing.drop_lapsed(time.monotonic())
+        rig.feed.view.listing.remove_expired(time.monotonic())
         assert "w1" not in rig.workers.ids()
 
     async def test_nothing_is_taken_before_the_first_list(self) -> None:
--- a/tests/published/test_store_returns.py
+++ b/tests/published/test_store_returns.py
@@ -7,10 +7,10 @@
 import pytest
 
 from trefoilpaddle.coordination.published import store_feed
-from trefoilpaddle.coordination.published.doubted_entries import DOUBT_S
 from trefoilpaddle.coordination.published.store_position import StorePosition
-from trefoilpaddle.coordination.published.store_readers import Missing
-from trefoilpaddle.coordination.published.store_view import LAPSE_S
+from trefoilpaddle.coordination.published.store_readers import UpdateGap
+from trefoilpaddle.coordination.published.store_view import RECOVERY_GRACE_S
+from trefoilpaddle.coordination.published.unconfirmed_entries import CONFIRM_TIMEOUT_S
 from trefoilpaddle.protocol.gen.chain.ttypes import StoreNews
 from trefoilpaddle.state.chain.workers import Worker
 from trefoilpaddle.state.journal import Event
@@ -73,7 +73,7 @@
             made.store.return_from(copy)
         made.store.put(NEW)
         made.turn()
-        made.pass_time(LAPSE_S)
+        made.pass_time(RECOVERY_GRACE_S)
         assert all_know(made, *IDS, "w9")
 
 
@@ -123,7 +123,7 @@
         made.deliver("a", "b")
         slow.go_on()
         made.turn()
-        made.pass_time(LAPSE_S)
+        made.pass_time(RECOVERY_GRACE_S)
         assert all_know(made, "w1", "w3")
 
     async def test_lost_history_of_the_era_before_is_nothing_of_this_one(
@@ -209,7 +209,7 @@
         assert late.feed.position == StorePosition(era=1)
         made.turn()
         late.read()
-        made.pass_time(LAPSE_S)
+        made.pass_time(RECOVERY_GRACE_S)
         assert all_know(made, *IDS)
 
     async def test_news_of_an_earlier_era_take_nobody_back(self, made: Fleet) -> None:
@@ -218,7 +218,7 @@
         hears = made.by_name["d"]
         known = hears.feed.position
         late = StoreNews(base_revision=1, revision=99, removed=["w1"], version=1)
-        assert hears.feed.take_news(late) is Missing.NOTHING
+        assert hears.feed.apply_update(late) is UpdateGap.STALE
         assert hears.feed.position == known
         assert "w1" in hears.workers.ids()
 
@@ -272,11 +272,11 @@
         made.turn()
         made.store.return_from(copy)
         made.turn()
-        made.pass_time(LAPSE_S - store_feed.POLL_S - 0.1)
+        made.pass_time(RECOVERY_GRACE_S - store_feed.POLL_S - 0.1)
         assert all_know(made, *IDS, "w9")
         made.store.put(NEW)
         made.turn()
-        made.pass_time(LAPSE_S)
+        made.pass_time(RECOVERY_GRACE_S)
         assert all_know(made, *IDS, "w9")
 
     async def test_one_that_does_not_write_again_is_gone_then(
@@ -287,7 +287,7 @@
         made.turn()
         made.store.return_from(copy)
         made.turn()
-        made.pass_time(LAPSE_S)
+        made.pass_time(RECOVERY_GRACE_S)
         assert all_know(made, *IDS)
 
     async def test_one_that_leaves_is_not_used_again(self, made: Fleet) -> None:
@@ -341,7 +341,7 @@
             made.by_name[name].members = list(GROUP)
         made.store.put(worker("w1"))
         made.turn()
-        made.pass_time(DOUBT_S)
+        made.pass_time(CONFIRM_TIMEOUT_S)
         made.turn()
         assert all_know(made, *IDS)
 
@@ -428,4 +428,4 @@
             ]
             assert line.detail == "0/3 to 1/1; ignored until written again: w1"
             figures = {figure.name: figure.value for figure in line.figures}
-            assert figures == {"n_kept": 1, "kept_s": LAPSE_S, "n_doubted": 1}
+            assert figures == {"n_kept": 1, "kept_s": RECOVERY_GRACE_S, "n_doubted": 1}
--- a/tests/published/test_store_schedules.py
+++ b/tests/published/test_store_schedules.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from trefoilpaddle.coordination.published import store_feed, store_view
-from trefoilpaddle.coordination.published.store_view import LAPSE_S
+from trefoilpaddle.coordination.published.store_view import RECOVERY_GRACE_S
 
 from .store_fleet import GROUP, IDS, NAMES, Fleet, fleet
 
@@ -35,7 +35,7 @@
 def _pass(made: Fleet, for_s: float) -> None:
     made.now_s += for_s
     for gateway in made.by_name.values():
-        gateway.feed.view.listing.drop_lapsed(made.now_s)
+        gateway.feed.view.listing.remove_expired(made.now_s)
 
 
 def _deliver(made: Fleet, one: str, other: str) -> None:
@@ -62,7 +62,7 @@
     st.tuples(names, names).map(lambda way: step("deliver", _deliver, *way)),
     st.tuples(names, names).map(lambda way: step("lose", Fleet.lose, *way)),
     st.tuples(names, names).map(lambda two: step("hide", _hide, *two)),
-    st.sampled_from((0.2, 0.6, LAPSE_S)).map(lambda s: step("pass", _pass, s)),
+    st.sampled_from((0.2, 0.6, RECOVERY_GRACE_S)).map(lambda s: step("pass", _pass, s)),
     st.just(step("forget", lambda made: made.store.forget())),
     names.map(lambda n: step("away", lambda made, n: made.store.away_from.add(n), n)),
     st.just(step("back", lambda made: made.store.away_from.clear())),
@@ -86,7 +86,7 @@
 def play(steps: list[Step], n_differing: int) -> None:
     """Let things happen, and look that no older table is ever in force again."""
     with fleet() as made, pytest.MonkeyPatch.context() as patch:
-        patch.setattr(store_view, "MAX_DIFFERING", n_differing)
+        patch.setattr(store_view, "MAX_DIGEST_MISMATCHES", n_differing)
         for do in steps:
             do(made)
             assert min(made.versions().values()) >= made.least_version()
--- a/tests/published/test_store_spread.py
+++ b/tests/published/test_store_spread.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from trefoilpaddle.coordination.published.store_feed import PATIENCE_S, POLL_S
+from trefoilpaddle.coordination.published.store_feed import PEER_FALLBACK_S, POLL_S
 from trefoilpaddle.coordination.published.store_readers import N_READERS
 
 from ..chain.fakes import worker
@@ -176,7 +176,7 @@
                 gateway.is_cut_off = False
             network.store.return_from(network.store.copy())
             network.store.write(worker("last"))
-            await asyncio.sleep(POLL_S + 2 * PATIENCE_S + SPREAD_S)
+            await asyncio.sleep(POLL_S + 2 * PEER_FALLBACK_S + SPREAD_S)
             assert all(is_usable(gateway, "last") for gateway in network.gateways)
 
         run_virtual(monkeypatch, play())
--- a/tests/published/test_table_change.py
+++ b/tests/published/test_table_change.py
@@ -9,8 +9,8 @@
 from trefoilpaddle.coordination.published.table_change import (
     MAX_CHANGE_BYTES,
     PIECE_BYTES,
+    apply_change,
     change_between,
-    changed_data,
 )
 from trefoilpaddle.protocol.checksum import checksum
 from trefoilpaddle.protocol.frames import encode
@@ -43,7 +43,7 @@
     def test_any_table_is_made_of_any_other(self, base: bytes, newest: bytes) -> None:
         change = change_between(table(base), table(newest, 2))
         assert change is not None
-        assert changed_data(table(base), change) == newest
+        assert apply_change(table(base), change) == newest
 
     def test_a_change_is_short_however_long_the_table(self) -> None:
         # At 3,400 accounts a table has a quarter of a megabyte, and a reader tells
@@ -52,7 +52,7 @@
         base, newest = published(2, **size), published(3, **size)
         change = change_between(base, newest)
         assert change is not None
-        assert changed_data(base, change) == newest.data
+        assert apply_change(base, change) == newest.data
         assert told_bytes(change) < 1000 < len(newest.data) / 100
 
     def test_what_is_counted_bounds_what_is_sent(self) -> None:
@@ -76,13 +76,13 @@
     def test_another_base_is_not_used(self) -> None:
         change = change_between(self.base, table(b"{a}{x}{c}", 2))
         assert change is not None
-        assert changed_data(table(b"{a}{b}{c}", 7), change) is None
-        assert changed_data(table(b"{a}{z}{d}"), change) is None
+        assert apply_change(table(b"{a}{b}{c}", 7), change) is None
+        assert apply_change(table(b"{a}{z}{d}"), change) is None
 
     @pytest.mark.parametrize(("from_byte", "n_bytes"), [(-2, 2), (0, -1), (99, 1)])
     def test_places_outside_are_not_used(self, from_byte: int, n_bytes: int) -> None:
         piece = TablePiece(from_byte=from_byte, n_bytes=n_bytes, added=b"")
-        assert changed_data(self.base, self.change(piece)) is None
+        assert apply_change(self.base, self.change(piece)) is None
 
     def test_a_small_message_does_not_make_a_large_table(
         self, monkeypatch: pytest.MonkeyPatch
@@ -93,5 +93,5 @@
         whole = TablePiece(from_byte=0, n_bytes=9, added=b"")
         few = self.change(*[whole] * 11, data=self.base.data * 11)
         many = self.change(*[whole] * 12, data=self.base.data * 12)
-        assert changed_data(self.base, few) is not None
-        assert changed_data(self.base, many) is None
+        assert apply_change(self.base, few) is not None
+        assert apply_change(self.base, many) is None
