--- a/src/trefoilpaddle/coordination/published/unconfirmed_entries.py
+++ b/src/trefoilpaddle/coordination/published/unconfirmed_entries.py
@@ -96,6 +96,6 @@
             return self._workers.is_gone(worker) or worker.address in taken
         if known == worker or worker.born_ms > known.born_ms:
             return False
-        # A worker never withdraws its announcement that it leaves, so an entry that only
-        # adds the announcement is not outdated, whichever was written later.
+        # A worker never withdraws its announcement that it leaves, so an entry that
+        # only adds the announcement is not outdated, whichever was written later.
         return worker != replace(known, is_leaving=True)
