--- a/tests/published/return_runs.py
+++ b/tests/published/recovery_runs.py
@@ -9,32 +9,32 @@
 from trefoilpaddle.state.chain.workers import Worker
 
 from ..chain.fakes import worker
-from .store_network import Copy, Gateway, Network
+from .store_network import Backup, Gateway, Network
 
-KNOWN_S: Final = 3.0
+PROPAGATION_S: Final = 3.0
 """Time from a write, or from the store's return after it, until all know of it."""
 
 STABLE_S: Final = 3.0
 """A removal that soon after a return may be of a worker that has yet to write."""
 
-BEAT_S: Final = 1.0
-COPIES_S: Final = 0.5
-N_COPIES: Final = 16
-FORGOTTEN_S: Final = 2.0
+HEARTBEAT_S: Final = 1.0
+BACKUP_INTERVAL_S: Final = 0.5
+N_BACKUPS: Final = 16
+MEMBER_TIMEOUT_S: Final = 2.0
 """Time after its end by which a gateway counts as gone at the others."""
 
-LAPSE_SHARE: Final = 0.3
+EXPIRY_SHARE: Final = 0.3
 """Part of the returns after which an entry has run out whose worker lives."""
 
-EXPIRY_S: Final = 3.0
+EXPIRY_DELAY_S: Final = 3.0
 """Time after a return in which entries run out whose workers are gone."""
 
 NEVER_S: Final = 1e12
-LOOK_S: Final = 0.05
+CHECK_S: Final = 0.05
 
 
 @dataclass(slots=True, kw_only=True)
-class Written:
+class ExpectedChange:
     """What the operator or a worker wrote, and must be known everywhere.
 
     Parameters
@@ -51,14 +51,14 @@
         Gateways that cannot know of it: a return has lost it before they did.
     """
 
-    what: str
+    description: str
     written_s: float
     is_known: Callable[[Gateway], bool]
     worker_id: str = ""
     unaware: set[str] = field(default_factory=set)
 
 
-class ReturnRun:
+class RecoveryRun:
     """One run of a seed.
 
     Parameters
@@ -83,15 +83,15 @@
         self._length_s = length_s
         self.network = Network(n_gateways, n_workers=6)
         self.problems: list[str] = []
-        self.n_returns = 0
+        self.n_restores = 0
         self._version = 1
         self._next_worker = 100
-        self._copies: list[Copy] = []
-        self._living: dict[str, Worker] = dict(self.network.store.workers)
-        self._pending: list[Written] = []
-        self._left: set[str] = set()
-        self._returned_s = 0.0
-        self._is_away = False
+        self._backups: list[Backup] = []
+        self._live: dict[str, Worker] = dict(self.network.store.workers)
+        self._pending: list[ExpectedChange] = []
+        self._departed: set[str] = set()
+        self._restored_s = 0.0
+        self._is_unavailable = False
         self._started_s: dict[str, float] = {}
         self._used: dict[Gateway, set[str]] = {}
         self._unused: dict[Gateway, set[str]] = {}
@@ -102,26 +102,28 @@
         await self.network.start()
         background = [
             asyncio.create_task(work())
-            for work in (self._beat, self._copy, self._watch)
+            for work in (self._send_heartbeats, self._take_backups, self._watch)
         ]
         ends_s = self._now_s() + self._length_s
-        acts = (
-            (self._return, 2),
+        actions = (
+            (self._restore, 2),
             (self._publish, 4),
-            (self._come, 4),
+            (self._add_worker, 4),
             (self._leave, 4),
-            (self._vanish, 2),
-            (self._cut_off, 3),
+            (self._crash, 2),
+            (self._disconnect, 3),
             (self._slow, 3),
             (self._restart, 2),
         )
         running: list[asyncio.Task[None]] = []
         while self._now_s() < ends_s:
-            (act,) = self._rng.choices([a for a, _ in acts], [n for _, n in acts])
-            running.append(asyncio.create_task(act()))
+            (action,) = self._rng.choices(
+                [a for a, _ in actions], [n for _, n in actions]
+            )
+            running.append(asyncio.create_task(action()))
             await asyncio.sleep(self._rng.expovariate(1.5))
         await asyncio.gather(*running)
-        await asyncio.sleep(2 * KNOWN_S)
+        await asyncio.sleep(2 * PROPAGATION_S)
         for task in background:
             task.cancel()
         return self.problems
@@ -129,46 +131,48 @@
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         """Let all workers write their entries, as they do all the time."""
         while True:
-            for listed in list(self._living.values()):
-                await asyncio.sleep(BEAT_S / max(1, len(self._living)))
-                if not self._is_away and listed.worker_id in self._living:
-                    self.network.store.write(self._living[listed.worker_id])
+            for listed in list(self._live.values()):
+                await asyncio.sleep(HEARTBEAT_S / max(1, len(self._live)))
+                if not self._is_unavailable and listed.worker_id in self._live:
+                    self.network.store.write(self._live[listed.worker_id])
 
-    async def _copy(self) -> None:
+    async def _take_backups(self) -> None:
         while True:
-            if not self._is_away:
-                self._copies.append(self.network.store.copy())
-                del self._copies[:-N_COPIES]
-            await asyncio.sleep(COPIES_S)
+            if not self._is_unavailable:
+                self._backups.append(self.network.store.back_up())
+                del self._backups[:-N_BACKUPS]
+            await asyncio.sleep(BACKUP_INTERVAL_S)
 
     async def _watch(self) -> None:
         """Look who knows what is due, and that nobody goes back."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_S)
             now_s = self._now_s()
             for gateway in self.network.gateways:
-                if not gateway.is_dark:
-                    self._look_back(gateway)
-            due = [each for each in self._pending if now_s - each.written_s > KNOWN_S]
+                if not gateway.is_stopped:
+                    self._check_no_regression(gateway)
+            due = [
+                each for each in self._pending if now_s - each.written_s > PROPAGATION_S
+            ]
             self._pending = [each for each in self._pending if each not in due]
-            for written in due:
-                self._look_who_knows(written, now_s)
+            for expected in due:
+                self._check_known(expected, now_s)
 
-    def _look_who_knows(self, written: Written, now_s: float) -> None:
+    def _check_known(self, expected: ExpectedChange, now_s: float) -> None:
         for gateway in self.network.gateways:
             since_s = self._started_s.get(gateway.name, 0.0)
-            is_new = gateway.is_dark or now_s - since_s < KNOWN_S
-            is_aware = not is_new and gateway.name not in written.unaware
-            if is_aware and not written.is_known(gateway):
+            is_new = gateway.is_stopped or now_s - since_s < PROPAGATION_S
+            is_aware = not is_new and gateway.name not in expected.unaware
+            if is_aware and not expected.is_known(gateway):
                 self.problems.append(
-                    f"{now_s:.2f}: {gateway.name} does not know {written.what},"
-                    f" written {now_s - written.written_s:.2f} s ago"
+                    f"{now_s:.2f}: {gateway.name} does not know {expected.description},"
+                    f" written {now_s - expected.written_s:.2f} s ago"
                 )
 
-    def _look_back(self, gateway: Gateway) -> None:
+    def _check_no_regression(self, gateway: Gateway) -> None:
         """Look that no older table is in force, and nobody used who had left."""
         if gateway.version < self._versions.get(gateway, 0):
             self.problems.append(f"{gateway.name} went back to {gateway.version}")
@@ -180,123 +184,123 @@
             self.problems.append(
                 f"{self._now_s():.2f}: {gateway.name} uses {worker_id} again"
             )
-        unused |= (used & self._left) - usable
+        unused |= (used & self._departed) - usable
         used |= usable
 
     def _expect(
         self,
-        what: str,
+        description: str,
         is_known: Callable[[Gateway], bool],
         *,
         worker_id: str = "",
     ) -> None:
         self._pending.append(
-            Written(
-                what=what,
+            ExpectedChange(
+                description=description,
                 written_s=self._now_s(),
                 is_known=is_known,
                 worker_id=worker_id,
             )
         )
 
-    async def _return(self) -> None:
-        if self._is_away or not self._copies:
+    async def _restore(self) -> None:
+        if self._is_unavailable or not self._backups:
             return
-        self._is_away = True
+        self._is_unavailable = True
         for gateway in self.network.gateways:
-            gateway.n_cuts += 1
-        for written in self._pending:
+            gateway.n_disconnects += 1
+        for expected in self._pending:
             # What the operator and living workers wrote is written again.
-            written.written_s = NEVER_S
+            expected.written_s = NEVER_S
         await asyncio.sleep(self._rng.uniform(0.05, 2.0))
         for gateway in self.network.gateways:
-            gateway.n_cuts -= 1
+            gateway.n_disconnects -= 1
         store = self.network.store
-        store.return_from(self._rng.choice(self._copies))
-        self._copies = [store.copy()]
-        self._is_away = False
-        self.n_returns += 1
-        self._returned_s = self._now_s()
-        for written in self._pending:
-            written.written_s = self._returned_s
-            if written.worker_id:
-                written.unaware |= {
+        store.restore_from(self._rng.choice(self._backups))
+        self._backups = [store.back_up()]
+        self._is_unavailable = False
+        self.n_restores += 1
+        self._restored_s = self._now_s()
+        for expected in self._pending:
+            expected.written_s = self._restored_s
+            if expected.worker_id:
+                expected.unaware |= {
                     gateway.name
                     for gateway in self.network.gateways
-                    if written.worker_id not in self._unused.get(gateway, ())
+                    if expected.worker_id not in self._unused.get(gateway, ())
                 }
         store.publish(self._version)
-        for listed in self._living.values():
+        for listed in self._live.values():
             store.write(listed)
-        if self._rng.random() < LAPSE_SHARE and self._living:
-            store.remove(self._rng.choice(list(self._living)))
-        await asyncio.sleep(EXPIRY_S)
-        since_s = self._now_s() - self._returned_s
-        if not self._is_away and since_s > EXPIRY_S - LOOK_S:
-            for worker_id in set(store.workers) - set(self._living):
+        if self._rng.random() < EXPIRY_SHARE and self._live:
+            store.remove(self._rng.choice(list(self._live)))
+        await asyncio.sleep(EXPIRY_DELAY_S)
+        since_s = self._now_s() - self._restored_s
+        if not self._is_unavailable and since_s > EXPIRY_DELAY_S - CHECK_S:
+            for worker_id in set(store.workers) - set(self._live):
                 store.remove(worker_id)
 
     async def _publish(self) -> None:
-        if self._is_away:
+        if self._is_unavailable:
             return
         self._version += 1
         version = self._version
         self.network.store.publish(version)
         self._expect(f"version {version}", lambda gateway: gateway.version >= version)
 
-    async def _come(self) -> None:
-        if self._is_away:
+    async def _add_worker(self) -> None:
+        if self._is_unavailable:
             return
         self._next_worker += 1
         new = worker(f"w{self._next_worker}")
-        self._living[new.worker_id] = new
+        self._live[new.worker_id] = new
         self.network.store.write(new)
 
         def is_known(gateway: Gateway) -> bool:
-            is_here = new.worker_id in self._living
+            is_here = new.worker_id in self._live
             return not is_here or gateway.workers.get(new.worker_id) is not None
 
         self._expect(f"that {new.worker_id} came", is_known)
 
     async def _leave(self) -> None:
         """Let a worker say that it leaves, and go soon after."""
-        ready = [each for each in self._living.values() if not each.is_leaving]
-        if self._is_away or len(ready) < 3:
+        ready = [each for each in self._live.values() if not each.is_leaving]
+        if self._is_unavailable or len(ready) < 3:
             return
         leaving = replace(self._rng.choice(ready), is_leaving=True)
-        self._living[leaving.worker_id] = leaving
+        self._live[leaving.worker_id] = leaving
         self.network.store.write(leaving)
-        self._left.add(leaving.worker_id)
+        self._departed.add(leaving.worker_id)
         self._expect(f"that {leaving.worker_id} leaves", _not_used(leaving.worker_id))
         await asyncio.sleep(self._rng.uniform(2.0, 5.0))
         await self._remove(leaving.worker_id)
 
-    async def _vanish(self) -> None:
+    async def _crash(self) -> None:
         """Let a worker go without a word before."""
-        ready = [each for each in self._living.values() if not each.is_leaving]
+        ready = [each for each in self._live.values() if not each.is_leaving]
         if len(ready) >= 3:
             await self._remove(self._rng.choice(ready).worker_id)
 
     async def _remove(self, worker_id: str) -> None:
         while not self._is_stable():  # noqa: ASYNC110 - it is time that passes
-            await asyncio.sleep(LOOK_S)
-        if self._living.pop(worker_id, None) is None:
+            await asyncio.sleep(CHECK_S)
+        if self._live.pop(worker_id, None) is None:
             return
         if worker_id in self.network.store.workers:
             self.network.store.remove(worker_id)
-        self._left.add(worker_id)
+        self._departed.add(worker_id)
         self._expect(
             f"that {worker_id} is gone", _not_used(worker_id), worker_id=worker_id
         )
 
     def _is_stable(self) -> bool:
-        return not self._is_away and self._now_s() - self._returned_s >= STABLE_S
+        return not self._is_unavailable and self._now_s() - self._restored_s >= STABLE_S
 
-    async def _cut_off(self) -> None:
+    async def _disconnect(self) -> None:
         gateway = self._rng.choice(self.network.gateways)
-        gateway.n_cuts += 1
+        gateway.n_disconnects += 1
         await asyncio.sleep(self._rng.uniform(0.5, 4.0))
-        gateway.n_cuts -= 1
+        gateway.n_disconnects -= 1
 
     async def _slow(self) -> None:
         gateway = self._rng.choice(self.network.gateways)
@@ -306,19 +310,19 @@
 
     async def _restart(self) -> None:
         number = self._rng.randrange(len(self.network.gateways))
-        if self.network.gateways[number].is_dark:
+        if self.network.gateways[number].is_stopped:
             return
         down_s = self._rng.uniform(0.2, 3.0)
         self.network.stop(number)
-        is_forgotten = down_s > FORGOTTEN_S
-        await asyncio.sleep(min(down_s, FORGOTTEN_S))
-        if is_forgotten:
-            self.network.forget(number)
-            await asyncio.sleep(down_s - FORGOTTEN_S)
-        self.network.start_again(number)
-        for written in self._pending:
-            if written.worker_id and written.written_s <= self._returned_s:
-                written.unaware.add(self.network.gateways[number].name)
+        is_removed = down_s > MEMBER_TIMEOUT_S
+        await asyncio.sleep(min(down_s, MEMBER_TIMEOUT_S))
+        if is_removed:
+            self.network.remove_member(number)
+            await asyncio.sleep(down_s - MEMBER_TIMEOUT_S)
+        self.network.restart(number)
+        for expected in self._pending:
+            if expected.worker_id and expected.written_s <= self._restored_s:
+                expected.unaware.add(self.network.gateways[number].name)
         self._started_s[self.network.gateways[number].name] = self._now_s()
 
 
--- a/tests/published/store_costs.py
+++ b/tests/published/store_costs.py
@@ -12,7 +12,7 @@
 from .store_network import Network, table_bytes
 
 N_CHANGES: Final = 20
-APART_S: Final = 7.07
+CHANGE_INTERVAL_S: Final = 7.07
 """Time for each change; no multiple of a reader's turn, so that phases differ."""
 
 
@@ -44,7 +44,7 @@
     others_bytes: float
 
 
-async def _cost(size: Size, *, n_cut_off: int) -> Cost:
+async def _cost(size: Size, *, n_disconnected: int) -> Cost:
     network = Network(
         size.n_gateways,
         n_workers=size.n_workers,
@@ -52,8 +52,8 @@
         n_accounts=size.n_accounts,
     )
     await network.start()
-    for gateway in network.gateways[size.n_gateways - n_cut_off :]:
-        gateway.is_cut_off = True
+    for gateway in network.gateways[size.n_gateways - n_disconnected :]:
+        gateway.is_disconnected = True
     times_s: list[float] = []
     with network.reads() as reads:
         sent_bytes = await _sent(network, times_s, n_changes=N_CHANGES)
@@ -83,9 +83,9 @@
     for number in range(n_changes):
         version = 2 + number
         network.store.publish(version)
-        times_s += (await network.time_to(version=version)).values()
-        await asyncio.sleep(began_s + (number + 1) * APART_S - loop.time())
-    await asyncio.sleep(began_s + N_CHANGES * APART_S - loop.time())
+        times_s += (await network.activation_times_s(version=version)).values()
+        await asyncio.sleep(began_s + (number + 1) * CHANGE_INTERVAL_S - loop.time())
+    await asyncio.sleep(began_s + N_CHANGES * CHANGE_INTERVAL_S - loop.time())
     after = [gateway.sent_bytes for gateway in network.gateways]
     return [now - then for now, then in zip(after, before, strict=True)]
 
@@ -97,11 +97,11 @@
         n_bytes = len(
             table_bytes(2, n_routes=size.n_routes, n_accounts=size.n_accounts)
         )
-        for n_cut_off in (0, size.n_gateways // 3):
+        for n_disconnected in (0, size.n_gateways // 3):
             with pytest.MonkeyPatch.context() as patch:
-                cost = run_virtual(patch, _cost(size, n_cut_off=n_cut_off))
+                cost = run_virtual(patch, _cost(size, n_disconnected=n_disconnected))
             print(
-                f"{size.n_gateways:8} {n_cut_off:8} {n_bytes:8} {cost.n_reads:6.1f}"
+                f"{size.n_gateways:8} {n_disconnected:8} {n_bytes:8} {cost.n_reads:6.1f}"
                 f" {cost.median_s:9.2f} {cost.worst_s:8.2f}"
                 f" {cost.reader_bytes:9.0f} {cost.others_bytes:9.0f}",
                 flush=True,
--- a/tests/published/store_fleet.py
+++ b/tests/published/store_fleet.py
@@ -37,11 +37,11 @@
 from ..chain.test_chain_router import member
 from .test_store_feed import Answer, published
 
-IDS: Final = ("w1", "w2", "w3")
-NAMES: Final = ("a", "b", "c", "d")
+WORKER_IDS: Final = ("w1", "w2", "w3")
+GATEWAY_NAMES: Final = ("a", "b", "c", "d")
 """Gateways in the order in which they read for the others."""
 
-PORTS: Final = {name: number for number, name in enumerate(NAMES, 1)}
+PORTS: Final = {name: number for number, name in enumerate(GATEWAY_NAMES, 1)}
 GROUP: Final = [
     replace(member(name, number), address=f"127.0.0.1:{number}")
     for name, number in PORTS.items()
@@ -50,7 +50,7 @@
 """Rounds of reading after the last fault; twice what lists made anew take."""
 
 
-class Held:
+class Suspension:
     """Waits until the one who drives the read goes on with it."""
 
     def __await__(self) -> Generator[None, None, None]:
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Copy:
+class Backup:
     """What a store held at some moment."""
 
     revision: int
@@ -77,10 +77,10 @@
         self.version = 1
         self.newest_version = 1
         self.table_revision = 1
-        self.entries = {worker_id: worker(worker_id) for worker_id in IDS}
+        self.entries = {worker_id: worker(worker_id) for worker_id in WORKER_IDS}
         self.events: list[tuple[int, str, Worker | None]] = []
-        self.forgotten = 0
-        self.away_from: set[str] = set()
+        self.history_lost_until = 0
+        self.unavailable_to: set[str] = set()
 
     def publish(self) -> None:
         """Publish the next configuration."""
@@ -93,9 +93,9 @@
         self.revision += 1
         self.table_revision = self.revision
 
-    def copy(self) -> Copy:
+    def back_up(self) -> Backup:
         """Return what it holds now."""
-        return Copy(
+        return Backup(
             revision=self.revision,
             version=self.version,
             table_revision=self.table_revision,
@@ -103,15 +103,15 @@
             events=list(self.events),
         )
 
-    def return_from(self, copy: Copy) -> None:
+    def restore_from(self, backup: Backup) -> None:
         """Come back with what a copy holds; all that was written since is gone."""
         self.era += 1
-        self.revision = copy.revision
-        self.version = copy.version
-        self.table_revision = copy.table_revision
-        self.entries = dict(copy.entries)
-        self.events = list(copy.events)
-        self.forgotten = min(self.forgotten, copy.revision)
+        self.revision = backup.revision
+        self.version = backup.version
+        self.table_revision = backup.table_revision
+        self.entries = dict(backup.entries)
+        self.events = list(backup.events)
+        self.history_lost_until = min(self.history_lost_until, backup.revision)
 
     @property
     def position(self) -> StorePosition:
@@ -128,19 +128,19 @@
         self.entries[entry.worker_id] = entry
         self._note(entry.worker_id)
 
-    def spoil(self, worker_id: str) -> None:
+    def overwrite(self, worker_id: str) -> None:
         """Let another writer overwrite an entry with what names no worker."""
         del self.entries[worker_id]
         self.revision += 1
 
-    def lapse(self, worker_id: str) -> None:
+    def expire(self, worker_id: str) -> None:
         """Remove an entry that ran out."""
         if self.entries.pop(worker_id, None) is not None:
             self._note(worker_id)
 
-    def forget(self) -> None:
+    def lose_history(self) -> None:
         """Lose the history."""
-        self.forgotten = self.revision
+        self.history_lost_until = self.revision
         self.events.clear()
 
     def _note(self, worker_id: str) -> None:
@@ -157,7 +157,7 @@
 
     def since(self, after: StorePosition) -> Answer:
         """Return the changes after a revision as the platform's client does."""
-        if not self.forgotten <= after.revision <= self.revision:
+        if not self.history_lost_until <= after.revision <= self.revision:
             if after.era != self.era:
                 return Ok(StoreChanges(position=StorePosition(era=self.era)))
             return Err(StoreFault.HISTORY_LOST)
@@ -187,7 +187,7 @@
         self.fleet = fleet
         self.members: list[MemberRecord] = list(GROUP)
         self.workers = WorkerTable()
-        self.notes = journal()
+        self.journal = journal()
         self.n_lists = 0
         self.reading: Coroutine[Any, Any, bool] | None = None
         self.readers = StoreReaders(process=own, live=lambda: self.members)
@@ -196,38 +196,38 @@
             store=self,
             workers=self.workers,
             on_table=lambda _: None,
-            journal=self.notes,
+            journal=self.journal,
             relay=self.relay,
             readers=self.readers,
-            query_peers=self._ask,
+            query_peers=self._query,
             decode=lambda data: published(int(data)),
         )
 
-    async def _ask(self) -> list[StoreState]:
+    async def _query(self) -> list[StoreState]:
         others = [g for g in self.fleet.by_name.values() if g is not self]
         question = self.relay.build_request()
         return [await other.relay.respond(question, Hello()) for other in others]
 
     def _link(self, address: Address) -> SimpleNamespace:
-        other = NAMES[address.port - 1]
-        way = self.fleet.ways[self.name, other]
+        other = GATEWAY_NAMES[address.port - 1]
+        way = self.fleet.in_transit[self.name, other]
         return SimpleNamespace(send=way.append)
 
     async def snapshot(self) -> Answer:
         """Return all entries as they are when asked."""
         self.n_lists += 1
         answer: Answer = Ok(self.fleet.store.listed())
-        await Held()
-        return self._unless_away(answer)
+        await Suspension()
+        return self._unless_unavailable(answer)
 
     async def changes(self, after: StorePosition) -> Answer:
         """Return the changes as they are when asked."""
         answer = self.fleet.store.since(after)
-        await Held()
-        return self._unless_away(answer)
+        await Suspension()
+        return self._unless_unavailable(answer)
 
-    def _unless_away(self, answer: Answer) -> Answer:
-        if self.name in self.fleet.store.away_from:
+    def _unless_unavailable(self, answer: Answer) -> Answer:
+        if self.name in self.fleet.store.unavailable_to:
             return Err(StoreFault.SILENT)
         return answer
 
@@ -235,9 +235,9 @@
         """Ask the store, unless an answer is on its way."""
         if self.reading is None:
             self.reading = self.feed._read_any()
-            self.go_on()
+            self.resume()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Let the answer come."""
         if self.reading is None:
             return
@@ -247,17 +247,17 @@
             self.reading = None
             self.readers.record_read(is_answered=bool(read.value))
 
-    def ask_peers(self) -> None:
+    def query_peers(self) -> None:
         """Ask the others, as it does while the store's answer is late."""
-        asking = self.feed.read_peers()
+        query = self.feed.read_peers()
         with pytest.raises(StopIteration):
-            asking.send(None)
+            query.send(None)
 
     def read(self) -> None:
         """Read to the end."""
         self.begin()
         while self.reading is not None:
-            self.go_on()
+            self.resume()
 
 
 class Fleet:
@@ -266,12 +266,15 @@
     def __init__(self) -> None:
         self.now_s = 1000.0
         self.store = Store()
-        self.copies: list[Copy] = []
-        self._least_version = 0
-        self.ways: dict[tuple[str, str], deque[StoreNews]] = {
-            (one, other): deque() for one in NAMES for other in NAMES if one != other
+        self.backups: list[Backup] = []
+        self._previous_min_version = 0
+        self.in_transit: dict[tuple[str, str], deque[StoreNews]] = {
+            (one, other): deque()
+            for one in GATEWAY_NAMES
+            for other in GATEWAY_NAMES
+            if one != other
         }
-        self.by_name = {name: Gateway(name, self) for name in NAMES}
+        self.by_name = {name: Gateway(name, self) for name in GATEWAY_NAMES}
 
     def monotonic(self) -> float:
         """Return the time of all gateways."""
@@ -283,26 +286,26 @@
             gateway.read()
         self.deliver_all()
 
-    def start_again(self, name: str) -> None:
+    def restart(self, name: str) -> None:
         """Start a gateway again, which then knows nothing; it has not read yet."""
         self.by_name[name] = Gateway(name, self)
 
     def deliver(self, one: str, other: str) -> None:
         """Let the oldest news on a way arrive."""
-        if self.ways[one, other]:
-            news = self.ways[one, other].popleft()
-            self.by_name[other].readers._on_message(None, news)  # type: ignore[arg-type]
+        if self.in_transit[one, other]:
+            update = self.in_transit[one, other].popleft()
+            self.by_name[other].readers._on_message(None, update)  # type: ignore[arg-type]
 
     def deliver_all(self) -> None:
         """Let all news arrive, oldest first on each way."""
-        for one, other in self.ways:
-            while self.ways[one, other]:
+        for one, other in self.in_transit:
+            while self.in_transit[one, other]:
                 self.deliver(one, other)
 
     def lose(self, one: str, other: str) -> None:
         """Lose all news on a way."""
         if one != other:
-            self.ways[one, other].clear()
+            self.in_transit[one, other].clear()
 
     def settle(self) -> None:
         """Mend all, then let time pass and gateways read as their turns say.
@@ -310,14 +313,14 @@
         After a return the operator writes again, and the workers twice: the first
         list may not tell what they wrote before it from what the copy had.
         """
-        self.store.away_from.clear()
+        self.store.unavailable_to.clear()
         if self.store.version != self.store.newest_version:
             self.store.publish_again()
         self._write_all()
         for gateway in self.by_name.values():
             gateway.members = list(GROUP)
             while gateway.reading is not None:
-                gateway.go_on()
+                gateway.resume()
         for number in range(N_ROUNDS):
             if number == 1 and self.store.era:
                 self._write_all()
@@ -330,16 +333,16 @@
             self.deliver_all()
 
     def _write_all(self) -> None:
-        for worker_id in IDS:
+        for worker_id in WORKER_IDS:
             if self.store.era:
                 self.store.put(worker(worker_id))
             else:
                 self.store.write(worker_id)
 
-    def turn(self) -> None:
+    def run_readers(self) -> None:
         """Let both readers read, and all hear of it."""
         self.now_s += store_feed.POLL_S
-        for name in NAMES[:N_READERS]:
+        for name in GATEWAY_NAMES[:N_READERS]:
             self.by_name[name].read()
             self.deliver_all()
 
@@ -347,9 +350,12 @@
         """Let a worker say that it leaves."""
         self.store.put(replace(worker(worker_id), is_leaving=True))
 
-    def least_version(self) -> int:
+    def previous_min_version(self) -> int:
         """Return the oldest version that a gateway had in force at the last call."""
-        before, self._least_version = self._least_version, min(self.versions().values())
+        before, self._previous_min_version = (
+            self._previous_min_version,
+            min(self.versions().values()),
+        )
         return before
 
     def pass_time(self, for_s: float) -> None:
@@ -374,11 +380,11 @@
 
 
 @contextmanager
-def fleet() -> Iterator[Fleet]:
+def started_fleet() -> Iterator[Fleet]:
     """Yield gateways that have all read the store, on a clock of their own."""
-    made = Fleet()
+    fleet = Fleet()
     with pytest.MonkeyPatch.context() as patch:
         for module in (store_feed, store_readers, store_relay, store_view):
-            patch.setattr(module, "time", made)
-        made.start()
-        yield made
+            patch.setattr(module, "time", fleet)
+        fleet.start()
+        yield fleet
--- a/tests/published/store_network.py
+++ b/tests/published/store_network.py
@@ -33,14 +33,14 @@
 from ..chain.test_chain_router import member
 from .test_store_feed import Answer
 
-WAY_S: Final = 0.001
+ONE_WAY_S: Final = 0.001
 """One way between two gateways."""
 
 READ_S: Final = 0.005
 """From a question to the store's answer."""
 
 FIRST_TIMEOUT_S: Final = 0.7
-LAST_TIMEOUT_S: Final = 3.0
+MAX_TIMEOUT_S: Final = 3.0
 """A reader that gets no answer waits twice as long for the next, up to this."""
 
 STEP_S: Final = 0.01
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Copy:
+class Backup:
     """What a store held at some moment."""
 
     revision: int
@@ -102,9 +102,9 @@
         """Return where it is."""
         return StorePosition(era=self.era, revision=self.revision)
 
-    def copy(self) -> Copy:
+    def back_up(self) -> Backup:
         """Return what it holds now."""
-        return Copy(
+        return Backup(
             revision=self.revision,
             workers=dict(self.workers),
             table=self.table,
@@ -112,14 +112,14 @@
             events=list(self.events),
         )
 
-    def return_from(self, copy: Copy) -> None:
+    def restore_from(self, backup: Backup) -> None:
         """Come back with what a copy holds; all that was written since is gone."""
         self.era += 1
-        self.revision = copy.revision
-        self.workers = dict(copy.workers)
-        self.table = copy.table
-        self.table_revision = copy.table_revision
-        self.events = list(copy.events)
+        self.revision = backup.revision
+        self.workers = dict(backup.workers)
+        self.table = backup.table
+        self.table_revision = backup.table_revision
+        self.events = list(backup.events)
 
     def publish(self, version: int) -> None:
         """Publish the next configuration."""
@@ -127,21 +127,21 @@
         self.table_revision = self.revision
         self.table = decoded(table_bytes(version, **self._size))
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         """Write an entry again in which nothing has changed."""
         self.revision += 1
 
     def write(self, listed: Worker) -> None:
         """Write a worker's entry."""
         self.workers[listed.worker_id] = listed
-        self._note(listed.worker_id)
+        self._record(listed.worker_id)
 
     def remove(self, worker_id: str) -> None:
         """Remove a worker's entry."""
         del self.workers[worker_id]
-        self._note(worker_id)
+        self._record(worker_id)
 
-    def _note(self, worker_id: str) -> None:
+    def _record(self, worker_id: str) -> None:
         self.revision += 1
         self.events.append((self.revision, worker_id, self.workers.get(worker_id)))
 
@@ -185,7 +185,7 @@
         """Let a message arrive later."""
         self._count(self._one, message)
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, self._other.hear, message)
+        loop.call_later(ONE_WAY_S, self._other.receive, message)
         return True
 
     async def ask(
@@ -193,13 +193,13 @@
     ) -> Result[StoreState, str]:
         """Return the other's answer."""
         self._count(self._one, message)
-        if self._other.is_dark:
+        if self._other.is_stopped:
             await asyncio.sleep(timeout_s)
             return Err("silent")
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_S)
         state = await self._other.relay.respond(message, Hello())
         self._count(self._other, state)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_S)
         return Ok(state)
 
     def _count(self, sender: "Gateway", message: Message) -> None:
@@ -214,31 +214,31 @@
         own.peers = SimpleNamespace(link=self._link)
         self.name = name
         self.network = network
-        self.is_cut_off = False
-        self.n_cuts = 0
-        self.is_dark = False
+        self.is_disconnected = False
+        self.n_disconnects = 0
+        self.is_stopped = False
         self.read_s = READ_S
         self.sent_bytes = 0
         self.version = 0
         self.timeout_s = FIRST_TIMEOUT_S
         self.workers = WorkerTable()
-        self.notes = journal()
+        self.journal = journal()
         self.relay = StoreRelay(process=own, workers=self.workers)
         self.readers = StoreReaders(process=own, live=lambda: network.members)
         self.feed = StoreFeed(
             store=self,
             workers=self.workers,
-            on_table=self._put_in_force,
-            journal=self.notes,
+            on_table=self._activate,
+            journal=self.journal,
             relay=self.relay,
             readers=self.readers,
             query_peers=lambda: self.relay.query_peers(network.members, name),
             decode=decoded,
         )
 
-    def hear(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         """Take what another gateway tells."""
-        if self.is_dark:
+        if self.is_stopped:
             return
         self.readers._on_message(None, message)  # type: ignore[arg-type]
 
@@ -253,9 +253,9 @@
 
     async def _read(self, answer: Answer) -> Answer:
         self.network.n_reads[self.name] += 1
-        if self.is_cut_off or self.n_cuts:
+        if self.is_disconnected or self.n_disconnects:
             await asyncio.sleep(self.timeout_s)
-            self.timeout_s = min(LAST_TIMEOUT_S, 2 * self.timeout_s)
+            self.timeout_s = min(MAX_TIMEOUT_S, 2 * self.timeout_s)
             return Err(StoreFault.SILENT)
         await asyncio.sleep(self.read_s)
         self.timeout_s = FIRST_TIMEOUT_S
@@ -264,7 +264,7 @@
     def _link(self, address: Address) -> Link:
         return Link(self, self.network.by_port[address.port])
 
-    def _put_in_force(self, published: PublishedTable) -> None:
+    def _activate(self, published: PublishedTable) -> None:
         self.version = published.table.version
 
 
@@ -310,21 +310,21 @@
     def stop(self, number: int) -> None:
         """Kill a gateway; the others do not know yet."""
         gateway = self.gateways[number]
-        gateway.is_dark = True
+        gateway.is_stopped = True
         self._tasks.pop(gateway.name).cancel()
 
-    def forget(self, number: int) -> None:
+    def remove_member(self, number: int) -> None:
         """Let the others count a gateway as gone."""
         name = self.gateways[number].name
         self.members = [m for m in self.members if m.process_id != name]
 
-    def start_again(self, number: int) -> None:
+    def restart(self, number: int) -> None:
         """Start a gateway that knows nothing; it comes last among the others."""
         self.n_starts += 1
-        self.forget(number)
+        self.remove_member(number)
         name = self.gateways[number].name
         gateway = Gateway(name, self)
-        gateway.n_cuts = self.gateways[number].n_cuts
+        gateway.n_disconnects = self.gateways[number].n_disconnects
         self.gateways[number] = gateway
         self.by_port[number + 1] = gateway
         record = member(name, len(self.gateways) + self.n_starts)
@@ -332,7 +332,7 @@
         self.members = [*self.members, replace(record, address=address)]
         self._run(gateway)
 
-    async def time_to(self, *, version: int) -> dict[str, float]:
+    async def activation_times_s(self, *, version: int) -> dict[str, float]:
         """Return for each gateway after how long a table is in force there."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
@@ -349,9 +349,9 @@
     def reads(self) -> Iterator[Counter[str]]:
         """Yield a count of the reads that each gateway makes meanwhile."""
         before = self.n_reads.copy()
-        made: Counter[str] = Counter()
-        yield made
-        made.update(self.n_reads - before)
+        counts: Counter[str] = Counter()
+        yield counts
+        counts.update(self.n_reads - before)
 
 
 def _names(letter: str, n: int) -> list[str]:
--- a/tests/published/test_return_runs.py
+++ b/tests/published/test_recovery_runs.py
@@ -5,12 +5,12 @@
 import pytest
 
 from ..chain.virtual_time import run_virtual
-from .return_runs import ReturnRun
+from .recovery_runs import RecoveryRun
 
 LENGTH_S: Final = 30.0
 
 
-class TestAnyRun:
+class TestRandomRuns:
     @pytest.mark.parametrize(
         ("seed", "n_gateways"), [*((n, 4) for n in range(12)), (100, 30), (101, 30)]
     )
@@ -18,5 +18,5 @@
         self, monkeypatch: pytest.MonkeyPatch, seed: int, n_gateways: int
     ) -> None:
         # Returns come in series, beside cuts, slow answers, stops and starts.
-        run = ReturnRun(seed, n_gateways=n_gateways, length_s=LENGTH_S)
+        run = RecoveryRun(seed, n_gateways=n_gateways, length_s=LENGTH_S)
         assert not run_virtual(monkeypatch, run.run())
--- a/tests/published/test_table_change.py
+++ b/tests/published/test_table_change.py
@@ -25,12 +25,12 @@
 
 
 def published(version: int, **size: int) -> PublishedTable:
-    made = decoded(table_bytes(version, **size))
-    assert made is not None
-    return made
+    decoded_table = decoded(table_bytes(version, **size))
+    assert decoded_table is not None
+    return decoded_table
 
 
-def told_bytes(change: TableChange) -> int:
+def update_bytes(change: TableChange) -> int:
     return len(encode(StoreNews(table=change))) - len(encode(StoreNews()))
 
 
@@ -53,14 +53,14 @@
         change = change_between(base, newest)
         assert change is not None
         assert apply_change(base, change) == newest.data
-        assert told_bytes(change) < 1000 < len(newest.data) / 100
+        assert update_bytes(change) < 1000 < len(newest.data) / 100
 
     def test_what_is_counted_bounds_what_is_sent(self) -> None:
         base, newest = published(2), published(3)
         change = change_between(base, newest)
         assert change is not None
         counted = sum(PIECE_BYTES + len(piece.added) for piece in change.pieces)
-        assert told_bytes(change) <= counted + PIECE_BYTES * 2
+        assert update_bytes(change) <= counted + PIECE_BYTES * 2
 
     def test_what_is_too_long_is_not_told(self) -> None:
         newest = table(b"{y}" + b"x" * MAX_CHANGE_BYTES, 2)
