--- a/tests/published/recovery_runs.py
+++ b/tests/published/recovery_runs.py
@@ -1,4 +1,4 @@
-"""Gateways through returns of the store, cuts, slow answers, stops and starts."""
+"""Random runs of gateways through restores, disconnects, slow reads and restarts."""
 
 import asyncio
 import random
@@ -12,22 +12,22 @@
 from .store_network import Backup, Gateway, Network
 
 PROPAGATION_S: Final = 3.0
-"""Time from a write, or from the store's return after it, until all know of it."""
+"""Time from a write, or a later restore of the store, until all gateways know of it."""
 
 STABLE_S: Final = 3.0
-"""A removal that soon after a return may be of a worker that has yet to write."""
+"""Time after a restore without removals: the worker may still have to write again."""
 
 HEARTBEAT_S: Final = 1.0
 BACKUP_INTERVAL_S: Final = 0.5
 N_BACKUPS: Final = 16
 MEMBER_TIMEOUT_S: Final = 2.0
-"""Time after its end by which a gateway counts as gone at the others."""
+"""Time after its stop at which the other gateways remove a gateway."""
 
 EXPIRY_SHARE: Final = 0.3
-"""Part of the returns after which an entry has run out whose worker lives."""
+"""Share of the restores after which the entry of a live worker expires."""
 
 EXPIRY_DELAY_S: Final = 3.0
-"""Time after a return in which entries run out whose workers are gone."""
+"""Time after a restore at which the entries of exited workers expire."""
 
 NEVER_S: Final = 1e12
 CHECK_S: Final = 0.05
@@ -35,20 +35,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class ExpectedChange:
-    """What the operator or a worker wrote, and must be known everywhere.
+    """A change written by the operator or a worker that all gateways must know.
 
     Parameters
     ----------
-    what : str
-        For the report.
+    description : str
+        Describes the change in reports.
     written_s : float
-        When, or when the store came back since, whichever is later.
+        Time of the write, or of the store's last restore if that is later.
     is_known : callable
-        Returns True if a gateway knows it.
+        Returns True if a gateway knows the change.
     worker_id : str
-        If it is that this worker is gone; nobody writes that again.
+        The worker, if the change is its removal, which is not written again.
     unaware : set of str
-        Gateways that cannot know of it: a return has lost it before they did.
+        Gateways that cannot know it: a restore reverted the change before they did.
     """
 
     description: str
@@ -59,23 +59,23 @@
 
 
 class RecoveryRun:
-    """One run of a seed.
+    """One random run.
 
     Parameters
     ----------
     seed : int
-        Of all that happens.
+        Seed of all random choices.
     n_gateways : int
-        In one group.
+        Number of gateways, all in one group.
     length_s : float
-        For which things happen.
+        Time in seconds during which events happen.
 
     Attributes
     ----------
     problems : list of str
-        What was not known in time, one line each.
-    n_returns : int
-        How often the store came back from a copy.
+        Changes that were not known in time, one line each.
+    n_restores : int
+        Number of times the store was restored from a backup.
     """
 
     def __init__(self, seed: int, *, n_gateways: int, length_s: float) -> None:
@@ -98,7 +98,7 @@
         self._versions: dict[Gateway, int] = {}
 
     async def run(self) -> list[str]:
-        """Return what was not known in time."""
+        """Run the simulation; return the changes that were not known in time."""
         await self.network.start()
         background = [
             asyncio.create_task(work())
@@ -132,7 +132,7 @@
         return asyncio.get_running_loop().time()
 
     async def _send_heartbeats(self) -> None:
-        """Let all workers write their entries, as they do all the time."""
+        """Write the entries of all live workers periodically, as heartbeats do."""
         while True:
             for listed in list(self._live.values()):
                 await asyncio.sleep(HEARTBEAT_S / max(1, len(self._live)))
@@ -147,7 +147,7 @@
             await asyncio.sleep(BACKUP_INTERVAL_S)
 
     async def _watch(self) -> None:
-        """Look who knows what is due, and that nobody goes back."""
+        """Check that due changes are known and that no gateway regresses."""
         while True:
             await asyncio.sleep(CHECK_S)
             now_s = self._now_s()
@@ -173,7 +173,7 @@
                 )
 
     def _check_no_regression(self, gateway: Gateway) -> None:
-        """Look that no older table is in force, and nobody used who had left."""
+        """Check that no older table is activated and no departed worker is used."""
         if gateway.version < self._versions.get(gateway, 0):
             self.problems.append(f"{gateway.name} went back to {gateway.version}")
         self._versions[gateway] = gateway.version
@@ -210,7 +210,7 @@
         for gateway in self.network.gateways:
             gateway.n_disconnects += 1
         for expected in self._pending:
-            # What the operator and living workers wrote is written again.
+            # The operator and live workers write their changes again.
             expected.written_s = NEVER_S
         await asyncio.sleep(self._rng.uniform(0.05, 2.0))
         for gateway in self.network.gateways:
@@ -263,7 +263,7 @@
         self._expect(f"that {new.worker_id} came", is_known)
 
     async def _leave(self) -> None:
-        """Let a worker say that it leaves, and go soon after."""
+        """Let a worker announce that it leaves, and exit some seconds later."""
         ready = [each for each in self._live.values() if not each.is_leaving]
         if self._is_unavailable or len(ready) < 3:
             return
@@ -276,13 +276,13 @@
         await self._remove(leaving.worker_id)
 
     async def _crash(self) -> None:
-        """Let a worker go without a word before."""
+        """Let a worker exit without an announcement."""
         ready = [each for each in self._live.values() if not each.is_leaving]
         if len(ready) >= 3:
             await self._remove(self._rng.choice(ready).worker_id)
 
     async def _remove(self, worker_id: str) -> None:
-        while not self._is_stable():  # noqa: ASYNC110 - it is time that passes
+        while not self._is_stable():  # noqa: ASYNC110 - waits for virtual time
             await asyncio.sleep(CHECK_S)
         if self._live.pop(worker_id, None) is None:
             return
--- a/tests/published/store_costs.py
+++ b/tests/published/store_costs.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration costs, and how soon it is in force."""
+"""Measures the cost of a configuration change and the time until it is active."""
 
 import asyncio
 import statistics
@@ -13,12 +13,12 @@
 
 N_CHANGES: Final = 20
 CHANGE_INTERVAL_S: Final = 7.07
-"""Time for each change; no multiple of a reader's turn, so that phases differ."""
+"""Time between changes; not a multiple of the read interval, so that phases differ."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Size:
-    """A group of gateways, and what they serve."""
+    """A group of gateways and the size of its configuration."""
 
     n_gateways: int
     n_workers: int
@@ -30,12 +30,12 @@
     Size(n_gateways=22, n_workers=100, n_routes=45, n_accounts=16),
     Size(n_gateways=80, n_workers=910, n_routes=45, n_accounts=3400),
 )
-"""A grown deployment, and one of five failure domains with 400 gateways."""
+"""A larger deployment, and one of five failure domains with 400 gateways."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Of one change, the mean or as said."""
+    """Cost of one change; the mean unless the name of a field says otherwise."""
 
     n_reads: float
     median_s: float
@@ -76,7 +76,7 @@
 async def _sent(
     network: Network, times_s: list[float], *, n_changes: int
 ) -> Sequence[int]:
-    """Return the bytes that each gateway sends, with some changes or none."""
+    """Return the bytes that each gateway sends, with or without changes."""
     before = [gateway.sent_bytes for gateway in network.gateways]
     loop = asyncio.get_running_loop()
     began_s = loop.time()
@@ -91,17 +91,17 @@
 
 
 def print_costs() -> None:
-    """Print what one change costs by the size, with and without gateways cut off."""
+    """Print the cost of a change by size, with and without disconnected gateways."""
     print("gateways  cut off  table B  reads  median s  worst s  reader B  others B")
     for size in SIZES:
         n_bytes = len(
             table_bytes(2, n_routes=size.n_routes, n_accounts=size.n_accounts)
         )
-        for n_disconnected in (0, size.n_gateways // 3):
+        for n_cut in (0, size.n_gateways // 3):
             with pytest.MonkeyPatch.context() as patch:
-                cost = run_virtual(patch, _cost(size, n_disconnected=n_disconnected))
+                cost = run_virtual(patch, _cost(size, n_disconnected=n_cut))
             print(
-                f"{size.n_gateways:8} {n_disconnected:8} {n_bytes:8} {cost.n_reads:6.1f}"
+                f"{size.n_gateways:8} {n_cut:8} {n_bytes:8} {cost.n_reads:6.1f}"
                 f" {cost.median_s:9.2f} {cost.worst_s:8.2f}"
                 f" {cost.reader_bytes:9.0f} {cost.others_bytes:9.0f}",
                 flush=True,
--- a/tests/published/store_network.py
+++ b/tests/published/store_network.py
@@ -1,4 +1,4 @@
-"""Gateways that read and hear of a store over ways that take time, in virtual time."""
+"""Gateways that read a store and exchange updates with latency, in virtual time."""
 
 import asyncio
 import random
@@ -34,20 +34,20 @@
 from .test_store_feed import Answer
 
 ONE_WAY_S: Final = 0.001
-"""One way between two gateways."""
+"""Latency of a message between two gateways."""
 
 READ_S: Final = 0.005
-"""From a question to the store's answer."""
+"""Time from a request to the store's response."""
 
 FIRST_TIMEOUT_S: Final = 0.7
 MAX_TIMEOUT_S: Final = 3.0
-"""A reader that gets no answer waits twice as long for the next, up to this."""
+"""The timeout of a read doubles after each timeout, from the first up to the second."""
 
 STEP_S: Final = 0.01
 
 
 def table_bytes(version: int, *, n_routes: int = 45, n_accounts: int = 16) -> bytes:
-    """Return a configuration of some size; versions differ in one time-out."""
+    """Return a configuration of a given size; versions differ in one timeout."""
     routes = [
         route(f"route{number}", "idempotent", "stock") for number in range(n_routes)
     ]
@@ -66,7 +66,7 @@
 
 
 def decoded(data: bytes) -> PublishedTable | None:
-    """Return a table that knows its version only; None if it is no JSON."""
+    """Return a table that has only its version; None if the data is not JSON."""
     try:
         version = orjson.loads(data)["version"]
     except ValueError:
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Backup:
-    """What a store held at some moment."""
+    """The content of a store at one moment."""
 
     revision: int
     workers: dict[str, Worker]
@@ -86,7 +86,7 @@
 
 
 class Store:
-    """What is published, with the changes that led there."""
+    """The published content, with its history of changes."""
 
     def __init__(self, n_workers: int, **size: int) -> None:
         self._size = size
@@ -99,11 +99,11 @@
 
     @property
     def position(self) -> StorePosition:
-        """Return where it is."""
+        """Return the current position."""
         return StorePosition(era=self.era, revision=self.revision)
 
     def back_up(self) -> Backup:
-        """Return what it holds now."""
+        """Return a backup of the current content."""
         return Backup(
             revision=self.revision,
             workers=dict(self.workers),
@@ -113,7 +113,7 @@
         )
 
     def restore_from(self, backup: Backup) -> None:
-        """Come back with what a copy holds; all that was written since is gone."""
+        """Restore the content of a backup; everything written since is lost."""
         self.era += 1
         self.revision = backup.revision
         self.workers = dict(backup.workers)
@@ -128,7 +128,7 @@
         self.table = decoded(table_bytes(version, **self._size))
 
     def heartbeat(self) -> None:
-        """Write an entry again in which nothing has changed."""
+        """Write an entry again without a change."""
         self.revision += 1
 
     def write(self, listed: Worker) -> None:
@@ -146,7 +146,7 @@
         self.events.append((self.revision, worker_id, self.workers.get(worker_id)))
 
     def listed(self) -> StoreChanges:
-        """Return all that is published."""
+        """Return everything that is published."""
         return StoreChanges(
             position=self.position,
             table=self.table,
@@ -175,14 +175,14 @@
 
 
 class Link:
-    """The way from one gateway to another."""
+    """The connection from one gateway to another."""
 
     def __init__(self, one: "Gateway", other: "Gateway") -> None:
         self._one = one
         self._other = other
 
     def send(self, message: Message) -> bool:
-        """Let a message arrive later."""
+        """Deliver a message after the latency."""
         self._count(self._one, message)
         loop = asyncio.get_running_loop()
         loop.call_later(ONE_WAY_S, self._other.receive, message)
@@ -191,7 +191,7 @@
     async def ask(
         self, message: StorePull, *, timeout_s: float
     ) -> Result[StoreState, str]:
-        """Return the other's answer."""
+        """Return the other gateway's response."""
         self._count(self._one, message)
         if self._other.is_stopped:
             await asyncio.sleep(timeout_s)
@@ -207,7 +207,7 @@
 
 
 class Gateway:
-    """One gateway's feed, with its own way to the store."""
+    """One gateway's feed, with its own connection to the store."""
 
     def __init__(self, name: str, network: "Network") -> None:
         own: Any = process(name)
@@ -222,14 +222,14 @@
         self.version = 0
         self.timeout_s = FIRST_TIMEOUT_S
         self.workers = WorkerTable()
-        self.journal = journal()
+        self.records = journal()
         self.relay = StoreRelay(process=own, workers=self.workers)
         self.readers = StoreReaders(process=own, live=lambda: network.members)
         self.feed = StoreFeed(
             store=self,
             workers=self.workers,
             on_table=self._activate,
-            journal=self.journal,
+            journal=self.records,
             relay=self.relay,
             readers=self.readers,
             query_peers=lambda: self.relay.query_peers(network.members, name),
@@ -237,13 +237,13 @@
         )
 
     def receive(self, message: Message) -> None:
-        """Take what another gateway tells."""
+        """Process a message from another gateway."""
         if self.is_stopped:
             return
         self.readers._on_message(None, message)  # type: ignore[arg-type]
 
     async def snapshot(self) -> Answer:
-        """Return all that the store holds."""
+        """Return everything that the store holds."""
         self.network.n_lists[self.name] += 1
         return await self._read(Ok(self.network.store.listed()))
 
@@ -269,16 +269,16 @@
 
 
 class Network:
-    """A store and gateways in the order in which they read for the others.
+    """A store and gateways, in the order in which these become readers.
 
     Parameters
     ----------
     n_gateways : int
-        Of one group.
+        Number of gateways, all in one group.
     n_workers : int
-        Listed from the start.
+        Number of workers listed from the start.
     size : int
-        Of the configuration, as `table_bytes` takes it.
+        Size of the configuration, as parameters of `table_bytes`.
     """
 
     def __init__(self, n_gateways: int, *, n_workers: int = 4, **size: int) -> None:
@@ -298,7 +298,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Start the gateways one after the other; wait until only some read."""
+        """Start the gateways one by one; wait until only the readers read."""
         for gateway in self.gateways:
             self._run(gateway)
             await asyncio.sleep(STEP_S)
@@ -308,18 +308,18 @@
         self._tasks[gateway.name] = asyncio.create_task(gateway.feed.run())
 
     def stop(self, number: int) -> None:
-        """Kill a gateway; the others do not know yet."""
+        """Stop a gateway without notice to the others."""
         gateway = self.gateways[number]
         gateway.is_stopped = True
         self._tasks.pop(gateway.name).cancel()
 
     def remove_member(self, number: int) -> None:
-        """Let the others count a gateway as gone."""
+        """Let the others remove a gateway from the membership."""
         name = self.gateways[number].name
         self.members = [m for m in self.members if m.process_id != name]
 
     def restart(self, number: int) -> None:
-        """Start a gateway that knows nothing; it comes last among the others."""
+        """Start a gateway with an empty view; it ranks last among the others."""
         self.n_starts += 1
         self.remove_member(number)
         name = self.gateways[number].name
@@ -333,7 +333,7 @@
         self._run(gateway)
 
     async def activation_times_s(self, *, version: int) -> dict[str, float]:
-        """Return for each gateway after how long a table is in force there."""
+        """Return the time in seconds until a table is active, for each gateway."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         times_s: dict[str, float] = {}
@@ -347,7 +347,7 @@
 
     @contextmanager
     def reads(self) -> Iterator[Counter[str]]:
-        """Yield a count of the reads that each gateway makes meanwhile."""
+        """Yield a count of each gateway's reads, filled when the context exits."""
         before = self.n_reads.copy()
         counts: Counter[str] = Counter()
         yield counts
--- a/tests/published/test_recovery_runs.py
+++ b/tests/published/test_recovery_runs.py
@@ -1,4 +1,4 @@
-"""After a return of the store, all is known everywhere in time, and few list it."""
+"""After restores of the store, all gateways know every change in time."""
 
 from typing import Final
 
@@ -17,6 +17,6 @@
     def test_what_is_written_is_known_everywhere_in_time(
         self, monkeypatch: pytest.MonkeyPatch, seed: int, n_gateways: int
     ) -> None:
-        # Returns come in series, beside cuts, slow answers, stops and starts.
+        # Restores come in series, with disconnects, slow reads and restarts.
         run = RecoveryRun(seed, n_gateways=n_gateways, length_s=LENGTH_S)
         assert not run_virtual(monkeypatch, run.run())
--- a/tests/published/test_store_recovery.py
+++ b/tests/published/test_store_returns.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy: revisions are given out again, entries are lost."""
+"""Restores of the store from a backup: revisions are reused, entries are lost."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -16,7 +16,7 @@
 from trefoilpaddle.state.journal import Event
 
 from ..chain.fakes import worker
-from .store_fleet import GATEWAY_NAMES, GROUP, WORKER_IDS, Fleet, started_fleet
+from .store_fleet import GROUP, NAMES, WORKER_IDS, Fleet, started_fleet
 
 NEW: Final = worker("w9")
 
@@ -28,20 +28,20 @@
 
 
 def all_know(fleet: Fleet, *ids: str) -> bool:
-    return fleet.known() == dict.fromkeys(GATEWAY_NAMES, sorted(ids))
+    return fleet.known() == dict.fromkeys(NAMES, sorted(ids))
 
 
 def entries(fleet: Fleet, worker_id: str) -> set[Worker | None]:
-    """Return what the gateways hold of a worker."""
+    """Return the entries of a worker that the gateways hold."""
     return {gateway.workers.get(worker_id) for gateway in fleet.by_name.values()}
 
 
 class TestRevisions:
-    async def test_a_worker_written_at_a_revision_given_out_again_is_known(
+    async def test_a_worker_written_at_a_reused_revision_is_known(
         self, fleet: Fleet
     ) -> None:
-        # By the next read the store has passed the revision that all know, and
-        # answers what has changed since: the worker was written before it.
+        # By the next read the store has passed the revision that all gateways know, and
+        # returns the changes since. The worker was written before that revision.
         backup = fleet.store.back_up()
         for _ in range(5):
             fleet.store.put(worker("w1"))
@@ -53,7 +53,7 @@
         fleet.run_readers()
         assert all_know(fleet, *WORKER_IDS, "w9")
 
-    async def test_a_revision_that_the_store_does_not_have_yet_sends_to_the_list(
+    async def test_a_revision_later_than_the_stores_leads_to_a_list(
         self, fleet: Fleet
     ) -> None:
         backup = fleet.store.back_up()
@@ -64,7 +64,7 @@
         position = StorePosition(era=1, revision=backup.revision)
         assert {g.feed.position for g in fleet.by_name.values()} == {position}
 
-    async def test_returns_follow_one_another(self, fleet: Fleet) -> None:
+    async def test_several_restores_in_a_row(self, fleet: Fleet) -> None:
         backup = fleet.store.back_up()
         for number in range(4):
             fleet.store.put(worker(f"x{number}"))
@@ -77,9 +77,9 @@
         assert all_know(fleet, *WORKER_IDS, "w9")
 
 
-class TestLateAnswers:
-    async def test_a_list_of_the_era_before_is_left_aside(self, fleet: Fleet) -> None:
-        # A slow answer, or one over another connection, comes after the next era's.
+class TestLateResponses:
+    async def test_a_list_of_the_earlier_era_is_ignored(self, fleet: Fleet) -> None:
+        # A slow response, or one on another connection, arrives after the next era's.
         slow = fleet.by_name["b"]
         backup = fleet.store.back_up()
         fleet.store.put(NEW)
@@ -94,7 +94,7 @@
         assert slow.feed.position == known
         assert slow.workers.get("w9") is None
 
-    async def test_changes_of_the_era_before_are_left_aside(self, fleet: Fleet) -> None:
+    async def test_changes_of_the_earlier_era_are_ignored(self, fleet: Fleet) -> None:
         slow = fleet.by_name["b"]
         backup = fleet.store.back_up()
         fleet.store.expire("w1")
@@ -105,10 +105,10 @@
         slow.read()
         assert sorted(slow.workers.ids()) == sorted(WORKER_IDS)
 
-    async def test_changes_of_this_era_since_a_revision_of_the_last_are_no_changes(
+    async def test_changes_since_a_revision_of_the_earlier_era_are_not_applied(
         self, fleet: Fleet
     ) -> None:
-        # Asked for in the last era, answered in this one, which others told of.
+        # Requested in the last era, answered in this one, which others have reported.
         slow = fleet.by_name["b"]
         backup = fleet.store.back_up()
         for _ in range(3):
@@ -126,11 +126,11 @@
         fleet.pass_time(RECOVERY_GRACE_S)
         assert all_know(fleet, "w1", "w3")
 
-    async def test_lost_history_of_the_era_before_is_nothing_of_this_one(
+    async def test_lost_history_of_the_earlier_era_does_not_affect_the_next(
         self, fleet: Fleet
     ) -> None:
-        # News of the next era come while a watch of the last is refused: what leaves
-        # or is gone must be held against the list that follows.
+        # An update of the next era arrives while a watch of the last one is refused.
+        # Leaving and removed workers must be compared with the list that follows.
         slow = fleet.by_name["b"]
         backup = fleet.store.back_up()
         fleet.store.expire("w1")
@@ -149,7 +149,9 @@
 
 
 class TestPeers:
-    async def test_one_that_is_cut_off_goes_on_from_news(self, fleet: Fleet) -> None:
+    async def test_a_disconnected_gateway_continues_with_updates(
+        self, fleet: Fleet
+    ) -> None:
         disconnected = fleet.by_name["d"]
         fleet.store.unavailable_to.add("d")
         backup = fleet.store.back_up()
@@ -161,11 +163,11 @@
         assert disconnected.workers.get("w9") == NEW
         assert disconnected.feed.position == fleet.by_name["a"].feed.position
 
-    async def test_readers_that_are_cut_off_meanwhile_hear_of_it(
+    async def test_disconnected_readers_learn_of_the_restore(
         self, fleet: Fleet
     ) -> None:
-        # Nobody is told, so the others read by themselves, and list it in turn.
-        fleet.store.unavailable_to.update(GATEWAY_NAMES[:2])
+        # No gateway is notified, so the others read the store, and list it in turn.
+        fleet.store.unavailable_to.update(NAMES[:2])
         backup = fleet.store.back_up()
         fleet.store.expire("w1")
         fleet.by_name["c"].read()
@@ -182,7 +184,9 @@
         assert {g.feed.position.era for g in fleet.by_name.values()} == {1}
         assert "w1" not in fleet.by_name["d"].workers.ids()
 
-    async def test_one_that_missed_the_news_asks_its_peers(self, fleet: Fleet) -> None:
+    async def test_a_gateway_that_missed_updates_queries_peers(
+        self, fleet: Fleet
+    ) -> None:
         late = fleet.by_name["d"]
         fleet.store.unavailable_to.add("d")
         backup = fleet.store.back_up()
@@ -197,9 +201,11 @@
         late.query_peers()
         assert late.workers.get("w9") == NEW
 
-    async def test_a_later_era_makes_the_own_position_void(self, fleet: Fleet) -> None:
-        # Its list differs from the one that the news lead on from: it asks no more
-        # for changes since a revision of the era before.
+    async def test_a_later_era_invalidates_the_known_position(
+        self, fleet: Fleet
+    ) -> None:
+        # Its list differs from the base of the update. It must no longer request
+        # changes since a revision of the earlier era.
         late = fleet.by_name["d"]
         late.workers.put(worker("w7"))
         backup = fleet.store.back_up()
@@ -212,7 +218,7 @@
         fleet.pass_time(RECOVERY_GRACE_S)
         assert all_know(fleet, *WORKER_IDS)
 
-    async def test_news_of_an_earlier_era_take_nobody_back(self, fleet: Fleet) -> None:
+    async def test_an_update_of_an_earlier_era_is_ignored(self, fleet: Fleet) -> None:
         fleet.store.restore_from(fleet.store.back_up())
         fleet.run_readers()
         gateway = fleet.by_name["d"]
@@ -224,22 +230,22 @@
 
 
 class TestTable:
-    async def test_an_older_one_is_never_in_force_again(self, fleet: Fleet) -> None:
+    async def test_an_older_table_is_never_active_again(self, fleet: Fleet) -> None:
         backup = fleet.store.back_up()
         fleet.store.publish()
         fleet.run_readers()
         fleet.store.restore_from(backup)
         fleet.run_readers()
-        assert fleet.versions() == dict.fromkeys(GATEWAY_NAMES, 2)
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
         fleet.store.publish_again()
         fleet.store.publish()
         fleet.run_readers()
-        assert fleet.versions() == dict.fromkeys(GATEWAY_NAMES, 3)
+        assert fleet.versions() == dict.fromkeys(NAMES, 3)
 
-    async def test_one_that_starts_after_the_return_takes_the_newer_from_peers(
+    async def test_a_gateway_started_after_the_restore_gets_the_newer_table_from_peers(
         self, fleet: Fleet
     ) -> None:
-        # The copy has a key that was revoked, and the operator has not written again.
+        # The backup has a key that was revoked; the operator has not written again.
         backup = fleet.store.back_up()
         fleet.store.publish()
         fleet.run_readers()
@@ -247,12 +253,12 @@
         fleet.run_readers()
         fleet.restart("d")
         fleet.by_name["d"].read()
-        assert fleet.versions() == dict.fromkeys(GATEWAY_NAMES, 2)
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
 
-    async def test_one_that_a_reader_names_is_asked_of_peers(
+    async def test_a_table_announced_by_a_reader_is_requested_from_peers(
         self, fleet: Fleet
     ) -> None:
-        # It lost the news that told the table; the store has it no more.
+        # The update with the table was lost, and the store no longer has the table.
         backup = fleet.store.back_up()
         fleet.store.publish()
         fleet.by_name["a"].read()
@@ -262,11 +268,11 @@
         fleet.run_readers()
         for name in "bcd":
             fleet.by_name[name].read()
-        assert fleet.versions() == dict.fromkeys(GATEWAY_NAMES, 2)
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
 
 
 class TestWorkers:
-    async def test_one_that_came_in_the_lost_seconds_has_time_to_write_again(
+    async def test_a_worker_added_since_the_backup_has_time_to_write_again(
         self, fleet: Fleet
     ) -> None:
         backup = fleet.store.back_up()
@@ -281,7 +287,7 @@
         fleet.pass_time(RECOVERY_GRACE_S)
         assert all_know(fleet, *WORKER_IDS, "w9")
 
-    async def test_one_that_does_not_write_again_is_gone_then(
+    async def test_a_worker_that_does_not_write_again_is_removed(
         self, fleet: Fleet
     ) -> None:
         backup = fleet.store.back_up()
@@ -292,7 +298,7 @@
         fleet.pass_time(RECOVERY_GRACE_S)
         assert all_know(fleet, *WORKER_IDS)
 
-    async def test_one_that_leaves_is_not_used_again(self, fleet: Fleet) -> None:
+    async def test_a_leaving_worker_is_not_used_again(self, fleet: Fleet) -> None:
         backup = fleet.store.back_up()
         fleet.leave("w1")
         fleet.run_readers()
@@ -300,8 +306,8 @@
         fleet.run_readers()
         assert entries(fleet, "w1") == {replace(worker("w1"), is_leaving=True)}
 
-    async def test_one_that_is_gone_is_not_used_again(self, fleet: Fleet) -> None:
-        # It serves on for a while after its entry was removed, as some do.
+    async def test_a_removed_worker_is_not_used_again(self, fleet: Fleet) -> None:
+        # It keeps serving for a while after its entry was removed, as some workers do.
         backup = fleet.store.back_up()
         fleet.store.expire("w1")
         fleet.run_readers()
@@ -312,7 +318,7 @@
         assert all_know(fleet, "w2", "w3")
 
     @pytest.mark.parametrize("is_gone", [True, False])
-    async def test_one_that_writes_again_is_used_again(
+    async def test_a_worker_that_writes_again_is_used_again(
         self, fleet: Fleet, *, is_gone: bool
     ) -> None:
         backup = fleet.store.back_up()
@@ -327,10 +333,10 @@
         fleet.run_readers()
         assert entries(fleet, "w1") == {worker("w1")}
 
-    async def test_one_that_nobody_says_wrote_again_is_used_once_its_entry_stands(
+    async def test_a_worker_without_reported_write_is_used_once_its_entry_stays_listed(
         self, fleet: Fleet
     ) -> None:
-        # Both readers have started since the return and know nothing against it.
+        # Both readers have restarted since the restore and have no other knowledge.
         backup = fleet.store.back_up()
         fleet.store.expire("w1")
         fleet.run_readers()
@@ -347,7 +353,7 @@
         fleet.run_readers()
         assert all_know(fleet, *WORKER_IDS)
 
-    async def test_one_that_began_to_leave_since_the_return_is_not_used(
+    async def test_a_worker_that_leaves_after_the_restore_is_not_used(
         self, fleet: Fleet
     ) -> None:
         fleet.store.restore_from(fleet.store.back_up())
@@ -355,7 +361,7 @@
         fleet.run_readers()
         assert entries(fleet, "w1") == {replace(worker("w1"), is_leaving=True)}
 
-    async def test_a_new_start_under_the_id_of_one_that_is_gone_is_used(
+    async def test_a_restart_under_the_id_of_a_removed_worker_is_used(
         self, fleet: Fleet
     ) -> None:
         backup = fleet.store.back_up()
@@ -367,17 +373,17 @@
         fleet.run_readers()
         assert entries(fleet, "w1") == {again}
 
-    async def test_one_whose_address_another_has_by_now_is_not_used(
+    async def test_a_worker_whose_address_was_reused_is_not_used(
         self, fleet: Fleet
     ) -> None:
-        # Nothing is known here of the first: its end was longer ago than all starts.
+        # The gateways do not know the first worker: it exited before they started.
         first = worker("w8")
         fleet.store.put(first)
         backup = fleet.store.back_up()
         fleet.store.expire("w8")
         second = replace(NEW, address=first.address)
         fleet.store.put(second)
-        for name in GATEWAY_NAMES:
+        for name in NAMES:
             fleet.restart(name)
         fleet.start()
         fleet.store.restore_from(backup)
@@ -385,10 +391,10 @@
         assert entries(fleet, "w8") == {None}
         assert entries(fleet, "w9") == {second}
 
-    async def test_one_whose_entry_another_writer_had_overwritten_stays(
+    async def test_a_worker_whose_entry_was_overwritten_in_the_backup_stays(
         self, fleet: Fleet
     ) -> None:
-        # The copy was made between that and the worker's next heartbeat.
+        # The backup was made between that write and the worker's next heartbeat.
         fleet.store.overwrite("w1")
         backup = fleet.store.back_up()
         fleet.store.put(worker("w1"))
@@ -397,7 +403,7 @@
         fleet.run_readers()
         assert all_know(fleet, *WORKER_IDS)
 
-    async def test_one_that_starts_after_the_return_hears_who_is_gone(
+    async def test_a_gateway_started_after_the_restore_learns_of_removed_workers(
         self, fleet: Fleet
     ) -> None:
         backup = fleet.store.back_up()
@@ -413,9 +419,7 @@
 
 
 class TestLog:
-    async def test_one_line_tells_what_is_held_against_the_copy(
-        self, fleet: Fleet
-    ) -> None:
+    async def test_one_record_names_the_ignored_entries(self, fleet: Fleet) -> None:
         backup = fleet.store.back_up()
         fleet.store.put(NEW)
         fleet.leave("w1")
@@ -425,7 +429,7 @@
         for gateway in fleet.by_name.values():
             (line,) = [
                 record.decision
-                for record in gateway.journal.recent()
+                for record in gateway.records.recent()
                 if record.decision.event is Event.STORE_RETURNED
             ]
             assert line.detail == "0/3 to 1/1; ignored until written again: w1"
--- a/tests/published/test_store_schedules.py
+++ b/tests/published/test_store_schedules.py
@@ -1,4 +1,4 @@
-"""Whatever happens between a store and its gateways, they end with what it lists."""
+"""Random schedules of a store and its gateways end with what the store lists."""
 
 from collections.abc import Callable
 from typing import Final
@@ -10,7 +10,7 @@
 from trefoilpaddle.coordination.published import store_feed, store_view
 from trefoilpaddle.coordination.published.store_view import RECOVERY_GRACE_S
 
-from .store_fleet import GATEWAY_NAMES, GROUP, WORKER_IDS, Fleet, started_fleet
+from .store_fleet import GROUP, NAMES, WORKER_IDS, Fleet, started_fleet
 
 Step = Callable[[Fleet], None]
 
@@ -23,12 +23,12 @@
     return run
 
 
-names = st.sampled_from(GATEWAY_NAMES)
+names = st.sampled_from(NAMES)
 ids = st.sampled_from(WORKER_IDS)
 
 
 def _hide(fleet: Fleet, name: str, hidden: str) -> None:
-    """Let a gateway take another for gone, so that it may read for the others."""
+    """Let a gateway consider another as gone, so that it may become a reader."""
     fleet.by_name[name].members = [m for m in GROUP if m.process_id != hidden]
 
 
@@ -44,7 +44,7 @@
 
 
 def _read_and_deliver(fleet: Fleet, name: str) -> None:
-    """Let a gateway read and all hear of it, as on a day without faults."""
+    """Let a gateway read and all receive its update, as without faults."""
     fleet.now_s += store_feed.POLL_S / 2
     fleet.by_name[name].read()
     fleet.deliver_all()
@@ -76,12 +76,12 @@
 
 
 def _restore(fleet: Fleet) -> None:
-    """Let the store come back from the copy that was made last."""
+    """Restore the store from the latest backup."""
     if fleet.backups:
         fleet.store.restore_from(fleet.backups[-1])
 
 
-RECOVERY_STEPS: Final = st.one_of(
+RETURNS: Final = st.one_of(
     STEPS,
     st.just(step("copy", lambda fleet: fleet.backups.append(fleet.store.back_up()))),
     st.just(step("return", _restore)),
@@ -89,16 +89,16 @@
 )
 
 
-def run_schedule(steps: list[Step], n_differing: int) -> None:
-    """Let things happen, and look that no older table is ever in force again."""
+def play(steps: list[Step], n_differing: int) -> None:
+    """Run a schedule; check that no older table is ever activated again."""
     with started_fleet() as fleet, pytest.MonkeyPatch.context() as patch:
         patch.setattr(store_view, "MAX_DIGEST_MISMATCHES", n_differing)
         for do in steps:
             do(fleet)
             assert min(fleet.versions().values()) >= fleet.previous_min_version()
         fleet.settle()
-        assert fleet.known() == dict.fromkeys(GATEWAY_NAMES, sorted(WORKER_IDS))
-        assert fleet.versions() == dict.fromkeys(GATEWAY_NAMES, fleet.store.version)
+        assert fleet.known() == dict.fromkeys(NAMES, sorted(WORKER_IDS))
+        assert fleet.versions() == dict.fromkeys(NAMES, fleet.store.version)
 
 
 MANY: Final = settings(
@@ -112,20 +112,18 @@
     def test_all_end_with_what_the_store_lists(
         self, steps: list[Step], n_differing: int
     ) -> None:
-        # Entries run out and come back, answers and news are late or lost, the
-        # store is away from some or forgets, and who reads changes. None of it
-        # may take a worker away for good: its entry does not change any more. One
-        # difference is enough here for a list anew, so that short schedules have
-        # lists that are asked for while answers and news are on their way.
-        run_schedule(steps, n_differing)
+        # Entries expire and are written again, responses and updates are late or lost,
+        # the store is unavailable to some or loses its history, and the readers change.
+        # None of this may remove a worker permanently: its entry does not change any
+        # more. A single differing digest may suffice for a new list here, so that short
+        # schedules contain lists requested while responses and updates are in transit.
+        play(steps, n_differing)
 
     @MANY
-    @given(
-        steps=st.lists(RECOVERY_STEPS, max_size=40), n_differing=st.sampled_from((1, 4))
-    )
+    @given(steps=st.lists(RETURNS, max_size=40), n_differing=st.sampled_from((1, 4)))
     def test_all_end_with_what_is_written_after_returns(
         self, steps: list[Step], n_differing: int
     ) -> None:
-        # The store comes back from copies, again and again: revisions are given out
-        # again, and answers and news of one era arrive in the next.
-        run_schedule(steps, n_differing)
+        # The store is restored from backups repeatedly: revisions are reused, and
+        # responses and updates of one era arrive in the next.
+        play(steps, n_differing)
