--- a/src/trefoilpaddle/coordination/claims/claim_home.py
+++ b/src/trefoilpaddle/coordination/claims/claim_home.py
@@ -26,7 +26,7 @@
 from ...state.journal import Decision, Event, Figure, Journal
 from ...state.places import Place
 from ...transport.server import PeerServer
-from ..requests.asker import Asker, ask_at
+from ..requests.peer_client import PeerClient, query_address
 from .claim_book import ClaimBook, answer_for, places_of, request_of
 from .claim_copy import ClaimCopies
 from .vouchers import Vouchers
@@ -44,7 +44,7 @@
     ----------
     book : ClaimBook
         What this process knows.
-    asker : Asker
+    asker : PeerClient
         Reaches the other places.
     journal : Journal
         Takes each decision.
@@ -52,7 +52,7 @@
 
     __slots__ = ("_asker", "_book", "_copies", "_journal")
 
-    def __init__(self, *, book: ClaimBook, asker: Asker, journal: Journal) -> None:
+    def __init__(self, *, book: ClaimBook, asker: PeerClient, journal: Journal) -> None:
         self._book = book
         self._asker = asker
         self._journal = journal
@@ -173,7 +173,7 @@
         self, place: Place, claim: Claim, kind: int
     ) -> CopyAnswer | None:
         question = ClaimCopy(kind=kind, claim=claim)
-        reply = await ask_at(
+        reply = await query_address(
             self._asker, place.address, question, timeout_s=COPY_TIMEOUT_S
         )
         match reply:
@@ -186,14 +186,18 @@
         """Free the key at a second place that recorded a claim never granted."""
         settle = Settle(key=claim.key, request_id=claim.request_id, grant=claim.grant)
         for place in places:
-            await ask_at(self._asker, place.address, settle, timeout_s=COPY_TIMEOUT_S)
+            await query_address(
+                self._asker, place.address, settle, timeout_s=COPY_TIMEOUT_S
+            )
 
     async def answer_settle(self, settle: Settle, _peer: Hello) -> SettleAnswer:
         """Note the end of a request, here and at the key's second place."""
         is_known = self._settle(settle)
         pair = self._book.present.pair(settle.key)
         if len(pair) > 1 and pair[0].process_id == self._book.process_id:
-            await ask_at(self._asker, pair[1].address, settle, timeout_s=COPY_TIMEOUT_S)
+            await query_address(
+                self._asker, pair[1].address, settle, timeout_s=COPY_TIMEOUT_S
+            )
         return SettleAnswer(known=is_known)
 
     def _settle(self, settle: Settle) -> bool:
--- a/src/trefoilpaddle/coordination/claims/claim_sync.py
+++ b/src/trefoilpaddle/coordination/claims/claim_sync.py
@@ -22,7 +22,7 @@
 from ...state.claim_table import ClaimRecord, ClaimStage
 from ...state.places import Place, PlaceList
 from ...transport.server import PeerServer
-from ..requests.asker import Asker, ask_at
+from ..requests.peer_client import PeerClient, query_address
 from .claim_book import ClaimBook, record_of
 
 MAX_PAGE_BYTES: Final = 512 * 1024
@@ -58,13 +58,13 @@
     ----------
     book : ClaimBook
         What this process knows.
-    asker : Asker
+    asker : PeerClient
         Reaches the other places.
     """
 
     __slots__ = ("_asker", "_book")
 
-    def __init__(self, *, book: ClaimBook, asker: Asker) -> None:
+    def __init__(self, *, book: ClaimBook, asker: PeerClient) -> None:
         self._book = book
         self._asker = asker
 
@@ -89,7 +89,7 @@
         after_key, is_complete = "", True
         for _ in range(MAX_PAGES):
             question = ClaimSync(after_key=after_key)
-            reply = await ask_at(
+            reply = await query_address(
                 self._asker, place.address, question, timeout_s=SYNC_TIMEOUT_S
             )
             match reply:
--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -27,7 +27,7 @@
 from ...state.places import place_list
 from ...state.published import Published
 from ..members.directory import Directory
-from ..requests.asker import Asker, ask_at
+from ..requests.peer_client import PeerClient, query_address
 from .claim_outcomes import Answered, ClaimOutcome, InProgress, Key, KeyGranted
 from .minted import MintedClaims
 
@@ -71,7 +71,7 @@
         The host list on which places are chosen.
     directory : Directory
         Finds the gateway that minted an id.
-    asker : Asker
+    asker : PeerClient
         Reaches the places.
     minted : MintedClaims
         Decides about the ids of this gateway.
@@ -96,7 +96,7 @@
         hello: Callable[[], Hello],
         published: Published,
         directory: Directory,
-        asker: Asker,
+        asker: PeerClient,
         minted: MintedClaims,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
@@ -206,7 +206,7 @@
         claim.home_incarnation = home.incarnation
         if not home.address:
             return await self._minted.answer_claim(claim, self._hello())
-        reply = await ask_at(
+        reply = await query_address(
             self._asker,
             home.address,
             claim,
@@ -223,7 +223,7 @@
         if not home.second_address:
             return None
         question = ClaimCopy(kind=CopyKind.PEEK, claim=claim)
-        reply = await ask_at(
+        reply = await query_address(
             self._asker, home.second_address, question, timeout_s=PEEK_TIMEOUT_S
         )
         match reply:
@@ -310,7 +310,9 @@
         return False
 
     async def _send(self, address: str, settle: Settle) -> Result[Message, PeerError]:
-        return await ask_at(self._asker, address, settle, timeout_s=CLAIM_TIMEOUT_S)
+        return await query_address(
+            self._asker, address, settle, timeout_s=CLAIM_TIMEOUT_S
+        )
 
 
 def _is_noted(reply: Result[Message, PeerError]) -> bool:
--- a/src/trefoilpaddle/coordination/claims/key_claims.py
+++ b/src/trefoilpaddle/coordination/claims/key_claims.py
@@ -17,8 +17,8 @@
     record_bytes,
 )
 from ..requests.request import Answer, Refusal, Request
-from ..requests.request_guards import EndedBefore, KeyState, RunsHere
-from ..requests.stage_call import FOLLOW_LATE_S
+from ..requests.request_guards import KeyState, NewRequest, PriorOutcome
+from ..requests.stage_call import LATE_ANSWER_WAIT_S
 from .claim_book import request_of
 from .claim_outcomes import Answered, InProgress, Key, KeyGranted, account_key
 from .claims import Claimer
@@ -52,7 +52,7 @@
         is the caller's; it is told "in progress" when its own time is over.
         """
         if not request.key:
-            return Ok(RunsHere())
+            return Ok(NewRequest())
         left_s = request.deadline_s - time.monotonic()
         is_idempotent = all(stage.idempotent for stage in request.pipeline.stages)
         outcome = await self._claimer.claim(
@@ -62,13 +62,13 @@
             is_idempotent=is_idempotent,
             # The place counts a claim as lost when its budget is over; a call
             # that must run once is followed on beyond its deadline.
-            budget_s=left_s if is_idempotent else left_s + FOLLOW_LATE_S,
+            budget_s=left_s if is_idempotent else left_s + LATE_ANSWER_WAIT_S,
             wait_s=left_s,
         )
         match outcome:
             case KeyGranted():
                 self._granted[request.try_id] = outcome
-                return Ok(RunsHere())
+                return Ok(NewRequest())
             case Answered():
                 return Ok(_ended(outcome))
             case InProgress():
@@ -97,7 +97,7 @@
 
 
 def _key_of(request: Request) -> Key:
-    if request.is_key_minted:
+    if request.is_key_generated:
         minted = RequestId.parse(request.key).unwrap()
         return Key(text=request.key, minted=minted)
     return account_key(request.account, request.key)
@@ -131,13 +131,13 @@
             return None
 
 
-def _ended(answered: Answered) -> EndedBefore:
+def _ended(answered: Answered) -> PriorOutcome:
     first_id = request_of(answered.request_id)
     record = read_record(answered.result) if answered.result else Err("")
     match record:
         case Ok(AnsweredRecord() as kept):
             outcome = Ok(Answer(output=kept.output, cost_s=kept.cost_s))
-            return EndedBefore(
+            return PriorOutcome(
                 request_id=request_of(answered.request_id), outcome=outcome
             )
         case Ok(EndedRecord() as kept):
@@ -149,7 +149,7 @@
             )
         case _:
             refusal = Refusal(error=_not_kept(), stage="", is_retry_safe=False)
-    return EndedBefore(request_id=first_id, outcome=Err(refusal))
+    return PriorOutcome(request_id=first_id, outcome=Err(refusal))
 
 
 def _error_of(kept: EndedRecord) -> StageError:
--- a/src/trefoilpaddle/coordination/explaining/status_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/status_gather.py
@@ -10,14 +10,14 @@
 from ...state.hosts import Host, HostList, HostState
 from ...state.status import EntryStatus, FleetStatus, ProcessStatus
 from ...state.timeline import Absence
-from ..requests.asking import Asker
+from ..requests.operator_queries import OperatorQueries
 
 MAX_ASKS_AT_ONCE: Final = 32
 """Processes that are asked at the same time."""
 
 
 async def gather_status(
-    *, asker: Asker, own: ProcessStatus, hosts: HostList, catalogue: Catalogue
+    *, asker: OperatorQueries, own: ProcessStatus, hosts: HostList, catalogue: Catalogue
 ) -> FleetStatus:
     """Return the status of all processes on `hosts` that answer."""
     others = [host for host in hosts.hosts if host.process_id != own.process_id]
--- a/src/trefoilpaddle/coordination/explaining/timeline_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/timeline_gather.py
@@ -11,7 +11,7 @@
 from ...state.hosts import Host, HostList
 from ...state.timeline import Absence, Step, Timeline
 from ...state.timeline_order import Heard, in_order
-from ..requests.asking import Asker, Told
+from ..requests.operator_queries import OperatorQueries, ReportedSteps
 
 MAX_ASKED: Final = 64
 """Most processes asked about one request."""
@@ -26,7 +26,7 @@
 
     Parameters
     ----------
-    asker : Asker
+    asker : OperatorQueries
         Asks other processes.
     hosts : HostList
         The list in force.
@@ -50,7 +50,7 @@
     def __init__(
         self,
         *,
-        asker: Asker,
+        asker: OperatorQueries,
         hosts: HostList,
         own_process_id: str,
         own_target: str,
@@ -113,7 +113,7 @@
     async def _ask_all(self, hosts: list[Host], request_id: str) -> None:
         await asyncio.gather(*(self._ask(host, request_id) for host in hosts))
 
-    async def _ask(self, host: Host, request_id: str) -> Result[Told, Absence]:
+    async def _ask(self, host: Host, request_id: str) -> Result[ReportedSteps, Absence]:
         self._asked.add(host.process_id)
         answer = await self._asker.steps(host, request_id)
         match answer:
@@ -121,7 +121,7 @@
                 heard = Heard(
                     names=_names(host.process_id, host.target),
                     steps=told.steps,
-                    heard_s=told.heard_s,
+                    heard_s=told.received_s,
                 )
                 self._heards.append(heard)
             case Err(absence):
--- a/src/trefoilpaddle/coordination/limits/lease_contact.py
+++ b/src/trefoilpaddle/coordination/limits/lease_contact.py
@@ -11,7 +11,7 @@
 from ...protocol.const import NS_PER_S
 from ...protocol.gen.limits.ttypes import LeaseAnswer, LeaseAsk
 from ...state.places import Place
-from ..requests.asker import Asker, ask_at
+from ..requests.peer_client import PeerClient, query_address
 
 ASK_TIMEOUT_S: Final = 0.4
 """Longest wait for the home, and the pause after it was not heard."""
@@ -53,7 +53,7 @@
     ----------
     home : Place
         The sidecar asked.
-    asker : Asker
+    asker : PeerClient
         Reaches it.
     ledger : Ledger
         What to ask, and who takes the answers.
@@ -80,7 +80,7 @@
         self,
         *,
         home: Place,
-        asker: Asker,
+        asker: PeerClient,
         ledger: Ledger,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -157,7 +157,7 @@
         self._ledger.take(self.home, answer, sent_s=sent_s)
 
     async def _send(self, ask: LeaseAsk) -> LeaseAnswer | None:
-        reply = await ask_at(
+        reply = await query_address(
             self._asker, self.home.address, ask, timeout_s=ASK_TIMEOUT_S
         )
         match reply:
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -18,8 +18,8 @@
 from ...state.lease_times import HOLD_S, slot_hold_s
 from ...state.places import Place, place_list
 from ...state.published import Published
-from ..requests.asker import Asker
-from ..requests.request_guards import FREE, Permit
+from ..requests.peer_client import PeerClient
+from ..requests.request_guards import UNLIMITED_PERMIT, Permit
 from .entry_allowances import EntryAllowances, Moment
 from .lease_contact import PERIOD_S, HomeContact
 from .permits import HeldPermit
@@ -61,7 +61,7 @@
         Its incarnation.
     published : Published
         Host list and catalogue in force.
-    asker : Asker
+    asker : PeerClient
         Reaches the homes.
     journal : Journal
         Takes refusals and lost leases.
@@ -94,7 +94,7 @@
         gateway: str,
         incarnation: int,
         published: Published,
-        asker: Asker,
+        asker: PeerClient,
         journal: Journal,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -128,7 +128,7 @@
         lately said to come back later; then ``ASK_WAIT_S`` at most.
         """
         if entry.limits == UNBOUND:
-            return Ok(FREE)
+            return Ok(UNLIMITED_PERMIT)
         allowances = self._allowances_of(entry_name, entry)
         taken = allowances.take(self._moment(allowances), n_tokens)
         for _ in range(N_ROUNDS):
--- a/src/trefoilpaddle/coordination/placing/placement.py
+++ b/src/trefoilpaddle/coordination/placing/placement.py
@@ -19,7 +19,7 @@
 from ...state.rendezvous import highest
 from ...transport.connection import Connection
 from ...transport.server import PeerServer
-from ..requests.asker import Asker, ask_at
+from ..requests.peer_client import PeerClient, query_address
 from .orders import Busy, Order, OrderKind, TargetOrders
 
 ROUND_S: Final = 2.0
@@ -59,7 +59,7 @@
         This sidecar and its target's service.
     published : Published
         Catalogue and host list in force.
-    asker : Asker
+    asker : PeerClient
         Reaches the other sidecars of the service.
     orders : TargetOrders
         Takes the orders.
@@ -95,7 +95,7 @@
         process_id: str,
         service: str,
         published: Published,
-        asker: Asker,
+        asker: PeerClient,
         orders: TargetOrders,
         journal: Journal,
         loaded: frozenset[str] = frozenset(),
@@ -173,7 +173,7 @@
                 yield host
 
     async def _swap(self, peer: Host) -> None:
-        reply = await ask_at(
+        reply = await query_address(
             self._asker, peer.peer_address, self.holdings(), timeout_s=ASK_TIMEOUT_S
         )
         match reply:
--- a/src/trefoilpaddle/coordination/requests/answer_buffer.py
+++ b/src/trefoilpaddle/coordination/requests/answer_buffer.py
@@ -29,7 +29,7 @@
         """Return True if `chunk` has been counted; a fetch may send it again."""
         return chunk.seq < self.n_chunks
 
-    def has_room(self, chunk: Chunk) -> bool:
+    def fits(self, chunk: Chunk) -> bool:
         """Return True if `chunk` may be kept within the bound."""
         return self.n_bytes + len(chunk.data) <= MAX_ANSWER_BYTES
 
@@ -40,7 +40,7 @@
         self._checksum.add(chunk.data)
         self._chunks.append(chunk.data)
 
-    def is_whole(self, end: End) -> bool:
+    def is_complete(self, end: End) -> bool:
         """Return True if what was counted is what `end` says was sent."""
         return (
             self.n_chunks == end.n_chunks
--- a/src/trefoilpaddle/coordination/requests/answer_receiver.py
+++ b/src/trefoilpaddle/coordination/requests/answer_receiver.py
@@ -7,13 +7,13 @@
 from .answer_buffer import AnswerBuffer
 from .open_attempts import OpenAttempt
 
-WHOLE_CREDIT_BYTES: Final = 1024 * 1024
+BUFFERED_WINDOW_BYTES: Final = 1024 * 1024
 """Window of an answer that is only kept; sixteen chunks."""
 
-STREAM_CREDIT_BYTES: Final = 64 * 1024
+STREAMED_WINDOW_BYTES: Final = 64 * 1024
 """Window of an answer that is passed on; most that lies here for a slow caller."""
 
-CREDIT_PARTS: Final = 4
+GRANTS_PER_WINDOW: Final = 4
 """Parts of a window; a grant is sent once one of them was taken."""
 
 
@@ -32,7 +32,9 @@
         self._sink = sink
         self._buffer = AnswerBuffer()
         self._n_ungranted_bytes = 0
-        self.window_bytes = WHOLE_CREDIT_BYTES if sink is None else STREAM_CREDIT_BYTES
+        self.window_bytes = (
+            BUFFERED_WINDOW_BYTES if sink is None else STREAMED_WINDOW_BYTES
+        )
 
     @property
     def n_chunks(self) -> int:
@@ -40,25 +42,25 @@
         return self._buffer.n_chunks
 
     @property
-    def has_passed_on(self) -> bool:
+    def has_forwarded(self) -> bool:
         """Return True if part of the answer has left for the caller."""
         return self._sink is not None and self._buffer.n_chunks > 0
 
-    def is_whole(self, end: End) -> bool:
+    def is_complete(self, end: End) -> bool:
         """Return True if what came is what `end` says was sent."""
-        return self._buffer.is_whole(end)
+        return self._buffer.is_complete(end)
 
     def body(self) -> bytes:
         """Return what came, as one."""
         return self._buffer.body()
 
-    async def take(self, chunk: Chunk, attempt: OpenAttempt) -> str:
+    async def receive(self, chunk: Chunk, attempt: OpenAttempt) -> str:
         """Take in a piece; return what is wrong with it, or nothing."""
         if self._buffer.is_repeated(chunk):
             return ""
         if not self._buffer.is_next(chunk):
             return "a piece of the answer is missing"
-        if not self._buffer.has_room(chunk):
+        if not self._buffer.fits(chunk):
             return "the answer is larger than may be kept"
         self._buffer.add(chunk)
         if self._sink is not None:
@@ -66,14 +68,14 @@
         self._give_credit(attempt, len(chunk.data))
         return ""
 
-    def may_begin_again(self) -> bool:
+    def try_restart(self) -> bool:
         """Forget all pieces if none was passed on; return whether that was so."""
-        if self.has_passed_on:
+        if self.has_forwarded:
             return False
         self._buffer.clear()
         return True
 
-    def renew_window(self, attempt: OpenAttempt) -> None:
+    def reset_window(self, attempt: OpenAttempt) -> None:
         """Grant a full window anew; what was granted before counts no more."""
         attempt.n_granted_bytes = self.window_bytes
         self._n_ungranted_bytes = 0
@@ -85,7 +87,7 @@
         holds back no answer; a small one needs no credit at all.
         """
         self._n_ungranted_bytes += n_bytes
-        if self._n_ungranted_bytes < self.window_bytes // CREDIT_PARTS:
+        if self._n_ungranted_bytes < self.window_bytes // GRANTS_PER_WINDOW:
             return
         n_bytes, self._n_ungranted_bytes = self._n_ungranted_bytes, 0
         attempt.n_granted_bytes += n_bytes
--- a/src/trefoilpaddle/coordination/requests/attempt_errors.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_errors.py
@@ -8,7 +8,7 @@
 from .attempts import Attempt
 
 
-def withdrawn(
+def not_started(
     reason: Reason, *, peer: str, detail: str, retry_after_s: float = 0.0
 ) -> NotRun:
     """Return the error of an attempt that was taken out before it started."""
@@ -27,7 +27,7 @@
     Work that may not be repeated may have taken effect, so it is unknown.
     """
     if not attempt.is_sent():
-        return withdrawn(reason, peer=peer, detail="stopped before it was sent")
+        return not_started(reason, peer=peer, detail="stopped before it was sent")
     used_s = (time.monotonic_ns() - attempt.started_ns) / NS_PER_S
     detail = f"stopped after {used_s:.3f} s at the target"
     if not attempt.start.idempotent:
@@ -35,9 +35,9 @@
     return Failed(reason=reason, step="call", peer=peer, detail=detail, cost_s=used_s)
 
 
-def unforeseen(attempt: Attempt, error: Exception, *, peer: str) -> StageError:
+def unexpected(attempt: Attempt, error: Exception, *, peer: str) -> StageError:
     """Return the error of a call that a fault of this program ended."""
     detail = f"unforeseen {type(error).__name__}"
     if not attempt.is_sent():
-        return withdrawn(Reason.INTERNAL, peer=peer, detail=detail)
+        return not_started(Reason.INTERNAL, peer=peer, detail=detail)
     return Unknown(reason=Reason.INTERNAL, step="call", peer=peer, detail=detail)
--- a/src/trefoilpaddle/coordination/requests/attempt_ends.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_outcomes.py
@@ -13,7 +13,7 @@
 from .attempts import Attempt, AttemptTable
 
 
-class AttemptEnds:
+class AttemptOutcomes:
     """Gives each attempt its one outcome.
 
     Parameters
@@ -86,7 +86,7 @@
         self._journal.error(_event_of(error.reason), attempt, error)
 
 
-def spent_s(attempt: Attempt) -> float:
+def elapsed_s(attempt: Attempt) -> float:
     """Return the seconds since the attempt was started at the target."""
     return (time.monotonic_ns() - attempt.started_ns) / NS_PER_S
 
--- a/src/trefoilpaddle/coordination/requests/settling.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_resolution.py
@@ -16,7 +16,7 @@
 """Longest wait for the sidecar's word; past a deadline the caller waits for it too."""
 
 
-async def give_up(attempt: OpenAttempt, journal: Journal) -> StageError:
+async def abandon(attempt: OpenAttempt, journal: Journal) -> StageError:
     """Settle an attempt whose deadline has passed; return what is known of it."""
     view = attempt.view
     late = call_errors.unknown(
@@ -37,7 +37,7 @@
     return call_errors.cancelled_at_deadline(peer=view.process_id)
 
 
-def call_back(attempt: OpenAttempt) -> None:
+def recall(attempt: OpenAttempt) -> None:
     """Ask for work that still waits at a sidecar that leaves.
 
     If it has not started there it never will, and comes as a refusal; else nothing
--- a/src/trefoilpaddle/coordination/requests/attempt_run.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_run.py
@@ -15,7 +15,7 @@
 from ...transport.target_http import SendGuard
 from ..targets.stage_journal import StageJournal
 from ..targets.target_calls import CallEnd, TargetCall, TargetCaller
-from .attempt_errors import stopped, unforeseen, withdrawn
+from .attempt_errors import not_started, stopped, unexpected
 from .attempts import Attempt, Phase
 from .streams import AnswerTooLargeError
 
@@ -68,21 +68,21 @@
                 return Err(self._not_wanted())
             return await self._call(attempt, n_running=n_running)
         except asyncio.CancelledError:
-            reason = attempt.forbidden or Reason.CANCELLED
+            reason = attempt.cancel_reason or Reason.CANCELLED
         except TimeoutError:
             reason = Reason.DEADLINE_PASSED
         except AnswerTooLargeError:
             reason = Reason.TOO_LARGE
         except Exception as error:
             logging.exception("attempt %s failed", attempt.attempt_id.hex())
-            return Err(unforeseen(attempt, error, peer=self._name))
+            return Err(unexpected(attempt, error, peer=self._name))
         self._cancel_at_target(attempt)
         return Err(stopped(attempt, reason, peer=self._name))
 
     async def _is_wanted(self, attempt: Attempt) -> bool:
         """Offer the slot and return True if the gateway takes it in time."""
         attempt.go = asyncio.get_running_loop().create_future()
-        attempt.stream.tell(Ready(attempt_id=attempt.attempt_id))
+        attempt.stream.send_uncredited(Ready(attempt_id=attempt.attempt_id))
         try:
             async with asyncio.timeout(READY_WAIT_S):
                 await attempt.go
@@ -98,7 +98,7 @@
         guard = SendGuard(may_send=lambda: self._may_send(attempt))
         attempt.guard = guard
         attempt.started_ns = time.monotonic_ns()
-        attempt.stream.tell(
+        attempt.stream.send_uncredited(
             Started(attempt_id=attempt.attempt_id, queued_s=attempt.queued_s())
         )
         self._journal.note(
@@ -126,7 +126,7 @@
         return max(0.0, left_s)
 
     def _may_send(self, attempt: Attempt) -> bool:
-        if attempt.forbidden:
+        if attempt.cancel_reason:
             return False
         if attempt.start.idempotent and not self._drops_expired:
             return True
@@ -140,7 +140,7 @@
         task.add_done_callback(self._cancels.discard)
 
     def _not_wanted(self) -> StageError:
-        return withdrawn(
+        return not_started(
             Reason.CANCELLED,
             peer=self._name,
             detail="the gateway did not take the slot in time",
--- a/src/trefoilpaddle/coordination/requests/attempts.py
+++ b/src/trefoilpaddle/coordination/requests/attempts.py
@@ -47,13 +47,13 @@
     __slots__ = (
         "_body_bytes",
         "body",
+        "body_chunks",
+        "cancel_reason",
         "deadline_ns",
         "finish_by_ns",
-        "forbidden",
         "go",
         "guard",
         "phase",
-        "pieces",
         "received_ns",
         "start",
         "started_ns",
@@ -75,7 +75,7 @@
     ) -> None:
         self.start = start
         self.body: bytes = start.body
-        self.pieces: list[bytes] = []
+        self.body_chunks: list[bytes] = []
         self._body_bytes = len(start.body)
         start.body = b""
         self.received_ns = received_ns
@@ -88,7 +88,7 @@
             grow=grow,
         )
         self.phase = Phase.RECEIVING
-        self.forbidden = Reason.NONE
+        self.cancel_reason = Reason.NONE
         self.started_ns = 0
         self.guard: SendGuard | None = None
         self.go: asyncio.Future[None] | None = None
@@ -105,13 +105,13 @@
         """Return True when all of the body is here."""
         return self._body_bytes >= self.start.body_bytes
 
-    def add_piece(self, data: bytes) -> None:
+    def add_body_chunk(self, data: bytes) -> None:
         """Take the next piece of a body that did not fit the start message."""
-        self.pieces.append(data)
+        self.body_chunks.append(data)
         self._body_bytes += len(data)
         if self.has_body():
-            self.body = b"".join(self.pieces)
-            self.pieces = []
+            self.body = b"".join(self.body_chunks)
+            self.body_chunks = []
 
     def queued_s(self) -> float:
         """Return the seconds from its arrival to its start."""
@@ -203,7 +203,7 @@
         )
         attempt.stream.finish(outcome)
 
-    def spend_refused(self, attempt_id: bytes, *, now_ns: int) -> None:
+    def mark_refused(self, attempt_id: bytes, *, now_ns: int) -> None:
         """Make sure that a refused attempt is refused again when resent."""
         if len(attempt_id) == ATTEMPT_ID_BYTES:
             self.spent.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
@@ -240,7 +240,7 @@
         attempt.phase = Phase.DONE
         attempt.stop_timer()
         attempt.body = b""
-        attempt.pieces = []
+        attempt.body_chunks = []
         self.body_bytes -= attempt.start.body_bytes
 
     def _pop(self, attempt_id: bytes) -> Attempt | None:
--- a/src/trefoilpaddle/coordination/requests/call_errors.py
+++ b/src/trefoilpaddle/coordination/requests/call_errors.py
@@ -18,7 +18,7 @@
     )
 
 
-def place_given_back(*, peer: str) -> NotRun:
+def slot_released(*, peer: str) -> NotRun:
     """Return the error of a reserved place that another target was faster than."""
     return NotRun(
         reason=Reason.CANCELLED,
@@ -48,7 +48,7 @@
     )
 
 
-def answer_dropped(fault: str, *, peer: str) -> Failed:
+def answer_invalid(fault: str, *, peer: str) -> Failed:
     """Return the error of an attempt whose answer may not be used."""
     return Failed(
         reason=Reason.CORRUPT,
--- a/src/trefoilpaddle/coordination/requests/calls.py
+++ b/src/trefoilpaddle/coordination/requests/calls.py
@@ -17,11 +17,11 @@
 from .target_view import TargetView
 
 Outcome = Result[StageAnswer, StageFault]
-MakeCall = Callable[[], "Call | None"]
+MakeCall = Callable[[], "TrackedAttempt | None"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallParts:
+class CallContext:
     """What every attempt of one stage needs.
 
     Parameters
@@ -41,7 +41,7 @@
     sink: Sink | None
 
 
-class Call:
+class TrackedAttempt:
     """One attempt, accounted for.
 
     Parameters
@@ -50,7 +50,7 @@
         What to do.
     view : TargetView
         Where.
-    parts : CallParts
+    parts : CallContext
         What it needs.
     may_go : callable, optional
         As for `StageCall`.
@@ -63,7 +63,7 @@
         *,
         work: StageWork,
         view: TargetView,
-        parts: CallParts,
+        parts: CallContext,
         may_go: Callable[[StageCall], bool] | None = None,
     ) -> None:
         self.work = work
@@ -78,7 +78,7 @@
             may_go=may_go,
         )
 
-    def is_of(self, stage_call: StageCall) -> bool:
+    def owns(self, stage_call: StageCall) -> bool:
         """Return True if `stage_call` is this attempt's."""
         return self._stage_call is stage_call
 
@@ -122,7 +122,9 @@
             self._parts.router.learn(self.work, self.view, measured_s=took_s)
 
 
-async def hedged(first: Call, *, delay_s: float, second: MakeCall) -> Outcome:
+async def run_hedged(
+    first: TrackedAttempt, *, delay_s: float, second: MakeCall
+) -> Outcome:
     """Run `first`; after `delay_s` without an answer run a second beside it.
 
     The first whole answer counts and the other attempt is cancelled, so this is
@@ -154,8 +156,8 @@
         await _cancel(others)
 
 
-async def late_bound(
-    work: StageWork, views: list[TargetView], parts: CallParts
+async def run_late_bound(
+    work: StageWork, views: list[TargetView], parts: CallContext
 ) -> Outcome:
     """Reserve a place at each of `views`; the first that is ready gets the work.
 
@@ -171,11 +173,14 @@
             return False
         gone.append(call)
         for task, other in zip(tasks, calls, strict=True):
-            if not other.is_of(call):
+            if not other.owns(call):
                 task.cancel()
         return True
 
-    calls = [Call(work=work, view=view, parts=parts, may_go=may_go) for view in views]
+    calls = [
+        TrackedAttempt(work=work, view=view, parts=parts, may_go=may_go)
+        for view in views
+    ]
     tasks += [asyncio.ensure_future(call.run()) for call in calls]
     return await _race(tasks)
 
--- a/src/trefoilpaddle/coordination/requests/drop_timers.py
+++ b/src/trefoilpaddle/coordination/requests/drop_timers.py
@@ -7,7 +7,7 @@
 from ...protocol.const import NS_PER_S
 from .attempts import Attempt, Phase
 
-OnDue = Callable[[Attempt], None]
+OnExpired = Callable[[Attempt], None]
 
 
 class DropTimers:
@@ -21,7 +21,7 @@
 
     __slots__ = ("_on_due",)
 
-    def __init__(self, *, on_due: OnDue) -> None:
+    def __init__(self, *, on_due: OnExpired) -> None:
         self._on_due = on_due
 
     def arm(self, attempt: Attempt, *, at_ns: int) -> None:
@@ -31,7 +31,7 @@
         loop = asyncio.get_running_loop()
         attempt.timer = loop.call_later(wait_s, self._fire, attempt)
 
-    def is_due(self, attempt: Attempt) -> bool:
+    def has_expired(self, attempt: Attempt) -> bool:
         """Return True if the moment has passed, though the timer has not run.
 
         After a pause of the process, or a long turn of its event loop, what
--- a/src/trefoilpaddle/coordination/requests/ejection.py
+++ b/src/trefoilpaddle/coordination/requests/ejection.py
@@ -20,16 +20,16 @@
 READMIT_RATIO: Final = 1.5
 """Times its peers' median up to which a probed target is taken back."""
 
-MIN_IN: Final = 2
+MIN_ACTIVE: Final = 2
 """Targets of a service that always stay in."""
 
-MAX_OUT_SHARE: Final = 1 / 3
+MAX_EJECTED_SHARE: Final = 1 / 3
 """Largest part of a service's targets that may be out."""
 
-PROBE_S: Final = 1.0
+PROBE_WAIT_S: Final = 1.0
 """Wait before the first probe of an ejected target; doubled after a slow one."""
 
-MAX_PROBE_S: Final = 8.0
+MAX_PROBE_WAIT_S: Final = 8.0
 """Longest wait between two probes."""
 
 
@@ -99,21 +99,21 @@
     def _judge_probe(self, view: TargetView, relative: float) -> None:
         if relative <= READMIT_RATIO:
             view.is_ejected = False
-            view.probe_wait_s = PROBE_S
+            view.probe_wait_s = PROBE_WAIT_S
             self._record(Event.TARGET_READMITTED, view, relative)
             return
-        view.probe_wait_s = min(MAX_PROBE_S, 2 * view.probe_wait_s)
+        view.probe_wait_s = min(MAX_PROBE_WAIT_S, 2 * view.probe_wait_s)
         view.probe_at_s = time.monotonic() + view.probe_wait_s
 
     def _eject(
         self, view: TargetView, peers: list[TargetView], relative: float
     ) -> None:
         n_out = sum(peer.is_ejected for peer in peers) + 1
-        if n_out > MAX_OUT_SHARE * len(peers) or len(peers) - n_out < MIN_IN:
+        if n_out > MAX_EJECTED_SHARE * len(peers) or len(peers) - n_out < MIN_ACTIVE:
             return
         view.is_ejected = True
-        view.probe_wait_s = PROBE_S
-        view.probe_at_s = time.monotonic() + PROBE_S
+        view.probe_wait_s = PROBE_WAIT_S
+        view.probe_at_s = time.monotonic() + PROBE_WAIT_S
         self._record(Event.TARGET_EJECTED, view, relative)
 
     def _record(self, event: Event, view: TargetView, relative: float) -> None:
--- a/src/trefoilpaddle/coordination/requests/open_attempts.py
+++ b/src/trefoilpaddle/coordination/requests/open_attempts.py
@@ -28,7 +28,7 @@
 MAX_UNREAD_MESSAGES: Final = 4096
 """Most frames kept unread for one attempt; credit bounds only their bytes."""
 
-OVERDUE_RATIO: Final = 3.0
+SLOW_CALL_RATIO: Final = 3.0
 """Times the predicted service time after which a running call is overdue."""
 
 
@@ -38,13 +38,13 @@
 
     LINK_LOST = auto()
     LINK_OPEN = auto()
-    LINK_SILENT = auto()
+    LINK_UNRESPONSIVE = auto()
     OVERRUN = auto()
     SUPERSEDED = auto()
-    CALLED_BACK = auto()
+    RECALLED = auto()
 
 
-Mail = Queued | Ready | Started | Chunk | End | Failure | Notice
+AttemptUpdate = Queued | Ready | Started | Chunk | End | Failure | Notice
 
 
 class OpenAttempt:
@@ -69,8 +69,8 @@
         "_mail",
         "attempt_id",
         "incarnation",
-        "is_called_back",
-        "is_overdue",
+        "is_recalled",
+        "is_slow",
         "is_started",
         "n_granted_bytes",
         "started_s",
@@ -83,14 +83,14 @@
         self.work = work
         self.view = view
         self.started_s = 0.0
-        self.is_overdue = False
-        self.is_called_back = False
+        self.is_slow = False
+        self.is_recalled = False
         self.is_started = False
         self.incarnation = view.incarnation
         self.n_granted_bytes = 0
-        self._mail: asyncio.Queue[Mail] = asyncio.Queue()
+        self._mail: asyncio.Queue[AttemptUpdate] = asyncio.Queue()
 
-    def post(self, mail: Mail) -> None:
+    def post(self, mail: AttemptUpdate) -> None:
         """Put `mail` in; must not block.
 
         A sidecar that sends more than it was granted would fill this process's
@@ -107,19 +107,19 @@
         elif self._mail.qsize() == MAX_UNREAD_MESSAGES:
             self._mail.put_nowait(Notice.OVERRUN)
 
-    def waits_at_leaving(self) -> bool:
+    def is_recallable(self) -> bool:
         """Return True if it may not have started at a sidecar that says it leaves."""
         load = self.view.load
         is_leaving = load is not None and load.leaving
-        return is_leaving and not self.started_s and not self.is_called_back
+        return is_leaving and not self.started_s and not self.is_recalled
 
-    async def next_mail(self) -> Mail:
+    async def next_update(self) -> AttemptUpdate:
         """Return the next mail, waiting for it."""
         return await self._mail.get()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Overdue:
+class SlowCall:
     """A call that runs much longer than predicted, and for how long already."""
 
     work: StageWork
@@ -167,12 +167,12 @@
             case End() | Failure():
                 view = self._views.by_link(link)
                 if view is not None and message.load is not None:
-                    view.take_load(message.load)
+                    view.apply_load(message.load)
                 self._deliver(link, message)
             case Heartbeat():
                 view = self._views.by_link(link)
                 if view is not None and message.load is not None:
-                    view.take_load(message.load)
+                    view.apply_load(message.load)
 
     def on_change(self, link: Link) -> None:
         """Tell the attempts of `link` that it was opened or lost."""
@@ -183,10 +183,10 @@
         if link.peer is not None:
             notice = Notice.LINK_OPEN
             view.load = None
-            view.take_stamp(link.peer.stamp_ns)
+            view.record_stamp(link.peer.stamp_ns)
         self._tell(view, notice)
 
-    def newly_overdue(self) -> Iterator[Overdue]:
+    def newly_slow(self) -> Iterator[SlowCall]:
         """Yield each attempt that has just become much slower than predicted.
 
         A target that has slowed down or stopped shows in the calls that it ends
@@ -194,14 +194,14 @@
         """
         now_s = time.monotonic()
         for attempt in self._by_id.values():
-            if attempt.is_overdue or not attempt.started_s or not attempt.work.is_warm:
+            if attempt.is_slow or not attempt.started_s or not attempt.work.is_warm:
                 continue
             age_s = now_s - attempt.started_s
-            if age_s > OVERDUE_RATIO * attempt.work.expected_s:
-                attempt.is_overdue = True
-                yield Overdue(work=attempt.work, view=attempt.view, age_s=age_s)
+            if age_s > SLOW_CALL_RATIO * attempt.work.expected_s:
+                attempt.is_slow = True
+                yield SlowCall(work=attempt.work, view=attempt.view, age_s=age_s)
 
-    def call_back(self, n_free: Callable[[str], int]) -> None:
+    def recall_queued(self, n_free_slots: Callable[[str], int]) -> None:
         """Call back what waits at leaving sidecars, while others have places free.
 
         Guards against callers who wait, up to the end of a sidecar's stop or their
@@ -212,25 +212,25 @@
 
         Parameters
         ----------
-        n_free : callable
+        n_free_slots : callable
             Returns how many calls of a service would start at once elsewhere.
         """
-        waiting = [a for a in self._by_id.values() if a.waits_at_leaving()]
+        waiting = [a for a in self._by_id.values() if a.is_recallable()]
         waiting.sort(key=lambda attempt: attempt.work.stage_deadline_s)
-        left = {s: n_free(s) for s in {a.work.stage.service for a in waiting}}
+        left = {s: n_free_slots(s) for s in {a.work.stage.service for a in waiting}}
         for attempt in waiting:
             if left[attempt.work.stage.service] > 0:
                 left[attempt.work.stage.service] -= 1
-                attempt.is_called_back = True
-                attempt.post(Notice.CALLED_BACK)
+                attempt.is_recalled = True
+                attempt.post(Notice.RECALLED)
 
-    def tell_silence(self) -> None:
+    def notify_unresponsive(self) -> None:
         """Tell the attempts of each target that has just fallen silent."""
         for view in self._views:
             is_heard = view.link.is_heard()
-            if view.was_heard and not is_heard:
-                self._tell(view, Notice.LINK_SILENT)
-            view.was_heard = is_heard
+            if view.was_responsive and not is_heard:
+                self._tell(view, Notice.LINK_UNRESPONSIVE)
+            view.was_responsive = is_heard
 
     def _tell(self, view: TargetView, notice: Notice) -> None:
         for attempt in self._by_id.values():
--- a/src/trefoilpaddle/coordination/requests/asking.py
+++ b/src/trefoilpaddle/coordination/requests/operator_queries.py
@@ -24,12 +24,12 @@
 from ...transport.link import Link
 from ...transport.peers import Peers
 
-ASK_TIMEOUT_S: Final = 3.0
+QUERY_TIMEOUT_S: Final = 3.0
 """Longest wait for one process; longer than ``SILENCE_S``, so a silent one shows."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Told:
+class ReportedSteps:
     """What one process told of a request.
 
     Parameters
@@ -38,16 +38,16 @@
         Empty if it knows nothing.
     incarnation : int
         Which start of the process told it; 0 if that is not known.
-    heard_s : float
+    received_s : float
         Middle of the asking, by this process's monotonic clock.
     """
 
     steps: tuple[Step, ...]
     incarnation: int
-    heard_s: float
+    received_s: float
 
 
-class Asker:
+class OperatorQueries:
     """Asks listed processes the operators' questions.
 
     Parameters
@@ -62,19 +62,21 @@
     def __init__(self, *, peers: Peers) -> None:
         self._peers = peers
 
-    async def steps(self, host: Host, request_id: str) -> Result[Told, Absence]:
+    async def steps(
+        self, host: Host, request_id: str
+    ) -> Result[ReportedSteps, Absence]:
         """Return what the process on `host` knows of a request."""
         async with self._link(host) as link:
             if link is None:
                 return _absent(host, f"listed with a bad address {host.peer_address}")
             began_s = time.monotonic()
             answer = await link.ask(
-                ExplainAsk(request_id=request_id), timeout_s=ASK_TIMEOUT_S
+                ExplainAsk(request_id=request_id), timeout_s=QUERY_TIMEOUT_S
             )
-            heard_s = (began_s + time.monotonic()) / 2
+            received_s = (began_s + time.monotonic()) / 2
             match answer:
                 case Ok(ExplainAnswer() as told):
-                    return _told(host, told, link.peer, heard_s=heard_s)
+                    return _told(host, told, link.peer, received_s=received_s)
                 case other:
                     return _absent(host, _why(other))
 
@@ -83,7 +85,7 @@
         async with self._link(host) as link:
             if link is None:
                 return _absent(host, f"listed with a bad address {host.peer_address}")
-            match await link.ask(StatusAsk(), timeout_s=ASK_TIMEOUT_S):
+            match await link.ask(StatusAsk(), timeout_s=QUERY_TIMEOUT_S):
                 case Ok(StatusAnswer() as told):
                     return decode_process(told.status).map_err(
                         lambda detail: Absence(
@@ -108,14 +110,20 @@
 
 
 def _told(
-    host: Host, answer: ExplainAnswer, peer: Hello | None, *, heard_s: float
-) -> Result[Told, Absence]:
+    host: Host, answer: ExplainAnswer, peer: Hello | None, *, received_s: float
+) -> Result[ReportedSteps, Absence]:
     incarnation = peer.incarnation if peer is not None else 0
     if not answer.known:
-        return Ok(Told(steps=(), incarnation=incarnation, heard_s=heard_s))
+        return Ok(
+            ReportedSteps(steps=(), incarnation=incarnation, received_s=received_s)
+        )
     match decode_steps(answer.records):
         case Ok(steps):
-            return Ok(Told(steps=steps, incarnation=incarnation, heard_s=heard_s))
+            return Ok(
+                ReportedSteps(
+                    steps=steps, incarnation=incarnation, received_s=received_s
+                )
+            )
         case Err(detail):
             return _absent(host, detail)
 
--- a/src/trefoilpaddle/coordination/requests/asker.py
+++ b/src/trefoilpaddle/coordination/requests/peer_client.py
@@ -9,7 +9,7 @@
 from ...transport.connection import Address
 
 
-class Asker(Protocol):
+class PeerClient(Protocol):
     """Asks peers; `transport.peers.Peers` is one."""
 
     async def ask(
@@ -19,8 +19,8 @@
         ...
 
 
-async def ask_at(
-    asker: Asker, address: str, message: Message, *, timeout_s: float
+async def query_address(
+    asker: PeerClient, address: str, message: Message, *, timeout_s: float
 ) -> Result[Message, PeerError]:
     """Ask the peer whose address is written ``ip:port``."""
     match Address.parse(address):
--- a/src/trefoilpaddle/coordination/requests/walk.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -27,12 +27,12 @@
 )
 from ..targets.stage_work import Sink, StageAnswer, StageWork
 from .prediction import Predictor
-from .request import Answer, Refusal, Request, whole_request_error
+from .request import Answer, Refusal, Request, to_request_error
 from .request_decisions import stage_decision
 from .retries import StageRunner
 
 
-class Walker:
+class PipelineRunner:
     """Walks requests through their stages.
 
     Parameters
@@ -83,11 +83,11 @@
         material = Material(input=request.input)
         stages = request.pipeline.stages
         output: Json = None
-        with self._predictor.under_way(request) as arrivals:
+        with self._predictor.track_upcoming(request) as arrivals:
             for index, stage in enumerate(stages):
                 is_last = index == len(stages) - 1
                 stage_sink = sink if is_last and stage.streams else None
-                arrivals.next()
+                arrivals.mark_arrived()
                 match await self._stage(request, index, material, spent, stage_sink):
                     case Err(error):
                         return Err(self._refusal(error, stage, spent))
@@ -148,12 +148,12 @@
         stage = request.pipeline.stages[index]
         body, prefixes = self._body(request, stage, service, material)
         size = WorkSize(n_bytes=len(body), n_tokens=stage.max_tokens)
-        estimate = self._predictor.of_body(stage)
+        estimate = self._predictor.body_estimate(stage)
         high_s = estimate.high_s(size)
         now_s = time.monotonic()
         budget_s = stage_budget_s(
             left_s=request.deadline_s - now_s,
-            predicted_s=[high_s, *self._predictor.later_s(request, index)],
+            predicted_s=[high_s, *self._predictor.later_stages_s(request, index)],
             is_split=self._policy.split_deadline,
         )
         return StageWork(
@@ -217,7 +217,7 @@
 
     def _refusal(self, error: StageError, stage: Stage, spent: Spent) -> Refusal:
         return Refusal(
-            error=whole_request_error(error, has_started=spent.has_started),
+            error=to_request_error(error, has_started=spent.has_started),
             stage=stage.name,
             cost_s=spent.cost_s,
             is_retry_safe=not spent.has_started_once_only,
--- a/src/trefoilpaddle/coordination/requests/predicted_wait.py
+++ b/src/trefoilpaddle/coordination/requests/predicted_wait.py
@@ -3,10 +3,12 @@
 from ...protocol.gen.stage.ttypes import Load
 from ...state.catalogue import Entry
 from ...state.slowness import MAX_SLOWNESS
-from .own_calls import OwnCalls
+from .unreported_calls import UnreportedCalls
 
 
-def predicted_wait_s(load: Load, own: OwnCalls, entry: Entry, *, age_s: float) -> float:
+def predicted_wait_s(
+    load: Load, own: UnreportedCalls, entry: Entry, *, age_s: float
+) -> float:
     """Return the predicted queueing time of a call of `entry`, in seconds.
 
     The report is aged by what the target's slots have worked off since, and own
@@ -17,7 +19,7 @@
     ----------
     load : Load
         The last report.
-    own : OwnCalls
+    own : UnreportedCalls
         What this gateway has sent that the report does not hold.
     entry : Entry
         Whose call it would be.
@@ -37,7 +39,7 @@
     return min(MAX_SLOWNESS, max(1.0, load.slowness))
 
 
-def _ahead_s(load: Load, own: OwnCalls, entry: Entry) -> float:
+def _ahead_s(load: Load, own: UnreportedCalls, entry: Entry) -> float:
     """Return the waiting work that would go before a call of `entry`.
 
     Where owners get shares, an owner waits for its own work, and for the others
--- a/src/trefoilpaddle/coordination/requests/prediction.py
+++ b/src/trefoilpaddle/coordination/requests/prediction.py
@@ -11,14 +11,14 @@
 from ...state.estimate import Estimate, Estimates, WorkSize
 from ...state.settings import PolicySettings
 from ..targets.stage_work import StageAnswer, StageWork
-from .coming_work import Arrivals, ComingWork
 from .request import Request
 from .routing import Router
+from .upcoming_work import UpcomingStages, UpcomingWork
 
-CAUTION: Final = 1.3
+SAFETY_FACTOR: Final = 1.3
 """Times the predicted need that must fit into the time left where only cost
-counts; where only attainment counts, `CAUTION_STEP` less."""
-CAUTION_STEP: Final = 0.3
+counts; where only attainment counts, `SAFETY_FACTOR_STEP` less."""
+SAFETY_FACTOR_STEP: Final = 0.3
 
 MIN_RETRY_AFTER_S: Final = 0.05
 """Shortest wait that a refused caller is told."""
@@ -28,7 +28,7 @@
 before the highest."""
 MIN_AHEAD_SHARE: Final = 0.5
 """Least part of what waits that is taken to go first: it may be as urgent."""
-LEFT_STEP: Final = 0.02
+TIME_LEFT_WEIGHT: Final = 0.02
 """Weight of one request in the usual time left."""
 
 
@@ -63,15 +63,15 @@
         self._estimates = estimates
         self._router = router
         self._policy = policy
-        self._coming = ComingWork()
+        self._coming = UpcomingWork()
         self._highest_order = 0
         self._usual_left_s = 0.0
 
-    def of_body(self, stage: Stage) -> Estimate:
+    def body_estimate(self, stage: Stage) -> Estimate:
         """Return the fit of `stage` on the size of its body."""
         return self._estimates.of(stage.service, stage.path, stage.model)
 
-    def later_s(self, request: Request, index: int) -> list[float]:
+    def later_stages_s(self, request: Request, index: int) -> list[float]:
         """Return the predicted seconds of each stage behind the one at `index`."""
         return [
             self._expected_s(request, later)
@@ -80,7 +80,7 @@
 
     def learn(self, request: Request, work: StageWork, answer: StageAnswer) -> None:
         """Take a whole answer into both fits."""
-        self.of_body(work.stage).learn(work.size, answer.service_s)
+        self.body_estimate(work.stage).learn(work.size, answer.service_s)
         estimate = self._of_input(request, work.stage)
         estimate.learn(_input_size(request, work.stage), answer.service_s)
 
@@ -112,7 +112,7 @@
             needed_s += stage_wait_s
             if stage_wait_s > wait_s:
                 wait_s, slowest = stage_wait_s, stage
-        caution = CAUTION - CAUTION_STEP * entry.attainment_weight
+        caution = SAFETY_FACTOR - SAFETY_FACTOR_STEP * entry.attainment_weight
         if needed_s * caution * self._headroom(entry, index) <= left_s:
             return None
         return NotRun(
@@ -130,7 +130,7 @@
         less time left than is usual passes much of what waits.
         """
         if is_new:
-            step = LEFT_STEP if self._usual_left_s else 1.0
+            step = TIME_LEFT_WEIGHT if self._usual_left_s else 1.0
             self._usual_left_s += step * (left_s - self._usual_left_s)
         if self._usual_left_s <= 0.0:
             return 1.0
@@ -149,13 +149,13 @@
         return 1.0 + HEADROOM * (1.0 - rank)
 
     @contextlib.contextmanager
-    def under_way(self, request: Request) -> Iterator[Arrivals]:
+    def track_upcoming(self, request: Request) -> Iterator[UpcomingStages]:
         """Count the work that `request` brings to its stages until it is there."""
         stages = request.pipeline.stages
         work_s = [self._expected_s(request, index) for index in range(len(stages))]
         services = [stage.service for stage in stages]
         owner = request.governing.entry.owner
-        with self._coming.under_way(owner, services, work_s) as arrivals:
+        with self._coming.track(owner, services, work_s) as arrivals:
             yield arrivals
 
     def _coming_wait_s(self, service: str, entry: Entry) -> float:
--- a/src/trefoilpaddle/coordination/requests/request.py
+++ b/src/trefoilpaddle/coordination/requests/request.py
@@ -32,7 +32,7 @@
         This try of it; a retry can carry the same `request_id`.
     key : str
         Key under which retries of it run once; empty without one.
-    is_key_minted : bool
+    is_key_generated : bool
         True if the key is an id from ``POST /v1/requests``.
     priority : int
         Orders requests of one owner among themselves; lower goes first.
@@ -52,7 +52,7 @@
     fingerprint: int
     try_id: str
     key: str
-    is_key_minted: bool
+    is_key_generated: bool
     priority: int
     deadline_s: float
     is_streamed: bool
@@ -106,7 +106,7 @@
     is_retry_safe: bool = True
 
 
-def whole_request_error(error: StageError, *, has_started: bool) -> StageError:
+def to_request_error(error: StageError, *, has_started: bool) -> StageError:
     """Return what a stage's error means for a request of several stages.
 
     Guards the promise of "not run": without it, a refusal at the third stage
--- a/src/trefoilpaddle/coordination/requests/request_guards.py
+++ b/src/trefoilpaddle/coordination/requests/request_guards.py
@@ -35,12 +35,12 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RunsHere:
+class NewRequest:
     """The request is new under its key; it runs here and is settled after."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class EndedBefore:
+class PriorOutcome:
     """An earlier try ended; the caller gets what that one got.
 
     Parameters
@@ -55,7 +55,7 @@
     outcome: Result[Answer, Refusal]
 
 
-KeyState = RunsHere | EndedBefore
+KeyState = NewRequest | PriorOutcome
 
 
 class KeyGuard(Protocol):
@@ -94,11 +94,11 @@
         """Give nothing back."""
 
 
-FREE: Final = _FreePermit()
+UNLIMITED_PERMIT: Final = _FreePermit()
 """The permit of whatever nothing binds."""
 
 
-class FreeLimiter:
+class UnlimitedLimiter:
     """Limiter that binds nothing."""
 
     __slots__ = ()
@@ -107,17 +107,17 @@
         self, entry_name: str, entry: Entry, n_tokens: int
     ) -> Result[Permit, NotRun]:
         """Return leave to run."""
-        return Ok(FREE)
+        return Ok(UNLIMITED_PERMIT)
 
 
-class FreeKeys:
+class UnguardedKeys:
     """Key guard that takes every request as new."""
 
     __slots__ = ()
 
     async def claim(self, request: Request) -> Result[KeyState, StageError]:
         """Return that the request is new."""
-        return Ok(RunsHere())
+        return Ok(NewRequest())
 
     def settle(
         self, request: Request, outcome: Result[Answer, Refusal] | None, *, is_run: bool
--- a/src/trefoilpaddle/coordination/requests/result_fetch.py
+++ b/src/trefoilpaddle/coordination/requests/result_fetch.py
@@ -12,7 +12,7 @@
 from .open_attempts import OpenAttempt
 from .request_decisions import attempt_decision
 
-RECONNECT_S: Final = 0.5
+RECONNECT_TIMEOUT_S: Final = 0.5
 """Longest wait for a new connection where the work may be repeated elsewhere."""
 
 
@@ -23,7 +23,7 @@
     connection loses nothing; a new incarnation holds nothing of the old.
     """
     link = attempt.view.link
-    patience_s = RECONNECT_S if attempt.work.stage.idempotent else None
+    patience_s = RECONNECT_TIMEOUT_S if attempt.work.stage.idempotent else None
     try:
         async with asyncio.timeout(patience_s):
             while link.peer is None:
@@ -48,7 +48,7 @@
 
 def fetch(attempt: OpenAttempt, answer: AnswerReceiver, journal: Journal) -> None:
     """Ask for the part of the answer that has not come yet."""
-    answer.renew_window(attempt)
+    answer.reset_window(attempt)
     attempt.view.link.send(
         Fetch(
             attempt_id=attempt.attempt_id,
--- a/src/trefoilpaddle/coordination/requests/retries.py
+++ b/src/trefoilpaddle/coordination/requests/retries.py
@@ -13,7 +13,7 @@
 from ...state.settings import Choice, PolicySettings
 from ..claims.spent import Spent
 from ..targets.stage_work import Sink, StageAnswer, StageFault, StageWork
-from .calls import Call, CallParts, Outcome, hedged, late_bound
+from .calls import CallContext, Outcome, TrackedAttempt, run_hedged, run_late_bound
 from .open_attempts import OpenAttempts
 from .request_decisions import stage_decision
 from .routing import Chosen, Router
@@ -31,7 +31,7 @@
 HEDGE_MIN_WEIGHT: Final = 0.5
 """Weight of attainment from which on an entry's calls may be hedged."""
 
-REPEATABLE_REFUSALS: Final = frozenset(
+RETRYABLE_REFUSALS: Final = frozenset(
     {
         Reason.BARRED,
         Reason.CANCELLED,
@@ -48,7 +48,7 @@
 )
 """Refusals that another target need not share."""
 
-GIVEN_BACK: Final = frozenset({Reason.CANCELLED, Reason.LEAVING})
+BUDGET_FREE_REFUSALS: Final = frozenset({Reason.CANCELLED, Reason.LEAVING})
 """Refusals that say nothing of a target's load: a place, or a whole sidecar, goes."""
 
 
@@ -117,7 +117,7 @@
         """Return the whole answer of the stage, or what is known of it."""
         budget = self._budgets.of(work.stage.service, share=work.service.retry_share)
         budget.earn()
-        parts = CallParts(
+        parts = CallContext(
             attempts=self._attempts,
             journal=self._journal,
             router=self._router,
@@ -130,7 +130,7 @@
             if chosen is None:
                 return Err(self._no_target(work, tried))
             self._record_route(Event.ROUTED, work, chosen, n_tried=tried.n_attempts)
-            self._router.note_prefix(work, chosen.view)
+            self._router.record_prefix(work, chosen.view)
             tried.begin(chosen.view)
             match await self._attempt(work, chosen, parts, budget, tried):
                 case Ok(answer):
@@ -147,28 +147,30 @@
         self,
         work: StageWork,
         chosen: Chosen,
-        parts: CallParts,
+        parts: CallContext,
         budget: RetryBudget,
         tried: _Tried,
     ) -> Outcome:
         if self._is_late_bound(chosen, tried):
             assert chosen.second is not None
-            return await late_bound(work, [chosen.view, chosen.second], parts)
-        call = Call(work=work, view=chosen.view, parts=parts)
+            return await run_late_bound(work, [chosen.view, chosen.second], parts)
+        call = TrackedAttempt(work=work, view=chosen.view, parts=parts)
         if not self._may_hedge(work, parts):
             return await call.run()
 
-        def second() -> Call | None:
+        def second() -> TrackedAttempt | None:
             return self._hedge(work, parts, budget, tried)
 
-        return await hedged(call, delay_s=_hedge_delay_s(work, chosen), second=second)
+        return await run_hedged(
+            call, delay_s=_hedge_delay_s(work, chosen), second=second
+        )
 
     def _is_late_bound(self, chosen: Chosen, tried: _Tried) -> bool:
         is_first = tried.last is None
         is_chosen = self._policy.choice is Choice.LATE_BINDING
         return is_chosen and is_first and chosen.second is not None
 
-    def _may_hedge(self, work: StageWork, parts: CallParts) -> bool:
+    def _may_hedge(self, work: StageWork, parts: CallContext) -> bool:
         weight = work.governing.entry.attainment_weight
         return (
             self._policy.hedge
@@ -179,8 +181,8 @@
         )
 
     def _hedge(
-        self, work: StageWork, parts: CallParts, budget: RetryBudget, tried: _Tried
-    ) -> Call | None:
+        self, work: StageWork, parts: CallContext, budget: RetryBudget, tried: _Tried
+    ) -> TrackedAttempt | None:
         """Return a second attempt elsewhere, if it can still be in time."""
         if time.monotonic() + work.expected_s >= work.deadline_s:
             return None
@@ -190,7 +192,7 @@
             return None
         tried.begin(chosen.view)
         self._record_route(Event.HEDGED, work, chosen, n_tried=tried.n_attempts)
-        return Call(work=work, view=chosen.view, parts=parts)
+        return TrackedAttempt(work=work, view=chosen.view, parts=parts)
 
     def _may_repeat(self, work: StageWork, fault: StageFault, *, n_tried: int) -> bool:
         """Return True if another attempt can neither double nor be too late."""
@@ -199,7 +201,7 @@
         if time.monotonic() + work.expected_s >= work.deadline_s:
             return False
         if isinstance(fault.error, NotRun):
-            return fault.error.reason in REPEATABLE_REFUSALS
+            return fault.error.reason in RETRYABLE_REFUSALS
         return work.stage.idempotent
 
     def _no_target(self, work: StageWork, tried: _Tried) -> StageError:
@@ -258,4 +260,4 @@
     given the call again.
     """
     error = fault.error
-    return isinstance(error, NotRun) and error.reason in GIVEN_BACK
+    return isinstance(error, NotRun) and error.reason in BUDGET_FREE_REFUSALS
--- a/src/trefoilpaddle/coordination/requests/routing.py
+++ b/src/trefoilpaddle/coordination/requests/routing.py
@@ -15,9 +15,9 @@
 from .ejection import Ejector
 from .target_view import DEFAULT_SLOTS, TargetView, TargetViews
 
-LOOK_S: Final = 0.01
+SNAPSHOT_S: Final = 0.01
 """How long a look into the directory serves."""
-PATIENCE: Final = 1.5
+PREFIX_WAIT_FACTOR: Final = 1.5
 """Wait accepted for a cached prefix, in times of what it saves, less the
 entry's weight of attainment."""
 
@@ -119,7 +119,7 @@
         """
         now_s = time.monotonic()
         look = self._looks.get(service)
-        if look is None or now_s - look.at_s > LOOK_S:
+        if look is None or now_s - look.at_s > SNAPSHOT_S:
             found = [self._views.of(host) for host in self._directory.sidecars(service)]
             views = [view for view in found if view is not None]
             look = self._looks[service] = _Look(views=views, at_s=now_s)
@@ -156,7 +156,7 @@
         if self._ejector.is_suspect(view):
             self._ejector.judge(view, self.candidates(work.stage.service))
 
-    def note_prefix(self, work: StageWork, view: TargetView) -> None:
+    def record_prefix(self, work: StageWork, view: TargetView) -> None:
         """Remember that the prompt of `work` is likely cached at `view` now."""
         if work.prefix_hashes:
             service = work.stage.service
@@ -175,9 +175,9 @@
             for view in self.candidates(service)
         )
 
-    def n_free(self, service: str) -> int:
+    def n_free_slots(self, service: str) -> int:
         """Return how many calls of `service` would start at once, sent now."""
-        return sum(view.n_free() for view in self.candidates(service))
+        return sum(view.n_free_slots() for view in self.candidates(service))
 
     def _in_turn(self, work: StageWork, candidates: list[TargetView]) -> Chosen:
         turns = self._turns.setdefault(work.stage.service, itertools.count())
@@ -215,7 +215,7 @@
         if not holders:
             return None
         # Entries that weigh cost more may wait longer for a cheaper answer.
-        patience = PATIENCE - work.governing.entry.attainment_weight
+        patience = PREFIX_WAIT_FACTOR - work.governing.entry.attainment_weight
         now_s = time.monotonic()
 
         def cost_s(view: TargetView) -> float:
--- a/src/trefoilpaddle/coordination/requests/stage_call.py
+++ b/src/trefoilpaddle/coordination/requests/stage_call.py
@@ -24,13 +24,13 @@
 from ..targets.stage_work import Sink, StageAnswer, StageFault, StageWork
 from . import call_errors
 from .answer_receiver import AnswerReceiver
+from .attempt_resolution import abandon, bar, recall
 from .open_attempts import Notice, OpenAttempt, OpenAttempts
 from .result_fetch import fetch, reconnect
-from .settling import bar, call_back, give_up
 from .start_message import start_messages
 from .target_view import TargetView
 
-FOLLOW_LATE_S: Final = 15.0
+LATE_ANSWER_WAIT_S: Final = 15.0
 """How long an answer that is too late for its caller is waited for.
 
 The target runs the work to its end anyway; the request's key stays claimed as long.
@@ -130,7 +130,7 @@
             async with asyncio.timeout_at(self._loop_deadline_s()):
                 return await self._follow(attempt)
         except TimeoutError:
-            late = await give_up(attempt, self._journal)
+            late = await abandon(attempt, self._journal)
         except asyncio.CancelledError:
             self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
             raise
@@ -149,7 +149,7 @@
         retry of the request must get, since it may not be run again.
         """
         try:
-            async with asyncio.timeout(FOLLOW_LATE_S):
+            async with asyncio.timeout(LATE_ANSWER_WAIT_S):
                 return await self._follow(attempt)
         except TimeoutError:
             return self._err(late)
@@ -159,7 +159,7 @@
         return asyncio.get_running_loop().time() + left_s
 
     def _send(self, attempt: OpenAttempt) -> bool:
-        self._answer.renew_window(attempt)
+        self._answer.reset_window(attempt)
         messages = start_messages(
             self.work,
             attempt,
@@ -170,7 +170,7 @@
 
     async def _follow(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault]:
         while True:
-            mail = await attempt.next_mail()
+            mail = await attempt.next_update()
             if not isinstance(mail, Notice):
                 self._arrive()
             verdict: Result[StageAnswer, StageFault] | None = None
@@ -191,12 +191,12 @@
                     verdict = await self._on_lost(attempt)
                 case Notice.LINK_OPEN:
                     pass
-                case Notice.LINK_SILENT:
+                case Notice.LINK_UNRESPONSIVE:
                     verdict = self._on_silence(attempt)
                 case Notice.OVERRUN:
                     verdict = self._drop(attempt, "it sent more than it was granted")
-                case Notice.CALLED_BACK:
-                    call_back(attempt)
+                case Notice.RECALLED:
+                    recall(attempt)
                 case Notice.SUPERSEDED:
                     verdict = self._on_superseded(attempt)
             if verdict is not None:
@@ -219,20 +219,20 @@
             )
             return None
         self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
-        return self._err(call_errors.place_given_back(peer=self.view.process_id))
+        return self._err(call_errors.slot_released(peer=self.view.process_id))
 
     async def _on_chunk(
         self, attempt: OpenAttempt, chunk: Chunk
     ) -> Result[StageAnswer, StageFault] | None:
         attempt.is_started = True
-        fault = await self._answer.take(chunk, attempt)
+        fault = await self._answer.receive(chunk, attempt)
         return self._drop(attempt, fault) if fault else None
 
     def _on_end(
         self, attempt: OpenAttempt, end: End
     ) -> Result[StageAnswer, StageFault] | None:
         attempt.is_started = True
-        if not self._answer.is_whole(end):
+        if not self._answer.is_complete(end):
             return self._on_torn(attempt)
         self.view.link.send(Ack(attempt_id=attempt.attempt_id))
         return Ok(
@@ -249,7 +249,7 @@
 
     def _on_torn(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault] | None:
         """Fetch a torn answer once more if nothing of it was passed on."""
-        if self._has_refetched or not self._answer.may_begin_again():
+        if self._has_refetched or not self._answer.try_restart():
             return self._drop(attempt, "count, size or checksum do not match")
         self._has_refetched = True
         fetch(attempt, self._answer, self._journal)
@@ -259,7 +259,7 @@
         self, attempt: OpenAttempt, fault: str
     ) -> Result[StageAnswer, StageFault]:
         self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
-        error = call_errors.answer_dropped(fault, peer=self.view.process_id)
+        error = call_errors.answer_invalid(fault, peer=self.view.process_id)
         return self._err(error)
 
     def _on_superseded(self, attempt: OpenAttempt) -> Err[StageFault]:
@@ -305,5 +305,5 @@
         return error
 
     def _err(self, error: StageError) -> Err[StageFault]:
-        has_passed_on = self._answer.has_passed_on
+        has_passed_on = self._answer.has_forwarded
         return Err(StageFault(error=error, has_passed_on=has_passed_on))
--- a/src/trefoilpaddle/coordination/requests/streams.py
+++ b/src/trefoilpaddle/coordination/requests/streams.py
@@ -141,7 +141,7 @@
         self._connection = None
         self._has_space.set()
 
-    def tell(self, message: object) -> None:
+    def send_uncredited(self, message: object) -> None:
         """Send a message that needs no credit and is not held."""
         if self._connection is not None:
             self._connection.write(message)
--- a/src/trefoilpaddle/coordination/requests/target_view.py
+++ b/src/trefoilpaddle/coordination/requests/target_view.py
@@ -12,26 +12,26 @@
 from ...transport.link import Link
 from ...transport.peers import Peers
 from ..targets.stage_work import StageWork
-from .own_calls import OwnCalls
 from .predicted_wait import predicted_wait_s, slowness
+from .unreported_calls import UnreportedCalls
 
 DEFAULT_SLOTS: Final = 4
 """Slots assumed of a target that has not reported yet."""
 
-CROWDING: Final = 0.4
+OCCUPANCY_SLOWDOWN: Final = 0.4
 """How much longer a call takes, in part of its time, where all slots are taken;
 a batching engine makes slower steps then. Also tells idle targets apart."""
 
-LATENCY_STEP: Final = 0.1
+CALL_WEIGHT: Final = 0.1
 """Weight of one call in how much slower than predicted a target is."""
 
-SLOW_STEP: Final = 0.3
+SLOW_CALL_WEIGHT: Final = 0.3
 """The same of a call that was far too slow."""
 
 SLOW_RATIO: Final = 3.0
 """Times the prediction from which on a call counts as far too slow."""
 
-PROBE_STEP: Final = 0.7
+PROBE_WEIGHT: Final = 0.7
 """The same weight of a probe of an ejected target, which gets few calls."""
 
 
@@ -57,13 +57,13 @@
         "load_at_s",
         "n_outstanding",
         "n_ratios",
-        "own",
         "probe_at_s",
         "probe_wait_s",
         "ratio",
         "stamp_at_ns",
         "stamp_ns",
-        "was_heard",
+        "unreported",
+        "was_responsive",
     )
 
     def __init__(self, *, host: Host, address: Address, link: Link) -> None:
@@ -75,13 +75,13 @@
         self.stamp_ns = 0
         self.stamp_at_ns = 0
         self.n_outstanding = 0
-        self.own = OwnCalls()
+        self.unreported = UnreportedCalls()
         self.ratio = 1.0
         self.n_ratios = 0
         self.is_ejected = False
         self.probe_at_s = 0.0
         self.probe_wait_s = 0.0
-        self.was_heard = False
+        self.was_responsive = False
 
     @property
     def process_id(self) -> str:
@@ -100,14 +100,14 @@
             return False
         return self.load is None or not (self.load.leaving or not self.load.target_up)
 
-    def take_load(self, load: Load) -> None:
+    def apply_load(self, load: Load) -> None:
         """Take in a report of the sidecar; it counts what had arrived before."""
         self.load = load
         self.load_at_s = time.monotonic()
-        self.own.reported()
-        self.take_stamp(load.stamp_ns)
+        self.unreported.reported()
+        self.record_stamp(load.stamp_ns)
 
-    def take_hello(self) -> None:
+    def adopt_hello_stamp(self) -> None:
         """Take the stamp of a hello that came before this view was made.
 
         Membership and configuration open links too. A view made on an open link
@@ -119,7 +119,7 @@
             self.stamp_ns = connection.peer.stamp_ns
             self.stamp_at_ns = connection.hello_at_ns
 
-    def take_stamp(self, stamp_ns: int) -> None:
+    def record_stamp(self, stamp_ns: int) -> None:
         """Remember the newest stamp of the sidecar's clock and when it came."""
         self.stamp_ns = stamp_ns
         self.stamp_at_ns = time.monotonic_ns()
@@ -127,11 +127,11 @@
     def sent(self, work: StageWork) -> None:
         """Count a call sent that no report can hold yet."""
         self.n_outstanding += 1
-        self.own.sent(work.governing.entry.owner, work.expected_s)
+        self.unreported.sent(work.governing.entry.owner, work.expected_s)
 
     def arrived(self, work: StageWork) -> None:
         """Note that a call has reached the sidecar; the next report holds it."""
-        self.own.arrived(work.governing.entry.owner, work.expected_s)
+        self.unreported.arrived(work.governing.entry.owner, work.expected_s)
 
     def ended(self) -> None:
         """Count a call as over."""
@@ -147,18 +147,18 @@
             return
         ratio = min(MAX_SLOWNESS, measured_s / expected_s)
         self.n_ratios += 1
-        usual_step = SLOW_STEP if ratio >= SLOW_RATIO else LATENCY_STEP
+        usual_step = SLOW_CALL_WEIGHT if ratio >= SLOW_RATIO else CALL_WEIGHT
         step = max(usual_step, 1.0 / self.n_ratios)
         if self.is_ejected:
-            step = PROBE_STEP
+            step = PROBE_WEIGHT
         self.ratio += step * (ratio - self.ratio)
 
     def wait_s(self, entry: Entry, now_s: float) -> float:
         """Return the predicted queueing time of a call of `entry` sent now."""
         if self.load is None:
-            return self.own.total_s() / DEFAULT_SLOTS
+            return self.unreported.total_s() / DEFAULT_SLOTS
         return predicted_wait_s(
-            self.load, self.own, entry, age_s=now_s - self.load_at_s
+            self.load, self.unreported, entry, age_s=now_s - self.load_at_s
         )
 
     def predicted_s(self, work: StageWork, now_s: float) -> float:
@@ -168,21 +168,23 @@
         free slots is not as good as an idle one.
         """
         slow = slowness(self.load) if self.load is not None else 1.0
-        service_s = work.expected_s * slow * (1.0 + CROWDING * self.crowd())
+        service_s = (
+            work.expected_s * slow * (1.0 + OCCUPANCY_SLOWDOWN * self.slot_occupancy())
+        )
         return self.wait_s(work.governing.entry, now_s) + service_s
 
-    def n_free(self) -> int:
+    def n_free_slots(self) -> int:
         """Return how many calls would start at once; none where work waits."""
         if self.load is None or self.load.n_queued:
             return 0
-        n_taken = self.load.n_running + self.own.n_calls()
+        n_taken = self.load.n_running + self.unreported.n_calls()
         return max(0, self.load.n_slots - n_taken)
 
-    def crowd(self) -> float:
+    def slot_occupancy(self) -> float:
         """Return which part of the target's slots is taken, own calls included."""
         if self.load is None:
             return min(1.0, self.n_outstanding / DEFAULT_SLOTS)
-        n_taken = self.load.n_running + self.own.n_calls()
+        n_taken = self.load.n_running + self.unreported.n_calls()
         return min(1.0, n_taken / max(1, self.load.n_slots))
 
 
@@ -211,7 +213,7 @@
         if address is None:
             return None
         view = TargetView(host=host, address=address, link=self._peers.link(address))
-        view.take_hello()
+        view.adopt_hello_stamp()
         self._by_id[host.process_id] = view
         self._by_address[address] = view
         return view
@@ -223,7 +225,7 @@
     def __iter__(self) -> Iterator[TargetView]:
         return iter(list(self._by_id.values()))
 
-    def keep(self, wanted: Set[str]) -> None:
+    def retain(self, wanted: Set[str]) -> None:
         """Forget idle views of processes that are not among `wanted`."""
         for view in self:
             if view.n_outstanding or view.process_id in wanted:
--- a/src/trefoilpaddle/coordination/requests/own_calls.py
+++ b/src/trefoilpaddle/coordination/requests/unreported_calls.py
@@ -1,7 +1,7 @@
 """Calls of this gateway at one target that its load reports may not hold yet."""
 
 
-class OwnCalls:
+class UnreportedCalls:
     """Predicted work that was sent, by owner, until a report holds it.
 
     A call counts from its sending. Frames of one connection arrive in order, so
--- a/src/trefoilpaddle/coordination/requests/coming_work.py
+++ b/src/trefoilpaddle/coordination/requests/upcoming_work.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Sequence
 
 
-class ComingWork:
+class UpcomingWork:
     """Predicted seconds on their way to each service, by owner.
 
     Requests that are still at an early stage show in no queue of the later ones.
@@ -22,21 +22,23 @@
         return self._by_place.get((service, owner), 0.0)
 
     @contextlib.contextmanager
-    def under_way(
+    def track(
         self, owner: str, services: Sequence[str], work_s: Sequence[float]
-    ) -> Iterator["Arrivals"]:
+    ) -> Iterator["UpcomingStages"]:
         """Count the work of one request at each service until it gets there."""
         places = [(service, owner) for service in services]
         for place, seconds in zip(places, work_s, strict=True):
             self._by_place[place] = self._by_place.get(place, 0.0) + seconds
-        arrivals = Arrivals(left=list(zip(places, work_s, strict=True)), coming=self)
+        arrivals = UpcomingStages(
+            left=list(zip(places, work_s, strict=True)), coming=self
+        )
         try:
             yield arrivals
         finally:
             while arrivals.left:
-                arrivals.next()
+                arrivals.mark_arrived()
 
-    def take_off(self, place: tuple[str, str], seconds: float) -> None:
+    def subtract(self, place: tuple[str, str], seconds: float) -> None:
         """Count work no more that has arrived, or will not come."""
         left_s = self._by_place.get(place, 0.0) - seconds
         if left_s > 1e-9:
@@ -45,18 +47,18 @@
             self._by_place.pop(place, None)
 
 
-class Arrivals:
+class UpcomingStages:
     """What one request still has on its way, in the order of its stages."""
 
     __slots__ = ("_coming", "left")
 
     def __init__(
-        self, *, left: list[tuple[tuple[str, str], float]], coming: ComingWork
+        self, *, left: list[tuple[tuple[str, str], float]], coming: UpcomingWork
     ) -> None:
         self.left = left
         self._coming = coming
 
-    def next(self) -> None:
+    def mark_arrived(self) -> None:
         """Note that the next stage's work has arrived."""
         place, seconds = self.left.pop(0)
-        self._coming.take_off(place, seconds)
+        self._coming.subtract(place, seconds)
--- a/src/trefoilpaddle/coordination/targets/dispatcher.py
+++ b/src/trefoilpaddle/coordination/targets/dispatcher.py
@@ -16,8 +16,8 @@
 from ...state.journal import Event
 from ...state.settings import PolicySettings
 from ...state.work_queue import Work, WorkQueue
-from ..requests.attempt_ends import AttemptEnds, spent_s
-from ..requests.attempt_errors import withdrawn
+from ..requests.attempt_errors import not_started
+from ..requests.attempt_outcomes import AttemptOutcomes, elapsed_s
 from ..requests.attempt_run import AttemptRunner
 from ..requests.attempts import Attempt, AttemptTable, Phase
 from ..requests.drop_timers import DropTimers
@@ -94,7 +94,7 @@
         self._last_ns = NEVER_NS
         self._running = RunningCalls(limit=slots)
         self._timers = DropTimers(on_due=self._drop_late)
-        self._ends = AttemptEnds(table=table, journal=journal, read_load=self.load)
+        self._ends = AttemptOutcomes(table=table, journal=journal, read_load=self.load)
         self._runner = AttemptRunner(
             name=name,
             caller=caller,
@@ -226,11 +226,11 @@
                 return False
             case Phase.RUNNING if attempt.is_sent():
                 return False
-        attempt.forbidden = reason
+        attempt.cancel_reason = reason
         if attempt.work is not None:
             self._queue.remove(attempt.work)
         self._free_slot(attempt)
-        error = withdrawn(
+        error = not_started(
             reason, peer=self._name, detail=detail, retry_after_s=retry_after_s
         )
         self._end_not_run(attempt, error)
@@ -273,7 +273,7 @@
                 )
 
     def _announce(self, attempt: Attempt, verdict: Verdict) -> None:
-        attempt.stream.tell(
+        attempt.stream.send_uncredited(
             Queued(
                 attempt_id=attempt.attempt_id,
                 predicted_wait_s=verdict.wait_s,
@@ -323,7 +323,7 @@
         self.withdraw(attempt, Reason.PREDICTED_LATE, retry_after_s=wait_s)
 
     def _start(self, attempt: Attempt, *, now_ns: int) -> None:
-        if self._timers.is_due(attempt) or now_ns > self._last_start_ns(attempt):
+        if self._timers.has_expired(attempt) or now_ns > self._last_start_ns(attempt):
             self._drop_late(attempt)
             return
         attempt.stop_timer()
@@ -351,11 +351,11 @@
             return
         if attempt.task is not None and attempt.phase is not Phase.DONE:
             asyncio.get_running_loop().call_soon(self.start_waiting)
-            if attempt.forbidden:
+            if attempt.cancel_reason:
                 attempt.task.cancel()
 
     def _end(self, attempt: Attempt, result: Result[CallEnd, StageError]) -> None:
-        service_s = spent_s(attempt)
+        service_s = elapsed_s(attempt)
         if isinstance(result, Ok):
             self._learn(attempt)
         self._free_slot(attempt)
--- a/src/trefoilpaddle/coordination/targets/lifecycle.py
+++ b/src/trefoilpaddle/coordination/targets/lifecycle.py
@@ -10,11 +10,11 @@
 from ...state.journal import Event, Figure, Journal
 from ...state.requests import Requests, RequestState
 from ..claims.spent import Spent
+from ..requests.pipeline_run import PipelineRunner
 from ..requests.prediction import Predictor
 from ..requests.request import Answer, Refusal, Request
 from ..requests.request_decisions import request_decision
-from ..requests.request_guards import EndedBefore, KeyGuard, Limiter
-from ..requests.walk import Walker
+from ..requests.request_guards import KeyGuard, Limiter, PriorOutcome
 from .stage_work import Sink
 
 
@@ -35,7 +35,7 @@
     ----------
     predictor : Predictor
         Refuses early what cannot be in time.
-    walker : Walker
+    walker : PipelineRunner
         Runs the stages.
     limiter : Limiter
         Holds the entries' limits.
@@ -60,7 +60,7 @@
         self,
         *,
         predictor: Predictor,
-        walker: Walker,
+        walker: PipelineRunner,
         limiter: Limiter,
         keys: KeyGuard,
         requests: Requests,
@@ -85,7 +85,7 @@
             case Err(error):
                 refusal = Refusal(error=error, stage="", is_retry_safe=False)
                 return self._joined(request, Err(refusal), first_id="")
-            case Ok(EndedBefore(request_id=first_id, outcome=ended)):
+            case Ok(PriorOutcome(request_id=first_id, outcome=ended)):
                 return self._joined(request, ended, first_id=first_id)
         self._requests.begin(
             request_id=request.request_id,
--- a/src/trefoilpaddle/coordination/targets/stage_server.py
+++ b/src/trefoilpaddle/coordination/targets/stage_server.py
@@ -169,10 +169,10 @@
         attempt = self._table.get(message.attempt_id)
         if attempt is None or attempt.phase is not Phase.RECEIVING:
             return
-        if message.seq != len(attempt.pieces):
+        if message.seq != len(attempt.body_chunks):
             self._dispatcher.withdraw(attempt, Reason.CORRUPT)
             return
-        attempt.add_piece(message.data)
+        attempt.add_body_chunk(message.data)
         if attempt.has_body():
             self._on_whole_body(attempt)
 
@@ -283,7 +283,7 @@
         return Reason.LEAVING if is_leaving else Reason.BARRED
 
     def _refuse(self, connection: Connection, start: Start, error: StageError) -> None:
-        self._table.spend_refused(start.attempt_id, now_ns=time.monotonic_ns())
+        self._table.mark_refused(start.attempt_id, now_ns=time.monotonic_ns())
         self._journal.refusal(Event.REFUSED, start, error)
         is_open = connection.write(
             to_failure(error, attempt_id=start.attempt_id, load=self._dispatcher.load())
--- a/src/trefoilpaddle/roles/caller_input.py
+++ b/src/trefoilpaddle/roles/caller_input.py
@@ -182,7 +182,7 @@
                 fingerprint=checksum(f"{account}\0{name}\0".encode() + body),
                 try_id=new_try_id(request_id),
                 key=key or named_id,
-                is_key_minted=bool(named_id) and not key,
+                is_key_generated=bool(named_id) and not key,
                 priority=priority,
                 deadline_s=deadline_s,
                 is_streamed=SSE_TYPE in http.headers.get("Accept", ""),
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -19,17 +19,17 @@
 from ..coordination.members.directory import Directory, PublishedDirectory
 from ..coordination.requests.ejection import Ejector
 from ..coordination.requests.open_attempts import OpenAttempts
+from ..coordination.requests.pipeline_run import PipelineRunner
 from ..coordination.requests.prediction import Predictor
 from ..coordination.requests.request_guards import (
-    FreeKeys,
-    FreeLimiter,
     KeyGuard,
     Limiter,
+    UnguardedKeys,
+    UnlimitedLimiter,
 )
 from ..coordination.requests.retries import StageRunner
 from ..coordination.requests.routing import Router
 from ..coordination.requests.target_view import TargetViews
-from ..coordination.requests.walk import Walker
 from ..coordination.targets.lifecycle import Lifecycle
 from ..protocol.errors import NotRun
 from ..protocol.ids import RequestId
@@ -118,9 +118,9 @@
         process.link_listeners.append(self.attempts.on_message)
         process.change_listeners.append(self.attempts.on_change)
         process.published.subscribe(self._open_links)
-        self._keys = keys or Keys(guard=FreeKeys(), mint=self._mint)
+        self._keys = keys or Keys(guard=UnguardedKeys(), mint=self._mint)
         self._is_known = is_known or self._has_catalogue
-        self.callers = self._build_callers(limiter or FreeLimiter())
+        self.callers = self._build_callers(limiter or UnlimitedLimiter())
         self.server = CallerServer(
             settings=settings.callers, application=self.callers.application()
         )
@@ -144,7 +144,7 @@
             journal=process.journal,
         )
         predictor = Predictor(estimates=Estimates(), router=self._router, policy=policy)
-        walker = Walker(
+        walker = PipelineRunner(
             published=process.published,
             runner=runner,
             predictor=predictor,
@@ -226,7 +226,7 @@
             for host in self._directory.sidecars(service):
                 wanted.add(host.process_id)
                 self._views.of(host)
-        self._views.keep(wanted)
+        self._views.retain(wanted)
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator["Gateway"]:
@@ -243,9 +243,9 @@
         while True:
             await asyncio.sleep(TICK_S)
             self._open_links()
-            self.attempts.tell_silence()
-            self.attempts.call_back(self._router.n_free)
-            for call in self.attempts.newly_overdue():
+            self.attempts.notify_unresponsive()
+            self.attempts.recall_queued(self._router.n_free_slots)
+            for call in self.attempts.newly_slow():
                 self._router.learn(call.work, call.view, measured_s=call.age_s)
 
     async def drain(self) -> None:
--- a/src/trefoilpaddle/roles/operators.py
+++ b/src/trefoilpaddle/roles/operators.py
@@ -12,7 +12,7 @@
 
 from ..coordination.explaining.status_gather import gather_status
 from ..coordination.explaining.timeline_gather import TimelineGatherer
-from ..coordination.requests.asking import Asker
+from ..coordination.requests.operator_queries import OperatorQueries
 from ..protocol.gen.explain.ttypes import (
     ExplainAnswer,
     ExplainAsk,
@@ -82,7 +82,7 @@
         self._is_ready = is_ready
         self._leases = leases
         self._held_back = held_back
-        self._asker = Asker(peers=process.peers)
+        self._asker = OperatorQueries(peers=process.peers)
         self._began_s = time.monotonic()
         self._tally = Tally()
         self.metrics = Metrics()
--- a/tests/test_explain_record.py
+++ b/tests/test_explain_record.py
@@ -10,7 +10,7 @@
 from tests.harness_target import Run
 from tests.waiting import until
 from trefoilpaddle.coordination.explaining.timeline_gather import TimelineGatherer
-from trefoilpaddle.coordination.requests.asking import Asker
+from trefoilpaddle.coordination.requests.operator_queries import OperatorQueries
 from trefoilpaddle.roles.operators import OperatorsView
 from trefoilpaddle.roles.process import Process
 from trefoilpaddle.state.events import Event
@@ -65,7 +65,7 @@
 async def timeline_of(f: Fleet, view: OperatorsView, request_id: str) -> Timeline:
     process = gateway_process(f)
     gatherer = TimelineGatherer(
-        asker=Asker(peers=process.peers),
+        asker=OperatorQueries(peers=process.peers),
         hosts=process.published.hosts,
         own_process_id=process.identity.process_id,
         own_target="",
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -47,7 +47,7 @@
         async with bench(quiet, other, published=published, policy=NO_HEDGE) as b:
             asking = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(quiet.runs))
-            await until(lambda: all(v.was_heard for v in b.gateway._views))
+            await until(lambda: all(v.was_responsive for v in b.gateway._views))
             port = quiet.port
             monkeypatch.setattr(
                 Link, "is_heard", lambda self: self.address.port != port
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -94,7 +94,7 @@
         load = Load(target_up=True, n_slots=1)
         for name, value in fields.items():
             setattr(load, name, value)
-        self.views[n].take_load(load)
+        self.views[n].apply_load(load)
 
 
 def work(
@@ -204,7 +204,7 @@
         view.load.owners = [crowd]
         assert view.wait_s(ENTRY, view.load_at_s) == 0.2
         assert view.wait_s(replace(ENTRY, owner="crowd"), view.load_at_s) == 20.2
-        view.own.sent("bank", 1.0)
+        view.unreported.sent("bank", 1.0)
         assert view.wait_s(ENTRY, view.load_at_s) == 2.2
 
     def test_calls_that_have_arrived_count_until_a_report_holds_them(self) -> None:
@@ -217,10 +217,10 @@
         for _ in range(3):
             view.sent(work())
             view.arrived(work())
-        assert view.crowd() == 1.0
+        assert view.slot_occupancy() == 1.0
         assert view.wait_s(ENTRY, view.load_at_s) > 0.0
         fleet.report(0, n_slots=2)
-        assert view.crowd() == 0.0
+        assert view.slot_occupancy() == 0.0
 
     @given(steps=st.lists(st.sampled_from("sart"), max_size=40))
     def test_own_calls_are_counted_once_beside_the_reports(
@@ -269,7 +269,7 @@
         for n in range(6):
             fleet.report(n)
         wanted = self.prefixed(size_s=0.1, expected_s=0.2)
-        fleet.router.note_prefix(wanted, fleet.views[3])
+        fleet.router.record_prefix(wanted, fleet.views[3])
         assert self.chosen(fleet, wanted) == {"t3-sidecar"}
 
     def test_a_holder_whose_queue_costs_more_than_it_saves_is_not(self) -> None:
@@ -278,7 +278,7 @@
             fleet.report(n)
         fleet.report(3, n_queued=9, queued_work_s=5.0)
         wanted = self.prefixed(size_s=0.1, expected_s=0.2)
-        fleet.router.note_prefix(wanted, fleet.views[3])
+        fleet.router.record_prefix(wanted, fleet.views[3])
         assert "t3-sidecar" not in self.chosen(fleet, wanted)
 
     def test_an_entry_that_weighs_cost_waits_longer_for_it(self) -> None:
@@ -289,7 +289,7 @@
         fleet.views[3].load_at_s = time.monotonic() + 100
         fleet.report(3, n_queued=1, queued_work_s=0.1)
         cheap = self.prefixed(size_s=0.1, expected_s=0.2, attainment_weight=0.0)
-        fleet.router.note_prefix(cheap, fleet.views[3])
+        fleet.router.record_prefix(cheap, fleet.views[3])
         assert self.chosen(fleet, cheap) == {"t3-sidecar"}
 
     def test_only_what_is_shared_from_the_start_counts(self) -> None:
