--- a/src/trefoilpaddle/coordination/requests/__init__.py
+++ b/src/trefoilpaddle/coordination/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request at a gateway: its stages, the attempts of each, their answers."""
+"""Requests at a gateway: their stages, the attempts of each stage, the answers."""
--- a/src/trefoilpaddle/coordination/requests/answer_buffer.py
+++ b/src/trefoilpaddle/coordination/requests/answer_buffer.py
@@ -1,4 +1,4 @@
-"""Collects the chunks of one answer and tells whether it is whole."""
+"""Collects the chunks of one answer and checks whether the answer is complete."""
 
 from ...protocol.checksum import RunningChecksum
 from ...protocol.const import MAX_ANSWER_BYTES
@@ -6,11 +6,11 @@
 
 
 class AnswerBuffer:
-    """Chunks in order, each counted once.
+    """Chunks of one answer in order, each counted once.
 
-    An answer is whole only if count, size and checksum of what has arrived are
-    those that the end frame states; a torn or doubled stream shows as a
-    mismatch here and never as a short answer.
+    An answer is complete only if the count, size and checksum of the received
+    chunks match the end frame. A truncated or duplicated stream therefore shows
+    as a mismatch and is never taken for a shorter answer.
     """
 
     __slots__ = ("_checksum", "_chunks", "n_bytes", "n_chunks")
@@ -22,26 +22,26 @@
         self.n_bytes = 0
 
     def is_next(self, chunk: Chunk) -> bool:
-        """Return True if `chunk` is the one that follows."""
+        """Return True if `chunk` is the next in sequence."""
         return chunk.seq == self.n_chunks
 
     def is_repeated(self, chunk: Chunk) -> bool:
-        """Return True if `chunk` has been counted; a fetch may send it again."""
+        """Return True if `chunk` was added before; a fetch may send it again."""
         return chunk.seq < self.n_chunks
 
     def fits(self, chunk: Chunk) -> bool:
-        """Return True if `chunk` may be kept within the bound."""
+        """Return True if the answer stays within ``MAX_ANSWER_BYTES`` with `chunk`."""
         return self.n_bytes + len(chunk.data) <= MAX_ANSWER_BYTES
 
     def add(self, chunk: Chunk) -> None:
-        """Count `chunk`, which must be the next one."""
+        """Append `chunk`, which must be the next in sequence."""
         self.n_chunks += 1
         self.n_bytes += len(chunk.data)
         self._checksum.add(chunk.data)
         self._chunks.append(chunk.data)
 
     def is_complete(self, end: End) -> bool:
-        """Return True if what was counted is what `end` says was sent."""
+        """Return True if the received chunks match what `end` states was sent."""
         return (
             self.n_chunks == end.n_chunks
             and self.n_bytes == end.n_bytes
@@ -49,12 +49,12 @@
         )
 
     def clear(self) -> None:
-        """Forget all chunks, to fetch the answer again from its beginning."""
+        """Discard all chunks, so that the answer can be fetched from its beginning."""
         self._chunks = []
         self._checksum = RunningChecksum()
         self.n_chunks = 0
         self.n_bytes = 0
 
     def body(self) -> bytes:
-        """Return the kept chunks as one."""
+        """Return the chunks joined into one body."""
         return b"".join(self._chunks)
--- a/src/trefoilpaddle/coordination/requests/answer_receiver.py
+++ b/src/trefoilpaddle/coordination/requests/answer_receiver.py
@@ -1,4 +1,4 @@
-"""Takes in one answer: collects it, passes it on, grants credit for it."""
+"""Receives one answer: buffers it, forwards it to the caller, grants credit."""
 
 from typing import Final
 
@@ -8,22 +8,25 @@
 from .open_attempts import OpenAttempt
 
 BUFFERED_WINDOW_BYTES: Final = 1024 * 1024
-"""Window of an answer that is only kept; sixteen chunks."""
+"""Credit window of an answer that is only buffered; sixteen chunks."""
 
 STREAMED_WINDOW_BYTES: Final = 64 * 1024
-"""Window of an answer that is passed on; most that lies here for a slow caller."""
+"""Credit window of an answer that is forwarded as it arrives.
+
+Bounds how much of the answer is buffered here for a slow caller.
+"""
 
 GRANTS_PER_WINDOW: Final = 4
-"""Parts of a window; a grant is sent once one of them was taken."""
+"""Grants per window; credit is sent each time this part of a window was consumed."""
 
 
 class AnswerReceiver:
-    """One answer on its way in.
+    """Receives the chunks of one answer.
 
     Parameters
     ----------
     sink : Sink, optional
-        Takes the answer as it comes; it is kept whole besides.
+        Takes each chunk as it arrives; the complete answer is buffered as well.
     """
 
     __slots__ = ("_buffer", "_n_ungranted_bytes", "_sink", "window_bytes")
@@ -38,24 +41,24 @@
 
     @property
     def n_chunks(self) -> int:
-        """Pieces taken in so far."""
+        """Number of chunks received so far."""
         return self._buffer.n_chunks
 
     @property
     def has_forwarded(self) -> bool:
-        """Return True if part of the answer has left for the caller."""
+        """Return True if part of the answer was already forwarded to the caller."""
         return self._sink is not None and self._buffer.n_chunks > 0
 
     def is_complete(self, end: End) -> bool:
-        """Return True if what came is what `end` says was sent."""
+        """Return True if the received chunks match what `end` states was sent."""
         return self._buffer.is_complete(end)
 
     def body(self) -> bytes:
-        """Return what came, as one."""
+        """Return the received chunks joined into one body."""
         return self._buffer.body()
 
     async def receive(self, chunk: Chunk, attempt: OpenAttempt) -> str:
-        """Take in a piece; return what is wrong with it, or nothing."""
+        """Receive a chunk; return what is wrong with it, or an empty text."""
         if self._buffer.is_repeated(chunk):
             return ""
         if not self._buffer.is_next(chunk):
@@ -65,26 +68,26 @@
         self._buffer.add(chunk)
         if self._sink is not None:
             await self._sink(chunk.data)
-        self._give_credit(attempt, len(chunk.data))
+        self._grant_credit(attempt, len(chunk.data))
         return ""
 
     def try_restart(self) -> bool:
-        """Forget all pieces if none was passed on; return whether that was so."""
+        """Discard all chunks unless one was forwarded; return whether they were."""
         if self.has_forwarded:
             return False
         self._buffer.clear()
         return True
 
     def reset_window(self, attempt: OpenAttempt) -> None:
-        """Grant a full window anew; what was granted before counts no more."""
+        """Grant a full window; credit granted before no longer counts."""
         attempt.n_granted_bytes = self.window_bytes
         self._n_ungranted_bytes = 0
 
-    def _give_credit(self, attempt: OpenAttempt, n_bytes: int) -> None:
-        """Grant what was taken, in pieces worth a frame of their own.
+    def _grant_credit(self, attempt: OpenAttempt, n_bytes: int) -> None:
+        """Grant credit for consumed bytes, in steps that justify a frame each.
 
-        Most of the window is always out, so waiting for more before granting
-        holds back no answer; a small one needs no credit at all.
+        Most of the window is always granted, so collecting a step before granting
+        delays no answer. An answer smaller than a step needs no credit at all.
         """
         self._n_ungranted_bytes += n_bytes
         if self._n_ungranted_bytes < self.window_bytes // GRANTS_PER_WINDOW:
--- a/src/trefoilpaddle/coordination/requests/attempt_errors.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_errors.py
@@ -1,4 +1,4 @@
-"""What is true of an attempt that this side has stopped."""
+"""Errors of attempts that the sidecar itself has stopped."""
 
 import time
 
@@ -11,7 +11,7 @@
 def not_started(
     reason: Reason, *, peer: str, detail: str, retry_after_s: float = 0.0
 ) -> NotRun:
-    """Return the error of an attempt that was taken out before it started."""
+    """Return the error of an attempt that was removed before it started."""
     return NotRun(
         reason=reason,
         step="queue",
@@ -24,7 +24,7 @@
 def stopped(attempt: Attempt, reason: Reason, *, peer: str) -> StageError:
     """Return the error of a call that was stopped while it ran.
 
-    Work that may not be repeated may have taken effect, so it is unknown.
+    Work that must not run twice may have taken effect, so its outcome is unknown.
     """
     if not attempt.is_sent():
         return not_started(reason, peer=peer, detail="stopped before it was sent")
@@ -36,7 +36,7 @@
 
 
 def unexpected(attempt: Attempt, error: Exception, *, peer: str) -> StageError:
-    """Return the error of a call that a fault of this program ended."""
+    """Return the error of a call that ended by an unexpected exception."""
     detail = f"unforeseen {type(error).__name__}"
     if not attempt.is_sent():
         return not_started(Reason.INTERNAL, peer=peer, detail=detail)
--- a/src/trefoilpaddle/coordination/requests/attempt_outcomes.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Ends attempts: the last message, the held answer and the record."""
+"""Ends attempts at a sidecar: final message, held answer and journal record."""
 
 import time
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 
 
 class AttemptOutcomes:
-    """Gives each attempt its one outcome.
+    """Gives each attempt exactly one outcome.
 
     Parameters
     ----------
     table : AttemptTable
-        All attempts.
+        All attempts of this sidecar.
     journal : StageJournal
-        Takes the decisions.
+        Records the decisions.
     read_load : callable
-        Returns the load that goes with each outcome.
+        Returns the load report that is sent with each outcome.
     """
 
     __slots__ = ("_journal", "_read_load", "_table")
@@ -40,7 +40,7 @@
         self._read_load = read_load
 
     def answered(self, attempt: Attempt, end: CallEnd, *, service_s: float) -> None:
-        """End an attempt whose answer is whole; it is held until acknowledged."""
+        """End an attempt whose answer is complete; it is held until acknowledged."""
         answer = attempt.stream.answer
         outcome = End(
             attempt_id=attempt.attempt_id,
@@ -66,7 +66,7 @@
         )
 
     def failed(self, attempt: Attempt, error: Failed | Unknown) -> None:
-        """End an attempt that ran, or may have, without an answer."""
+        """End an attempt that ran, or may have run, without an answer."""
         failure = to_failure(
             error, attempt_id=attempt.attempt_id, load=self._read_load()
         )
@@ -78,7 +78,7 @@
         self._table.release(attempt.attempt_id)
 
     def not_run(self, attempt: Attempt, error: NotRun) -> None:
-        """End an attempt that did not start and never will."""
+        """End an attempt that was not started and never will be."""
         failure = to_failure(
             error, attempt_id=attempt.attempt_id, load=self._read_load()
         )
@@ -87,7 +87,7 @@
 
 
 def elapsed_s(attempt: Attempt) -> float:
-    """Return the seconds since the attempt was started at the target."""
+    """Return the seconds since the call to the target was started."""
     return (time.monotonic_ns() - attempt.started_ns) / NS_PER_S
 
 
--- a/src/trefoilpaddle/coordination/requests/attempt_resolution.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_resolution.py
@@ -1,4 +1,4 @@
-"""Finds out what is true of an attempt that has no answer when it must end."""
+"""Determines the outcome of an attempt that must end without an answer."""
 
 from typing import Final
 
@@ -13,11 +13,14 @@
 from .request_decisions import attempt_decision
 
 BAR_WAIT_S: Final = 0.25
-"""Longest wait for the sidecar's word; past a deadline the caller waits for it too."""
+"""Longest wait for the sidecar's reply.
+
+Past a deadline the caller waits for it too.
+"""
 
 
 async def abandon(attempt: OpenAttempt, journal: Journal) -> StageError:
-    """Settle an attempt whose deadline has passed; return what is known of it."""
+    """Abandon an attempt whose deadline has passed; return its error."""
     view = attempt.view
     late = call_errors.unknown(
         Reason.DEADLINE_PASSED,
@@ -38,30 +41,30 @@
 
 
 def recall(attempt: OpenAttempt) -> None:
-    """Ask for work that still waits at a sidecar that leaves.
+    """Recall work that is still queued at a leaving sidecar.
 
-    If it has not started there it never will, and comes as a refusal; else nothing
-    changes.
+    If the sidecar has not started it, it never will, and refuses it; otherwise
+    nothing changes.
     """
     if not attempt.is_started:
-        question = Bar(attempt_id=attempt.attempt_id, incarnation=attempt.incarnation)
-        attempt.view.link.send(question)
+        message = Bar(attempt_id=attempt.attempt_id, incarnation=attempt.incarnation)
+        attempt.view.link.send(message)
 
 
 async def bar(
     attempt: OpenAttempt, journal: Journal, *, otherwise: StageError
 ) -> StageError:
-    """Ask that the attempt never start; return `otherwise` if that fails.
+    """Bar the attempt from starting; return `otherwise` if that fails.
 
-    Only the sidecar's word that it did not start the call and never will
-    makes "not run" true; no word at all leaves it unknown.
+    "Not run" is true only if the sidecar replies that it did not start the call
+    and never will. Without a reply the outcome remains unknown.
     """
     link = attempt.view.link
     if not link.is_heard():
         return otherwise
-    # A sidecar that was restarted meanwhile must not answer for the former.
-    question = Bar(attempt_id=attempt.attempt_id, incarnation=attempt.incarnation)
-    match await link.ask(question, timeout_s=BAR_WAIT_S):
+    # A restarted sidecar must not reply for its previous incarnation.
+    message = Bar(attempt_id=attempt.attempt_id, incarnation=attempt.incarnation)
+    match await link.ask(message, timeout_s=BAR_WAIT_S):
         case Ok(BarAnswer(state=BarState.BARRED)):
             journal.record(attempt_decision(Event.ATTEMPT_BARRED, attempt))
             return call_errors.barred(otherwise.reason, peer=attempt.view.process_id)
--- a/src/trefoilpaddle/coordination/requests/attempt_run.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_run.py
@@ -1,4 +1,4 @@
-"""Runs one attempt at the target, from its reserved slot to its end."""
+"""Runs one attempt at the target, from its reserved slot to its outcome."""
 
 import asyncio
 import time
@@ -20,24 +20,24 @@
 from .streams import AnswerTooLargeError
 
 READY_WAIT_S: Final = 0.03
-"""How long a reserved slot waits for the gateway's word."""
+"""How long a reserved slot waits for the gateway to take it."""
 MAX_OVERRUN_S: Final = 30.0
-"""How long a call that may not be repeated runs on past its deadline."""
+"""How long a call that must not run twice may run past its deadline."""
 
 
 class AttemptRunner:
-    """Makes calls to the target.
+    """Runs attempts as calls to the target.
 
     Parameters
     ----------
     name : str
         The target's name.
     caller : TargetCaller
-        Calls the target.
+        Sends calls to the target.
     journal : StageJournal
-        Takes the decisions.
+        Records the decisions.
     drops_expired : bool
-        False lets work that may be repeated start after its deadline.
+        False lets idempotent work start after its deadline.
     """
 
     __slots__ = ("_caller", "_cancels", "_drops_expired", "_journal", "_name")
@@ -59,13 +59,14 @@
     async def run(
         self, attempt: Attempt, *, n_running: int
     ) -> Result[CallEnd, StageError]:
-        """Run `attempt` in its slot and say how it ended.
+        """Run `attempt` in its slot and return its outcome.
 
-        Cancelling it stops the call; what is then returned is still true.
+        Cancelling this coroutine stops the call; the error that is then returned
+        states correctly whether the call may have run.
         """
         try:
-            if attempt.start.reserve and not await self._is_wanted(attempt):
-                return Err(self._not_wanted())
+            if attempt.start.reserve and not await self._is_slot_taken(attempt):
+                return Err(self._slot_not_taken())
             return await self._call(attempt, n_running=n_running)
         except asyncio.CancelledError:
             reason = attempt.cancel_reason or Reason.CANCELLED
@@ -79,7 +80,7 @@
         self._cancel_at_target(attempt)
         return Err(stopped(attempt, reason, peer=self._name))
 
-    async def _is_wanted(self, attempt: Attempt) -> bool:
+    async def _is_slot_taken(self, attempt: Attempt) -> bool:
         """Offer the slot and return True if the gateway takes it in time."""
         attempt.go = asyncio.get_running_loop().create_future()
         attempt.stream.send_uncredited(Ready(attempt_id=attempt.attempt_id))
@@ -116,10 +117,10 @@
             is_idempotent=start.idempotent,
             deadline_ns=attempt.deadline_ns,
         )
-        async with asyncio.timeout(self._limit_s(attempt)):
+        async with asyncio.timeout(self._timeout_s(attempt)):
             return await self._caller.run(call, sink=attempt.stream, guard=guard)
 
-    def _limit_s(self, attempt: Attempt) -> float:
+    def _timeout_s(self, attempt: Attempt) -> float:
         left_s = (attempt.deadline_ns - attempt.started_ns) / NS_PER_S
         if not attempt.start.idempotent:
             left_s += MAX_OVERRUN_S
@@ -139,7 +140,7 @@
         self._cancels.add(task)
         task.add_done_callback(self._cancels.discard)
 
-    def _not_wanted(self) -> StageError:
+    def _slot_not_taken(self) -> StageError:
         return not_started(
             Reason.CANCELLED,
             peer=self._name,
--- a/src/trefoilpaddle/coordination/requests/attempts.py
+++ b/src/trefoilpaddle/coordination/requests/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that a sidecar knows, and the ids that must never start again."""
+"""The attempts that a sidecar knows, and the ids that must not start again."""
 
 import asyncio
 from enum import Enum, auto, unique
@@ -16,7 +16,7 @@
 
 @unique
 class Phase(Enum):
-    """How far an attempt has come."""
+    """Progress of an attempt."""
 
     RECEIVING = auto()
     WAITING = auto()
@@ -31,17 +31,17 @@
     Parameters
     ----------
     start : Start
-        The message that asked for it.
+        The message that requested the attempt.
     connection : Connection
-        Where it came from.
+        The connection on which it arrived.
     received_ns : int
-        When it came.
+        When it arrived, on the monotonic clock.
     deadline_ns : int
-        When the whole request is due; no start after it.
+        Deadline of the whole request; the attempt is not started after it.
     finish_by_ns : int
-        When this stage should be done, so that the later ones still fit.
+        When this stage should be complete, so that the following stages still fit.
     grow : callable
-        Counts the bytes of its answer.
+        Counts the bytes of its answer; False if there is no space for them.
     """
 
     __slots__ = (
@@ -98,15 +98,15 @@
 
     @property
     def attempt_id(self) -> bytes:
-        """The attempt's id."""
+        """Id of the attempt."""
         return self.start.attempt_id
 
     def has_body(self) -> bool:
-        """Return True when all of the body is here."""
+        """Return True when the complete body has arrived."""
         return self._body_bytes >= self.start.body_bytes
 
     def add_body_chunk(self, data: bytes) -> None:
-        """Take the next piece of a body that did not fit the start message."""
+        """Add the next chunk of a body that did not fit into the start message."""
         self.body_chunks.append(data)
         self._body_bytes += len(data)
         if self.has_body():
@@ -114,29 +114,29 @@
             self.body_chunks = []
 
     def queued_s(self) -> float:
-        """Return the seconds from its arrival to its start."""
+        """Return the seconds from arrival to start."""
         return (self.started_ns - self.received_ns) / NS_PER_S
 
     def is_sent(self) -> bool:
-        """Return True once any of the call may have reached the target."""
+        """Return True once any part of the call may have reached the target."""
         return self.guard is not None and self.guard.is_sent
 
     def stop_timer(self) -> None:
-        """Cancel the timer that would drop it from the queue."""
+        """Cancel the timer that would drop the attempt from the queue."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
 
 class AttemptTable:
-    """Every attempt that is open or held, and every id that is spent.
+    """Every attempt that is open or held, and every id that is used.
 
     Parameters
     ----------
     held : HeldResults
-        Bounds the finished answers.
+        Bounds the memory of finished answers.
     spent : SpentIds
-        Remembers the ids that are over.
+        Remembers the ids of attempts that have ended.
     """
 
     __slots__ = ("_attempts", "_is_empty", "body_bytes", "held", "spent")
@@ -166,7 +166,7 @@
         return self._attempts.get(attempt_id)
 
     def add(self, attempt: Attempt) -> None:
-        """Take in a new attempt."""
+        """Add a new attempt."""
         self._attempts[attempt.attempt_id] = attempt
         self._is_empty.clear()
         self.body_bytes += attempt.start.body_bytes
@@ -186,7 +186,7 @@
     def end_not_run(
         self, attempt: Attempt, failure: Failure | None, *, now_ns: int
     ) -> None:
-        """End an attempt that did not start and never will."""
+        """End an attempt that was not started and never will be."""
         self._end(attempt)
         self.held.shrink(attempt.stream.answer.n_bytes)
         self._pop(attempt.attempt_id)
@@ -195,7 +195,7 @@
             attempt.stream.finish(failure)
 
     def end_ran(self, attempt: Attempt, outcome: End | Failure, *, now_ns: int) -> None:
-        """End an attempt that has run and hold its answer until it is taken."""
+        """End an attempt that has run; hold its answer until it is acknowledged."""
         self._end(attempt)
         self.spent.add(attempt.attempt_id, Spent.RAN, now_ns=now_ns)
         self.held.hold(
@@ -204,26 +204,26 @@
         attempt.stream.finish(outcome)
 
     def mark_refused(self, attempt_id: bytes, *, now_ns: int) -> None:
-        """Make sure that a refused attempt is refused again when resent."""
+        """Record the id of a refused attempt, so that it is refused again if resent."""
         if len(attempt_id) == ATTEMPT_ID_BYTES:
             self.spent.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
 
     def release(self, attempt_id: bytes) -> Attempt | None:
-        """Forget a held answer; return its attempt, or None if it is not held."""
+        """Free a held answer; return its attempt, or None if it is not held."""
         if not self.held.release(attempt_id):
             return None
         return self._pop(attempt_id)
 
     def forget_dropped(self, attempt_id: bytes) -> Attempt | None:
-        """Forget an attempt whose held answer was dropped."""
+        """Remove an attempt whose held answer was dropped."""
         return self._pop(attempt_id)
 
     def bar_unknown(self, attempt_id: bytes, *, now_ns: int) -> int:
         """Bar an attempt that is neither open nor held; return its `BarState`.
 
-        "Barred" promises that it did not run and never will. That is known of
-        an id that never came only while every id that ran is remembered; when
-        the memory was cut early, "forgotten" is all that is true.
+        "Barred" promises that the attempt did not run and never will. For an id
+        that never arrived, this is certain only while every id that ran is
+        remembered. If used ids were discarded early, the answer is "forgotten".
         """
         if len(attempt_id) != ATTEMPT_ID_BYTES:
             return BarState.FORGOTTEN
--- a/src/trefoilpaddle/coordination/requests/call_errors.py
+++ b/src/trefoilpaddle/coordination/requests/call_errors.py
@@ -1,14 +1,14 @@
-"""What is true of an attempt that has no answer, as the gateway that sent it knows."""
+"""Errors of attempts without a usable answer, as known to the sending gateway."""
 
 from ...protocol.errors import Failed, NotRun, Unknown
 from ...protocol.reasons import Reason
 
 
 def not_sent(*, peer: str) -> NotRun:
-    """Return the error of an attempt whose connection closed too early.
+    """Return the error of an attempt whose connection closed while it was sent.
 
-    Frames of one connection arrive in order; the last was not taken, so the
-    sidecar never holds a whole start frame and its body.
+    Frames of one connection arrive in order. The last one was not accepted for
+    sending, so the sidecar never holds the start frame with its complete body.
     """
     return NotRun(
         reason=Reason.CONNECTION_LOST,
@@ -19,7 +19,10 @@
 
 
 def slot_released(*, peer: str) -> NotRun:
-    """Return the error of a reserved place that another target was faster than."""
+    """Return the error of a reserved slot that was released to its sidecar.
+
+    Another target had a free slot first.
+    """
     return NotRun(
         reason=Reason.CANCELLED,
         step="reserve",
@@ -39,7 +42,7 @@
 
 
 def superseded(*, peer: str) -> Failed:
-    """Return the error of an attempt that another one beside it made needless."""
+    """Return the error of an attempt whose concurrent attempt was answered first."""
     return Failed(
         reason=Reason.CANCELLED,
         step="hedge",
@@ -49,7 +52,7 @@
 
 
 def answer_invalid(fault: str, *, peer: str) -> Failed:
-    """Return the error of an attempt whose answer may not be used."""
+    """Return the error of an attempt whose answer must not be used."""
     return Failed(
         reason=Reason.CORRUPT,
         step="receive",
@@ -59,7 +62,7 @@
 
 
 def cancelled_at_deadline(*, peer: str) -> Failed:
-    """Return the error of a call that ran on at its deadline."""
+    """Return the error of a call that was still running at its deadline."""
     return Failed(
         reason=Reason.DEADLINE_PASSED,
         step="wait",
@@ -69,5 +72,8 @@
 
 
 def unknown(reason: Reason, *, step: str, peer: str, what: str) -> Unknown:
-    """Return the error of an attempt that may have run; `what` its peer did."""
+    """Return the error of an attempt that may have run.
+
+    `what` completes the sentence that begins with the peer: what happened to it.
+    """
     return Unknown(reason=reason, step=step, peer=peer, detail=f"{peer} {what}.")
--- a/src/trefoilpaddle/coordination/requests/calls.py
+++ b/src/trefoilpaddle/coordination/requests/calls.py
@@ -1,4 +1,4 @@
-"""One or two attempts of a stage side by side, of which one answer counts."""
+"""One attempt of a stage, or two concurrent ones of which one answer is used."""
 
 import asyncio
 import time
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallContext:
-    """What every attempt of one stage needs.
+    """Dependencies shared by all attempts of one stage.
 
     Parameters
     ----------
     attempts, journal, router
-        Of this gateway.
+        Those of this gateway.
     spent : Spent
-        Of the request.
+        Account of what the request has used.
     sink : Sink, optional
-        Takes the answer as it comes.
+        Takes the answer as it arrives.
     """
 
     attempts: OpenAttempts
@@ -42,71 +42,71 @@
 
 
 class TrackedAttempt:
-    """One attempt, accounted for.
+    """One attempt whose cost and duration are accounted for.
 
     Parameters
     ----------
     work : StageWork
-        What to do.
+        The work to run.
     view : TargetView
-        Where.
-    parts : CallContext
-        What it needs.
-    may_go : callable, optional
+        The target to run it at.
+    context : CallContext
+        Dependencies of the stage's attempts.
+    may_commit : callable, optional
         As for `StageCall`.
     """
 
-    __slots__ = ("_parts", "_stage_call", "view", "work")
+    __slots__ = ("_context", "_stage_call", "view", "work")
 
     def __init__(
         self,
         *,
         work: StageWork,
         view: TargetView,
-        parts: CallContext,
-        may_go: Callable[[StageCall], bool] | None = None,
+        context: CallContext,
+        may_commit: Callable[[StageCall], bool] | None = None,
     ) -> None:
         self.work = work
         self.view = view
-        self._parts = parts
+        self._context = context
         self._stage_call = StageCall(
             work=work,
             view=view,
-            attempts=parts.attempts,
-            journal=parts.journal,
-            sink=parts.sink,
-            may_go=may_go,
+            attempts=context.attempts,
+            journal=context.journal,
+            sink=context.sink,
+            may_commit=may_commit,
         )
 
     def owns(self, stage_call: StageCall) -> bool:
-        """Return True if `stage_call` is this attempt's."""
+        """Return True if `stage_call` belongs to this attempt."""
         return self._stage_call is stage_call
 
     def supersede(self) -> None:
-        """End the attempt because another one beside it has the answer."""
+        """End the attempt because a concurrent one has the answer."""
         self._stage_call.supersede()
 
     async def run(self) -> Outcome:
-        """Run the attempt; account for what it spent and how long it took."""
+        """Run the attempt and account for its cost and duration."""
         begin_s = time.monotonic()
-        spent = self._parts.spent
+        spent = self._context.spent
         spent.begin(self.work)
         try:
             outcome = await self._stage_call.run()
         except BaseException:
             spent.end(self.work, has_started=self._stage_call.may_have_started)
-            self._learn_lost(time.monotonic() - begin_s)
+            self._learn_unanswered(time.monotonic() - begin_s)
             raise
-        self._settle(outcome, time.monotonic() - begin_s)
+        self._account(outcome, time.monotonic() - begin_s)
         return outcome
 
-    def _settle(self, outcome: Outcome, took_s: float) -> None:
-        spent = self._parts.spent
+    def _account(self, outcome: Outcome, took_s: float) -> None:
+        spent = self._context.spent
         match outcome:
             case Ok(answer):
                 spent.end(self.work, has_started=True, cost_s=answer.cost_s)
                 spent.n_tokens += answer.n_tokens
-                self._parts.router.learn(
+                self._context.router.learn(
                     self.work, self.view, measured_s=answer.service_s
                 )
             case Err(StageFault(error=NotRun())):
@@ -114,22 +114,22 @@
             case Err(StageFault(error=error)):
                 cost_s = error.cost_s if isinstance(error, Failed) else 0.0
                 spent.end(self.work, has_started=True, cost_s=cost_s)
-                self._learn_lost(took_s)
+                self._learn_unanswered(took_s)
 
-    def _learn_lost(self, took_s: float) -> None:
-        """Let a call that gave nothing speak against its target if it was slow."""
+    def _learn_unanswered(self, took_s: float) -> None:
+        """Count a call without an answer against its target if the call was slow."""
         if took_s > self.work.expected_s:
-            self._parts.router.learn(self.work, self.view, measured_s=took_s)
+            self._context.router.learn(self.work, self.view, measured_s=took_s)
 
 
 async def run_hedged(
     first: TrackedAttempt, *, delay_s: float, second: MakeCall
 ) -> Outcome:
-    """Run `first`; after `delay_s` without an answer run a second beside it.
+    """Run `first`; after `delay_s` without an answer run a second concurrently.
 
-    The first whole answer counts and the other attempt is cancelled, so this is
-    for idempotent work only. Nearly all calls end before the delay and cost a
-    timer, no task of their own.
+    The first complete answer is used and the other attempt is cancelled, so this
+    is for idempotent work only. Nearly all calls end before the delay; they cost
+    one timer and no additional task.
     """
     others: list[asyncio.Future[Outcome]] = []
 
@@ -157,28 +157,28 @@
 
 
 async def run_late_bound(
-    work: StageWork, views: list[TargetView], parts: CallContext
+    work: StageWork, views: list[TargetView], context: CallContext
 ) -> Outcome:
-    """Reserve a place at each of `views`; the first that is ready gets the work.
+    """Reserve a slot at each of `views`; the first that is ready gets the work.
 
-    Nothing is committed before that, so the queue that really is shorter wins,
-    whatever the load reports said. Only one place is ever let go, so work that
-    must run once may be bound so too.
+    Nothing is committed before that, so the queue that is in fact shorter gets
+    the work, whatever the load reports stated. Only one slot is ever committed,
+    so late binding is also safe for work that must run at most once.
     """
     tasks: list[asyncio.Future[Outcome]] = []
-    gone: list[StageCall] = []
+    committed: list[StageCall] = []
 
-    def may_go(call: StageCall) -> bool:
-        if gone:
+    def may_commit(call: StageCall) -> bool:
+        if committed:
             return False
-        gone.append(call)
+        committed.append(call)
         for task, other in zip(tasks, calls, strict=True):
             if not other.owns(call):
                 task.cancel()
         return True
 
     calls = [
-        TrackedAttempt(work=work, view=view, parts=parts, may_go=may_go)
+        TrackedAttempt(work=work, view=view, context=context, may_commit=may_commit)
         for view in views
     ]
     tasks += [asyncio.ensure_future(call.run()) for call in calls]
@@ -186,7 +186,7 @@
 
 
 async def _race(tasks: Iterable[asyncio.Future[Outcome]]) -> Outcome:
-    """Return the first answer, or the last fault; cancel the rest."""
+    """Return the first answer, or the most severe fault; cancel the rest."""
     pending = set(tasks)
     fault: Outcome | None = None
     try:
@@ -213,7 +213,7 @@
 
 
 def _worse(one: Outcome | None, other: Outcome) -> Outcome:
-    """Return the fault that says more may have run."""
+    """Return the fault according to which more work may have run."""
     match one:
         case None | Err(StageFault(error=NotRun())):
             return other
--- a/src/trefoilpaddle/coordination/requests/drain.py
+++ b/src/trefoilpaddle/coordination/requests/drain.py
@@ -1,4 +1,4 @@
-"""A sidecar's planned stop: refuse, finish, hand over, count what was cut off."""
+"""A sidecar's planned stop: refuses new work, finishes, counts the interrupted."""
 
 import asyncio
 import contextlib
@@ -9,21 +9,22 @@
 
 
 async def drain(*, table: AttemptTable, dispatcher: Dispatcher, drain_s: float) -> int:
-    """Wait until no attempt is open or held; return how many were cut off.
+    """Wait until no attempt is open or held; return how many were interrupted.
 
-    Work that waits is begun as long as it can end within `drain_s`, and else answered
-    as not run, which cuts off nobody: its gateway can send it elsewhere. It is not
-    given back at once, as this may be the only target of its service; gateways
-    call back what another one has a place for.
+    Queued work is started as long as it can end within `drain_s`. Other queued work
+    is answered as not run, which interrupts no request: its gateway can send it to
+    another target. Queued work is not returned at once, as this may be the only
+    target of its service; gateways recall the work that another target has a free
+    slot for.
 
     Parameters
     ----------
     table : AttemptTable
-        All attempts.
+        All attempts of the sidecar.
     dispatcher : Dispatcher
-        Starts them; is told to refuse new ones.
+        Starts queued attempts; refuses new ones from now on.
     drain_s : float
-        Longest wait.
+        Longest wait, in seconds.
     """
     dispatcher.leave(within_s=drain_s)
     with contextlib.suppress(TimeoutError):
--- a/src/trefoilpaddle/coordination/requests/drop_timers.py
+++ b/src/trefoilpaddle/coordination/requests/drop_timers.py
@@ -1,4 +1,4 @@
-"""Timers that drop an attempt which has not started by some moment."""
+"""Timers that drop an attempt which has not started by a given time."""
 
 import asyncio
 import time
@@ -11,12 +11,12 @@
 
 
 class DropTimers:
-    """Tells of each attempt that still waits when its moment comes.
+    """Reports each attempt that still waits when its timer expires.
 
     Parameters
     ----------
     on_due : callable
-        Takes the attempt.
+        Called with the attempt.
     """
 
     __slots__ = ("_on_due",)
@@ -25,17 +25,17 @@
         self._on_due = on_due
 
     def arm(self, attempt: Attempt, *, at_ns: int) -> None:
-        """Set the moment, on this process's monotonic clock."""
+        """Set the timer of `attempt` to `at_ns` on this process's monotonic clock."""
         attempt.stop_timer()
         wait_s = max(0.0, (at_ns - time.monotonic_ns()) / NS_PER_S)
         loop = asyncio.get_running_loop()
         attempt.timer = loop.call_later(wait_s, self._fire, attempt)
 
     def has_expired(self, attempt: Attempt) -> bool:
-        """Return True if the moment has passed, though the timer has not run.
+        """Return True if the timer's time has passed, even if it has not run yet.
 
-        After a pause of the process, or a long turn of its event loop, what
-        has arrived is handled before the timers that are due.
+        After a pause of the process, or a long iteration of its event loop,
+        received messages are handled before the expired timers.
         """
         if attempt.timer is None:
             return False
--- a/src/trefoilpaddle/coordination/requests/ejection.py
+++ b/src/trefoilpaddle/coordination/requests/ejection.py
@@ -1,4 +1,4 @@
-"""Keeps slow targets out for a while, and probes them back in."""
+"""Ejects slow targets for a while and readmits them after successful probes."""
 
 import statistics
 import time
@@ -9,44 +9,44 @@
 from .target_view import TargetView
 
 MIN_SAMPLES: Final = 5
-"""Calls measured before a target is judged, or counts as a peer of others."""
+"""Measured calls before a target is judged or counts as a peer of others."""
 
 SUSPECT_RATIO: Final = 1.5
-"""Times the prediction from which on a target is compared with its peers."""
+"""Ratio to the prediction from which on a target is compared with its peers."""
 
 EJECT_RATIO: Final = 2.5
-"""Times its peers' median from which on a target is ejected."""
+"""Ratio to the median of its peers from which on a target is ejected."""
 
 READMIT_RATIO: Final = 1.5
-"""Times its peers' median up to which a probed target is taken back."""
+"""Ratio to the median of its peers up to which a probed target is readmitted."""
 
 MIN_ACTIVE: Final = 2
-"""Targets of a service that always stay in."""
+"""Targets of a service that always remain active."""
 
 MAX_EJECTED_SHARE: Final = 1 / 3
-"""Largest part of a service's targets that may be out."""
+"""Largest share of a service's targets that may be ejected."""
 
 PROBE_WAIT_S: Final = 1.0
-"""Wait before the first probe of an ejected target; doubled after a slow one."""
+"""Seconds before the first probe of an ejected target; doubled by a slow probe."""
 
 MAX_PROBE_WAIT_S: Final = 8.0
-"""Longest wait between two probes."""
+"""Longest wait between two probes, in seconds."""
 
 
 class Ejector:
-    """Ejects targets that are slower than their peers, within a floor.
+    """Ejects targets that are slower than their peers, but never too many.
 
-    A target is judged by how long its calls take beside what was predicted for
-    them, compared with the median of the other targets of its service. The
-    floor guards against the opposite fault: when a whole service slows down,
-    ejecting on and on would leave its load to the last few.
+    A target is judged by the ratio of measured to predicted call times, compared
+    with the median ratio of the other targets of its service. The bound on
+    ejected targets guards against the opposite failure: when a whole service
+    slows down, further ejections would leave its load to the last few targets.
 
     Parameters
     ----------
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     is_on : bool
-        False ejects nothing; the baseline.
+        False ejects nothing; used as the baseline.
     """
 
     __slots__ = ("_is_on", "_journal")
@@ -56,28 +56,28 @@
         self._is_on = is_on
 
     def usable(
-        self, views: list[TargetView], *, is_repeatable: bool
+        self, views: list[TargetView], *, is_retryable: bool
     ) -> list[TargetView]:
-        """Return the targets that are not out; one due for a probe counts as in.
+        """Return the targets that are not ejected, or one that is to be probed.
 
-        Only a call that may be repeated is sent as a probe.
+        Only a call that may be retried is sent as a probe.
         """
         if not any(view.is_ejected for view in views):
             return views
         now_s = time.monotonic()
         probes = [v for v in views if v.is_ejected and now_s >= v.probe_at_s]
-        if probes and is_repeatable:
-            # One call at a time; its result decides, or the next due time.
+        if probes and is_retryable:
+            # One probe at a time: the next one follows its result or its time-out.
             probes[0].probe_at_s = now_s + probes[0].probe_wait_s
             return probes[:1]
         return [view for view in views if not view.is_ejected] or views
 
     def is_suspect(self, view: TargetView) -> bool:
-        """Return True if `view` is worth comparing with its peers."""
+        """Return True if `view` is slow enough to be compared with its peers."""
         return self._is_on and (view.is_ejected or view.ratio >= SUSPECT_RATIO)
 
     def judge(self, view: TargetView, peers: list[TargetView]) -> None:
-        """Eject or readmit `view` after a call of it has been measured.
+        """Eject or readmit `view` after one of its calls was measured.
 
         Parameters
         ----------
@@ -89,43 +89,46 @@
         others = [p.ratio for p in peers if p is not view and p.n_ratios >= MIN_SAMPLES]
         if not others:
             return
-        usual = max(0.1, statistics.median(others))
-        relative = view.ratio / usual
+        peer_median = max(0.1, statistics.median(others))
+        relative_ratio = view.ratio / peer_median
         if view.is_ejected:
-            self._judge_probe(view, relative)
-        elif view.n_ratios >= MIN_SAMPLES and relative >= EJECT_RATIO:
-            self._eject(view, peers, relative)
+            self._judge_probe(view, relative_ratio)
+        elif view.n_ratios >= MIN_SAMPLES and relative_ratio >= EJECT_RATIO:
+            self._eject(view, peers, relative_ratio)
 
-    def _judge_probe(self, view: TargetView, relative: float) -> None:
-        if relative <= READMIT_RATIO:
+    def _judge_probe(self, view: TargetView, relative_ratio: float) -> None:
+        if relative_ratio <= READMIT_RATIO:
             view.is_ejected = False
             view.probe_wait_s = PROBE_WAIT_S
-            self._record(Event.TARGET_READMITTED, view, relative)
+            self._record(Event.TARGET_READMITTED, view, relative_ratio)
             return
         view.probe_wait_s = min(MAX_PROBE_WAIT_S, 2 * view.probe_wait_s)
         view.probe_at_s = time.monotonic() + view.probe_wait_s
 
     def _eject(
-        self, view: TargetView, peers: list[TargetView], relative: float
+        self, view: TargetView, peers: list[TargetView], relative_ratio: float
     ) -> None:
-        n_out = sum(peer.is_ejected for peer in peers) + 1
-        if n_out > MAX_EJECTED_SHARE * len(peers) or len(peers) - n_out < MIN_ACTIVE:
+        n_ejected = sum(peer.is_ejected for peer in peers) + 1
+        if (
+            n_ejected > MAX_EJECTED_SHARE * len(peers)
+            or len(peers) - n_ejected < MIN_ACTIVE
+        ):
             return
         view.is_ejected = True
         view.probe_wait_s = PROBE_WAIT_S
         view.probe_at_s = time.monotonic() + PROBE_WAIT_S
-        self._record(Event.TARGET_EJECTED, view, relative)
+        self._record(Event.TARGET_EJECTED, view, relative_ratio)
 
-    def _record(self, event: Event, view: TargetView, relative: float) -> None:
+    def _record(self, event: Event, view: TargetView, relative_ratio: float) -> None:
         self._journal.record(
             Decision(
                 event=event,
                 peer=view.process_id,
                 reason=Reason.NONE,
-                detail=f"{relative:.2g} times as slow as its peers",
+                detail=f"{relative_ratio:.2g} times as slow as its peers",
                 figures=(
                     Figure(name="ratio", value=view.ratio),
-                    Figure(name="relative_ratio", value=relative),
+                    Figure(name="relative_ratio", value=relative_ratio),
                     Figure(name="probe_wait_s", value=view.probe_wait_s),
                 ),
             )
--- a/src/trefoilpaddle/coordination/requests/open_attempts.py
+++ b/src/trefoilpaddle/coordination/requests/open_attempts.py
@@ -26,15 +26,15 @@
 from .target_view import TargetView, TargetViews
 
 MAX_UNREAD_MESSAGES: Final = 4096
-"""Most frames kept unread for one attempt; credit bounds only their bytes."""
+"""Maximum unread frames of one attempt; credit bounds only their bytes."""
 
 SLOW_CALL_RATIO: Final = 3.0
-"""Times the predicted service time after which a running call is overdue."""
+"""Ratio to the predicted service time from which on a running call is slow."""
 
 
 @unique
 class Notice(Enum):
-    """What can happen to an attempt besides a frame of its own."""
+    """Updates of an attempt that are not frames of its sidecar."""
 
     LINK_LOST = auto()
     LINK_OPEN = auto()
@@ -48,25 +48,25 @@
 
 
 class OpenAttempt:
-    """One attempt: its id, its target and the mail that has come for it.
+    """One attempt: its id, its target and its unread updates.
 
     Parameters
     ----------
     attempt_id : bytes
-        Random, never used again.
+        Random; never reused.
     work : StageWork
-        What it asks for.
+        The work to run.
     view : TargetView
         The target that it was sent to.
 
     Attributes
     ----------
     is_started : bool
-        True once its target is known to have started it.
+        True once the target is known to have started the attempt.
     """
 
     __slots__ = (
-        "_mail",
+        "_updates",
         "attempt_id",
         "incarnation",
         "is_recalled",
@@ -88,39 +88,39 @@
         self.is_started = False
         self.incarnation = view.incarnation
         self.n_granted_bytes = 0
-        self._mail: asyncio.Queue[AttemptUpdate] = asyncio.Queue()
+        self._updates: asyncio.Queue[AttemptUpdate] = asyncio.Queue()
 
-    def post(self, mail: AttemptUpdate) -> None:
-        """Put `mail` in; must not block.
+    def post(self, update: AttemptUpdate) -> None:
+        """Queue `update` without blocking.
 
         A sidecar that sends more than it was granted would fill this process's
-        memory; past the grant and one chunk its frames are no longer kept.
+        memory. Frames that exceed the grant by more than one chunk are not kept.
         """
-        if isinstance(mail, Started):
+        if isinstance(update, Started):
             self.started_s = time.monotonic()
-        elif isinstance(mail, Chunk):
-            self.n_granted_bytes -= len(mail.data)
+        elif isinstance(update, Chunk):
+            self.n_granted_bytes -= len(update.data)
             if self.n_granted_bytes < -CHUNK_BYTES:
-                mail = Notice.OVERRUN
-        if self._mail.qsize() < MAX_UNREAD_MESSAGES:
-            self._mail.put_nowait(mail)
-        elif self._mail.qsize() == MAX_UNREAD_MESSAGES:
-            self._mail.put_nowait(Notice.OVERRUN)
+                update = Notice.OVERRUN
+        if self._updates.qsize() < MAX_UNREAD_MESSAGES:
+            self._updates.put_nowait(update)
+        elif self._updates.qsize() == MAX_UNREAD_MESSAGES:
+            self._updates.put_nowait(Notice.OVERRUN)
 
     def is_recallable(self) -> bool:
-        """Return True if it may not have started at a sidecar that says it leaves."""
+        """Return True if it is not known to have started and its sidecar is leaving."""
         load = self.view.load
         is_leaving = load is not None and load.leaving
         return is_leaving and not self.started_s and not self.is_recalled
 
     async def next_update(self) -> AttemptUpdate:
-        """Return the next mail, waiting for it."""
-        return await self._mail.get()
+        """Return the next update; wait for it if there is none."""
+        return await self._updates.get()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowCall:
-    """A call that runs much longer than predicted, and for how long already."""
+    """A running call that takes much longer than predicted, and its age."""
 
     work: StageWork
     view: TargetView
@@ -128,14 +128,14 @@
 
 
 class OpenAttempts:
-    """Hands each frame to the attempt whose id it carries, and to no other.
+    """Delivers each frame to the attempt whose id it carries, and to no other.
 
     Parameters
     ----------
     views : TargetViews
-        Take in load reports.
+        Receives the load reports.
     journal : Journal
-        Told of dropped frames.
+        Records dropped frames.
     """
 
     __slots__ = ("_by_id", "_journal", "_views", "n_dropped")
@@ -151,7 +151,7 @@
 
     @contextlib.contextmanager
     def open(self, work: StageWork, view: TargetView) -> Iterator[OpenAttempt]:
-        """Yield a fresh attempt at `view`; its frames are dropped afterwards."""
+        """Yield a new attempt at `view`; its frames are dropped after the block."""
         attempt = OpenAttempt(attempt_id=new_attempt_id(), work=work, view=view)
         self._by_id[attempt.attempt_id] = attempt
         try:
@@ -160,7 +160,7 @@
             del self._by_id[attempt.attempt_id]
 
     def on_message(self, link: Link, message: Message) -> None:
-        """Take a message of a sidecar that answers no question."""
+        """Handle a message of a sidecar that is no reply to a query."""
         match message:
             case Queued() | Ready() | Started() | Chunk():
                 self._deliver(link, message)
@@ -175,7 +175,7 @@
                     view.apply_load(message.load)
 
     def on_change(self, link: Link) -> None:
-        """Tell the attempts of `link` that it was opened or lost."""
+        """Notify the attempts of `link` that it was opened or lost."""
         view = self._views.by_link(link)
         if view is None:
             return
@@ -184,13 +184,13 @@
             notice = Notice.LINK_OPEN
             view.load = None
             view.record_stamp(link.peer.stamp_ns)
-        self._tell(view, notice)
+        self._notify(view, notice)
 
     def newly_slow(self) -> Iterator[SlowCall]:
         """Yield each attempt that has just become much slower than predicted.
 
-        A target that has slowed down or stopped shows in the calls that it ends
-        only once they end, which is too late for those sent to it meanwhile.
+        If only completed calls were measured, a target that has slowed down or
+        stopped would be noticed too late for the calls sent to it meanwhile.
         """
         now_s = time.monotonic()
         for attempt in self._by_id.values():
@@ -202,18 +202,18 @@
                 yield SlowCall(work=attempt.work, view=attempt.view, age_s=age_s)
 
     def recall_queued(self, n_free_slots: Callable[[str], int]) -> None:
-        """Call back what waits at leaving sidecars, while others have places free.
+        """Recall work queued at leaving sidecars while others have free slots.
 
-        Guards against callers who wait, up to the end of a sidecar's stop or their
-        own deadline, beside a target that is idle. The sidecar knows of no other and
-        may be the only one, so it keeps what waits; what starts there before the word
-        comes runs there. No more is called back at a time than there are places;
-        what is most urgent goes first.
+        Without this, callers would wait until the end of a sidecar's stop or their
+        own deadline although another target is idle. The sidecar knows of no other
+        target and may be the only one, so it keeps queued work; what it starts before
+        the recall arrives runs there. No more is recalled at a time than there are
+        free slots, the most urgent work first.
 
         Parameters
         ----------
         n_free_slots : callable
-            Returns how many calls of a service would start at once elsewhere.
+            Returns how many calls of a service would start immediately elsewhere.
         """
         waiting = [a for a in self._by_id.values() if a.is_recallable()]
         waiting.sort(key=lambda attempt: attempt.work.stage_deadline_s)
@@ -225,14 +225,14 @@
                 attempt.post(Notice.RECALLED)
 
     def notify_unresponsive(self) -> None:
-        """Tell the attempts of each target that has just fallen silent."""
+        """Notify the attempts of each target that has just become unresponsive."""
         for view in self._views:
             is_heard = view.link.is_heard()
             if view.was_responsive and not is_heard:
-                self._tell(view, Notice.LINK_UNRESPONSIVE)
+                self._notify(view, Notice.LINK_UNRESPONSIVE)
             view.was_responsive = is_heard
 
-    def _tell(self, view: TargetView, notice: Notice) -> None:
+    def _notify(self, view: TargetView, notice: Notice) -> None:
         for attempt in self._by_id.values():
             if attempt.view is view:
                 attempt.post(notice)
@@ -240,11 +240,12 @@
     def _deliver(
         self, link: Link, message: Queued | Ready | Started | Chunk | End | Failure
     ) -> None:
-        """Post a frame to its attempt; drop it when it belongs to none.
+        """Post a frame to its attempt; drop it if there is no such attempt.
 
-        Late and crossed answers arrive here: the end of an attempt that was
-        given up, or a frame from a sidecar that the attempt was never sent to.
-        Delivered by anything but the id, it would reach another request.
+        Late and misdirected answers arrive here: the end frame of an abandoned
+        attempt, or a frame from a sidecar that the attempt was not sent to. If
+        frames were matched by anything but the id and the link, they could reach
+        another request.
         """
         attempt = self._by_id.get(message.attempt_id)
         if attempt is not None and attempt.view.link is link:
--- a/src/trefoilpaddle/coordination/requests/operator_queries.py
+++ b/src/trefoilpaddle/coordination/requests/operator_queries.py
@@ -1,4 +1,4 @@
-"""Asks other processes what they know, without keeping links to them."""
+"""Operators' queries to other processes, without keeping links to them."""
 
 import contextlib
 import time
@@ -25,21 +25,25 @@
 from ...transport.peers import Peers
 
 QUERY_TIMEOUT_S: Final = 3.0
-"""Longest wait for one process; longer than ``SILENCE_S``, so a silent one shows."""
+"""Longest wait for one process.
+
+Longer than ``SILENCE_S``, so that an unresponsive process is recognised as such.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReportedSteps:
-    """What one process told of a request.
+    """What one process reported about a request.
 
     Parameters
     ----------
     steps : tuple of Step
-        Empty if it knows nothing.
+        Recorded steps; empty if the process does not know the request.
     incarnation : int
-        Which start of the process told it; 0 if that is not known.
+        Incarnation of the process that replied; 0 if it is not known.
     received_s : float
-        Middle of the asking, by this process's monotonic clock.
+        Midpoint between query and reply, in seconds of this process's monotonic
+        clock.
     """
 
     steps: tuple[Step, ...]
@@ -48,13 +52,14 @@
 
 
 class OperatorQueries:
-    """Asks listed processes the operators' questions.
+    """Sends the operators' queries to listed processes.
 
     Parameters
     ----------
     peers : Peers
-        The links that this process dials; one opened only for a question is
-        closed after it, so that asking the whole fleet leaves no mesh behind.
+        The links that this process dials. A link opened only for a query is
+        closed after it, so that querying the whole fleet does not leave this
+        process linked to every other one.
     """
 
     __slots__ = ("_peers",)
@@ -65,35 +70,37 @@
     async def steps(
         self, host: Host, request_id: str
     ) -> Result[ReportedSteps, Absence]:
-        """Return what the process on `host` knows of a request."""
+        """Return the steps that the process on `host` recorded of a request."""
         async with self._link(host) as link:
             if link is None:
                 return _absent(host, f"listed with a bad address {host.peer_address}")
             began_s = time.monotonic()
-            answer = await link.ask(
+            result = await link.ask(
                 ExplainAsk(request_id=request_id), timeout_s=QUERY_TIMEOUT_S
             )
             received_s = (began_s + time.monotonic()) / 2
-            match answer:
-                case Ok(ExplainAnswer() as told):
-                    return _told(host, told, link.peer, received_s=received_s)
+            match result:
+                case Ok(ExplainAnswer() as reply):
+                    return _reported_steps(
+                        host, reply, link.peer, received_s=received_s
+                    )
                 case other:
-                    return _absent(host, _why(other))
+                    return _absent(host, _failure_detail(other))
 
     async def status(self, host: Host) -> Result[ProcessStatus, Absence]:
-        """Return what the process on `host` says of itself."""
+        """Return the status that the process on `host` reports."""
         async with self._link(host) as link:
             if link is None:
                 return _absent(host, f"listed with a bad address {host.peer_address}")
             match await link.ask(StatusAsk(), timeout_s=QUERY_TIMEOUT_S):
-                case Ok(StatusAnswer() as told):
-                    return decode_process(told.status).map_err(
+                case Ok(StatusAnswer() as reply):
+                    return decode_process(reply.status).map_err(
                         lambda detail: Absence(
                             process_id=host.process_id, detail=detail
                         )
                     )
                 case other:
-                    return _absent(host, _why(other))
+                    return _absent(host, _failure_detail(other))
 
     @contextlib.asynccontextmanager
     async def _link(self, host: Host) -> AsyncIterator[Link | None]:
@@ -109,15 +116,15 @@
                 yield None
 
 
-def _told(
-    host: Host, answer: ExplainAnswer, peer: Hello | None, *, received_s: float
+def _reported_steps(
+    host: Host, reply: ExplainAnswer, peer: Hello | None, *, received_s: float
 ) -> Result[ReportedSteps, Absence]:
     incarnation = peer.incarnation if peer is not None else 0
-    if not answer.known:
+    if not reply.known:
         return Ok(
             ReportedSteps(steps=(), incarnation=incarnation, received_s=received_s)
         )
-    match decode_steps(answer.records):
+    match decode_steps(reply.records):
         case Ok(steps):
             return Ok(
                 ReportedSteps(
@@ -128,8 +135,8 @@
             return _absent(host, detail)
 
 
-def _why(answer: Result[Message, PeerError]) -> str:
-    match answer:
+def _failure_detail(result: Result[Message, PeerError]) -> str:
+    match result:
         case Err(error):
             return f"{error.step} {error.peer}: {error.detail}"
         case _:
--- a/src/trefoilpaddle/coordination/requests/peer_client.py
+++ b/src/trefoilpaddle/coordination/requests/peer_client.py
@@ -1,4 +1,4 @@
-"""What coordination needs of the transport: a question to an address."""
+"""The transport as coordination uses it: a query to the peer at an address."""
 
 from typing import Protocol
 
@@ -10,22 +10,22 @@
 
 
 class PeerClient(Protocol):
-    """Asks peers; `transport.peers.Peers` is one."""
+    """Sends queries to peers; `transport.peers.Peers` implements it."""
 
     async def ask(
         self, address: Address, message: Message, *, timeout_s: float
     ) -> Result[Message, PeerError]:
-        """Return the reply of the peer at `address`, or the step that failed."""
+        """Return the reply of the peer at `address`, or the error of a step."""
         ...
 
 
 async def query_address(
-    asker: PeerClient, address: str, message: Message, *, timeout_s: float
+    client: PeerClient, address: str, message: Message, *, timeout_s: float
 ) -> Result[Message, PeerError]:
-    """Ask the peer whose address is written ``ip:port``."""
+    """Query the peer whose address is given as the text ``ip:port``."""
     match Address.parse(address):
         case Ok(parsed):
-            return await asker.ask(parsed, message, timeout_s=timeout_s)
+            return await client.ask(parsed, message, timeout_s=timeout_s)
         case Err(problem):
             error = PeerError(
                 step="connect", peer=address, detail=problem, is_sent=False
--- a/src/trefoilpaddle/coordination/requests/pipeline_run.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -1,4 +1,4 @@
-"""The walk of one request through its pipeline's stages under one deadline."""
+"""Runs one request through the stages of its pipeline under one deadline."""
 
 import time
 from collections.abc import Callable
@@ -33,20 +33,20 @@
 
 
 class PipelineRunner:
-    """Walks requests through their stages.
+    """Runs requests through the stages of their pipelines.
 
     Parameters
     ----------
     published : Published
-        Holds the services in force.
+        Holds the active services.
     runner : StageRunner
         Runs one stage.
     predictor : Predictor
-        Predicts what stages take and learns from each answer.
+        Predicts the duration of stages and learns from each answer.
     policy : PolicySettings
-        Which policies are on.
+        States which policies are enabled.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     """
 
     __slots__ = ("_journal", "_policy", "_predictor", "_published", "_runner")
@@ -69,16 +69,17 @@
     async def run(
         self, request: Request, *, spent: Spent, sink: Sink | None
     ) -> Result[Answer, Refusal]:
-        """Run all stages and return the last one's output, or how it ended.
+        """Run all stages; return the output of the last one, or a refusal.
 
         Parameters
         ----------
         request : Request
-            What to run.
+            The request to run.
         spent : Spent
-            Kept up to date while it runs, also when it is cancelled.
+            Account of what the request uses; kept up to date while it runs, also
+            when it is cancelled.
         sink : Sink, optional
-            Takes the last stage's answer as it comes, if that stage streams.
+            Takes the last stage's answer as it arrives, if that stage streams.
         """
         material = Material(input=request.input)
         stages = request.pipeline.stages
@@ -115,7 +116,7 @@
                 return Err(late)
         work = self._work(request, index, service, material, is_streamed=bool(sink))
         if request.key and not stage.idempotent:
-            work = replace(work, on_late=self._giver_up(stage, spent))
+            work = replace(work, on_late=self._late_callback(stage, spent))
         match await self._runner.run(work, spent=spent, sink=sink):
             case Err(error):
                 self._record_failure(work, error)
@@ -209,11 +210,13 @@
             stage_decision(Event.STAGE_FAILED, work, error=error, figures=figures)
         )
 
-    def _giver_up(self, stage: Stage, spent: Spent) -> Callable[[StageError], None]:
-        def give_up(error: StageError) -> None:
+    def _late_callback(
+        self, stage: Stage, spent: Spent
+    ) -> Callable[[StageError], None]:
+        def on_late(error: StageError) -> None:
             spent.give_up(self._refusal(error, stage, spent))
 
-        return give_up
+        return on_late
 
     def _refusal(self, error: StageError, stage: Stage, spent: Spent) -> Refusal:
         return Refusal(
@@ -233,7 +236,7 @@
 
 
 def _past_deadline(request: Request) -> NotRun | None:
-    """Return why no further stage is begun once the deadline has passed."""
+    """Return why no further stage is started if the deadline has passed."""
     if time.monotonic() < request.deadline_s:
         return None
     return NotRun(
--- a/src/trefoilpaddle/coordination/requests/predicted_wait.py
+++ b/src/trefoilpaddle/coordination/requests/predicted_wait.py
@@ -1,4 +1,4 @@
-"""How long a call sent now would wait at a target, by its last load report."""
+"""Predicted queueing time of a call at a target, from its last load report."""
 
 from ...protocol.gen.stage.ttypes import Load
 from ...state.catalogue import Entry
@@ -11,20 +11,20 @@
 ) -> float:
     """Return the predicted queueing time of a call of `entry`, in seconds.
 
-    The report is aged by what the target's slots have worked off since, and own
-    calls that it cannot hold are added, so that a lagging report does not draw
-    every call to the same idle target.
+    The work in the report is reduced by what the target's slots can have completed
+    since, and this gateway's calls that the report cannot include are added. A stale
+    report therefore does not attract every call to the same idle target.
 
     Parameters
     ----------
     load : Load
-        The last report.
+        The last load report.
     own : UnreportedCalls
-        What this gateway has sent that the report does not hold.
+        Calls of this gateway that the report does not include.
     entry : Entry
-        Whose call it would be.
+        The entry that the call belongs to.
     age_s : float
-        Seconds since the report came.
+        Seconds since the report arrived.
     """
     n_slots = max(1, load.n_slots)
     if load.n_queued == 0 and load.n_running + own.n_calls() < n_slots:
@@ -35,17 +35,17 @@
 
 
 def slowness(load: Load) -> float:
-    """Return how many times slower than predicted the target works, from 1."""
+    """Return the factor, at least 1, by which the target is slower than predicted."""
     return min(MAX_SLOWNESS, max(1.0, load.slowness))
 
 
 def _ahead_s(load: Load, own: UnreportedCalls, entry: Entry) -> float:
-    """Return the waiting work that would go before a call of `entry`.
+    """Return the queued work, in seconds, that would run before a call of `entry`.
 
-    Where owners get shares, an owner waits for its own work, and for the others
-    only as far as their shares go meanwhile. Without this a burst of one owner
-    would have the requests of all others refused as late, although the target
-    would serve them at once.
+    Where owners have shares, an owner waits for its own work, and for the work of
+    others only as far as their shares are served meanwhile. Otherwise a burst of
+    one owner would cause the requests of all others to be refused as late,
+    although the target would serve them immediately.
     """
     queued_s = load.queued_work_s + own.total_s()
     if not load.owners:
--- a/src/trefoilpaddle/coordination/requests/request_decisions.py
+++ b/src/trefoilpaddle/coordination/requests/request_decisions.py
@@ -1,4 +1,7 @@
-"""Records of decisions about a request and its stages, with what governs them."""
+"""Journal records of decisions about a request and its stages.
+
+Each record names the entry that governs the request and its revision.
+"""
 
 from ...protocol.errors import StageError
 from ...protocol.reasons import Reason
--- a/src/trefoilpaddle/coordination/requests/request_guards.py
+++ b/src/trefoilpaddle/coordination/requests/request_guards.py
@@ -1,4 +1,4 @@
-"""What binds a request before its first stage: request keys and limits."""
+"""Checks before a request's first stage: request keys and limits."""
 
 from dataclasses import dataclass
 from typing import Final, Protocol
@@ -11,44 +11,44 @@
 
 
 class Permit(Protocol):
-    """Leave to run one request within its entry's limits."""
+    """Permission to run one request within its entry's limits."""
 
     def release(self, *, n_tokens: int | None = None) -> None:
-        """Give the place back when the request has ended.
+        """Release the slot when the request has ended.
 
-        `n_tokens` are the tokens that it used, None when not known.
+        `n_tokens` is the number of tokens that it used; None if not known.
         """
         ...
 
 
 class Limiter(Protocol):
-    """Holds the limits of the catalogue over all gateways together."""
+    """Enforces the limits of the catalogue across all gateways."""
 
     async def admit(
         self, entry_name: str, entry: Entry, n_tokens: int
     ) -> Result[Permit, NotRun]:
-        """Return leave to run, or which limit refuses and for how long.
+        """Return a permit, or the limit that refuses the request and for how long.
 
-        Waits only when this gateway has none of the entry's budget in hand.
+        Waits only if this gateway holds nothing of the entry's budget.
         """
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NewRequest:
-    """The request is new under its key; it runs here and is settled after."""
+    """The request is new under its key; it runs at this gateway, then is settled."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PriorOutcome:
-    """An earlier try ended; the caller gets what that one got.
+    """An earlier try has ended; the caller gets the same outcome.
 
     Parameters
     ----------
     request_id : str
-        The earlier try.
+        Request id of the earlier try.
     outcome : Result[Answer, Refusal]
-        How it ended.
+        Outcome of the earlier try.
     """
 
     request_id: str
@@ -59,7 +59,7 @@
 
 
 class KeyGuard(Protocol):
-    """Makes requests with one key run at most once."""
+    """Ensures that the requests with one key run at most once."""
 
     async def claim(self, request: Request) -> Result[KeyState, StageError]:
         """Return whether the request may run, or why it may not."""
@@ -68,50 +68,50 @@
     def settle(
         self, request: Request, outcome: Result[Answer, Refusal] | None, *, is_run: bool
     ) -> None:
-        """Report the end of a claimed request.
+        """Report the outcome of a claimed request.
 
         Parameters
         ----------
         request : Request
-            What was claimed.
+            The claimed request.
         outcome : Result[Answer, Refusal], optional
-            How it ended; None when its caller left before.
+            Outcome of the request; None if its caller left before.
         is_run : bool
             False if a retry may run it without running anything twice that must
-            run once.
+            run at most once.
         """
         ...
 
     async def flush(self) -> None:
-        """Wait until all ends that were reported have arrived."""
+        """Wait until all reported outcomes have been delivered."""
         ...
 
 
-class _FreePermit:
+class _UnlimitedPermit:
     __slots__ = ()
 
     def release(self, *, n_tokens: int | None = None) -> None:
-        """Give nothing back."""
+        """Do nothing."""
 
 
-UNLIMITED_PERMIT: Final = _FreePermit()
-"""The permit of whatever nothing binds."""
+UNLIMITED_PERMIT: Final = _UnlimitedPermit()
+"""Permit of a request that no limit applies to."""
 
 
 class UnlimitedLimiter:
-    """Limiter that binds nothing."""
+    """Limiter without limits."""
 
     __slots__ = ()
 
     async def admit(
         self, entry_name: str, entry: Entry, n_tokens: int
     ) -> Result[Permit, NotRun]:
-        """Return leave to run."""
+        """Return a permit."""
         return Ok(UNLIMITED_PERMIT)
 
 
 class UnguardedKeys:
-    """Key guard that takes every request as new."""
+    """Key guard that treats every request as new."""
 
     __slots__ = ()
 
@@ -122,7 +122,7 @@
     def settle(
         self, request: Request, outcome: Result[Answer, Refusal] | None, *, is_run: bool
     ) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     async def flush(self) -> None:
-        """Return at once; nothing is ever under way."""
+        """Return immediately; no reports are ever pending."""
--- a/src/trefoilpaddle/coordination/requests/result_fetch.py
+++ b/src/trefoilpaddle/coordination/requests/result_fetch.py
@@ -1,4 +1,7 @@
-"""Fetches an answer that its sidecar holds, after a lost connection or a torn one."""
+"""Fetches an answer that its sidecar holds.
+
+Used after a lost connection or an answer that does not match its end frame.
+"""
 
 import asyncio
 from typing import Final
@@ -13,19 +16,19 @@
 from .request_decisions import attempt_decision
 
 RECONNECT_TIMEOUT_S: Final = 0.5
-"""Longest wait for a new connection where the work may be repeated elsewhere."""
+"""Longest wait for a new connection if the work may be retried elsewhere."""
 
 
 async def reconnect(attempt: OpenAttempt) -> Unknown | None:
     """Wait for a new connection to the attempt's sidecar; return why there is none.
 
-    The sidecar holds a result until it is acknowledged, so a lost
-    connection loses nothing; a new incarnation holds nothing of the old.
+    The sidecar holds a result until it is acknowledged, so a lost connection
+    loses nothing. A new incarnation holds no results of the previous one.
     """
     link = attempt.view.link
-    patience_s = RECONNECT_TIMEOUT_S if attempt.work.stage.idempotent else None
+    timeout_s = RECONNECT_TIMEOUT_S if attempt.work.stage.idempotent else None
     try:
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             while link.peer is None:
                 await link.opened.wait()
                 await asyncio.sleep(0)
@@ -47,7 +50,7 @@
 
 
 def fetch(attempt: OpenAttempt, answer: AnswerReceiver, journal: Journal) -> None:
-    """Ask for the part of the answer that has not come yet."""
+    """Request the part of the answer that has not arrived yet."""
     answer.reset_window(attempt)
     attempt.view.link.send(
         Fetch(
--- a/src/trefoilpaddle/coordination/requests/retries.py
+++ b/src/trefoilpaddle/coordination/requests/retries.py
@@ -1,4 +1,4 @@
-"""Runs one stage: chooses targets, repeats what may be repeated."""
+"""Runs one stage: chooses targets and retries what may be retried."""
 
 import time
 from dataclasses import dataclass, field
@@ -20,16 +20,16 @@
 from .target_view import TargetView
 
 MAX_ATTEMPTS: Final = 4
-"""Targets tried, hedges included, after which a stage is not repeated."""
+"""Attempts, hedges included, after which a stage is not retried."""
 
 HEDGE_FACTOR: Final = 1.5
-"""Times the high estimate after which a call is slow enough to hedge."""
+"""Factor on the high estimate of a call's duration after which it is hedged."""
 
 HEDGE_MIN_S: Final = 0.1
-"""Least time that a call has before it counts as slow."""
+"""Shortest duration, in seconds, after which a call is hedged."""
 
 HEDGE_MIN_WEIGHT: Final = 0.5
-"""Weight of attainment from which on an entry's calls may be hedged."""
+"""Attainment weight of an entry from which on its calls may be hedged."""
 
 RETRYABLE_REFUSALS: Final = frozenset(
     {
@@ -46,10 +46,13 @@
         Reason.CORRUPT,
     }
 )
-"""Refusals that another target need not share."""
+"""Refusals after which another target may still accept the call."""
 
 BUDGET_FREE_REFUSALS: Final = frozenset({Reason.CANCELLED, Reason.LEAVING})
-"""Refusals that say nothing of a target's load: a place, or a whole sidecar, goes."""
+"""Refusals that say nothing about load; their retries do not use the budget.
+
+A reserved slot was released, or the sidecar is leaving.
+"""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -58,18 +61,19 @@
     n_attempts: int = 0
     last: StageFault | None = None
 
-    def begin(self, view: TargetView) -> None:
+    def record_attempt(self, view: TargetView) -> None:
         self.targets.add(view.process_id)
         self.n_attempts += 1
 
-    def take(self, fault: StageFault, view: TargetView) -> None:
-        """Take the fault of an attempt; a target that leaves may come back.
+    def record_fault(self, fault: StageFault, view: TargetView) -> None:
+        """Record the fault of an attempt; a leaving target may be tried again.
 
-        Guards against a call whose way is slow while one sidecar after the other is
-        replaced: each that it reaches is about to leave, those that have come
-        back were tried under the same name, and it is refused beside free targets.
-        While the gateway knows that a sidecar leaves it is not chosen; once it may
-        be chosen again it is another start, which has not been tried.
+        Sidecars are replaced one after the other while a call is slow to arrive:
+        each sidecar that it reaches is leaving, and those that have restarted were
+        tried under the same process id. The call would be refused although targets
+        are free. While the gateway knows that a sidecar is leaving, it does not
+        choose it; once it may choose it again, it is a new incarnation that has not
+        been tried.
         """
         self.last = fault
         is_leaving = fault.error.reason is Reason.LEAVING
@@ -78,7 +82,7 @@
 
 
 class StageRunner:
-    """Runs stages by one or more attempts; nothing else in the system retries.
+    """Runs stages by one or more attempts; nothing else retries stage calls.
 
     Parameters
     ----------
@@ -87,11 +91,11 @@
     attempts : OpenAttempts
         Registry of attempts in flight.
     budgets : RetryBudgets
-        What may be repeated.
+        Retry budgets of the services.
     policy : PolicySettings
-        Which ways are on.
+        States which policies are enabled.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     """
 
     __slots__ = ("_attempts", "_budgets", "_journal", "_policy", "_router")
@@ -114,10 +118,10 @@
     async def run(
         self, work: StageWork, *, spent: Spent, sink: Sink | None
     ) -> Result[StageAnswer, StageError]:
-        """Return the whole answer of the stage, or what is known of it."""
+        """Return the complete answer of the stage, or its error."""
         budget = self._budgets.of(work.stage.service, share=work.service.retry_share)
         budget.earn()
-        parts = CallContext(
+        context = CallContext(
             attempts=self._attempts,
             journal=self._journal,
             router=self._router,
@@ -131,15 +135,15 @@
                 return Err(self._no_target(work, tried))
             self._record_route(Event.ROUTED, work, chosen, n_tried=tried.n_attempts)
             self._router.record_prefix(work, chosen.view)
-            tried.begin(chosen.view)
-            match await self._attempt(work, chosen, parts, budget, tried):
+            tried.record_attempt(chosen.view)
+            match await self._attempt(work, chosen, context, budget, tried):
                 case Ok(answer):
                     return Ok(answer)
                 case Err(fault):
-                    tried.take(fault, chosen.view)
-            if not self._may_repeat(work, fault, n_tried=tried.n_attempts):
+                    tried.record_fault(fault, chosen.view)
+            if not self._may_retry(work, fault, n_tried=tried.n_attempts):
                 return Err(fault.error)
-            if not _is_given_back(fault) and not budget.spend():
+            if not _is_budget_free(fault) and not budget.spend():
                 return Err(fault.error)
             self._journal.record(stage_decision(Event.RETRIED, work, error=fault.error))
 
@@ -147,19 +151,19 @@
         self,
         work: StageWork,
         chosen: Chosen,
-        parts: CallContext,
+        context: CallContext,
         budget: RetryBudget,
         tried: _Tried,
     ) -> Outcome:
         if self._is_late_bound(chosen, tried):
             assert chosen.second is not None
-            return await run_late_bound(work, [chosen.view, chosen.second], parts)
-        call = TrackedAttempt(work=work, view=chosen.view, parts=parts)
-        if not self._may_hedge(work, parts):
+            return await run_late_bound(work, [chosen.view, chosen.second], context)
+        call = TrackedAttempt(work=work, view=chosen.view, context=context)
+        if not self._may_hedge(work, context):
             return await call.run()
 
         def second() -> TrackedAttempt | None:
-            return self._hedge(work, parts, budget, tried)
+            return self._hedge(work, context, budget, tried)
 
         return await run_hedged(
             call, delay_s=_hedge_delay_s(work, chosen), second=second
@@ -170,32 +174,32 @@
         is_chosen = self._policy.choice is Choice.LATE_BINDING
         return is_chosen and is_first and chosen.second is not None
 
-    def _may_hedge(self, work: StageWork, parts: CallContext) -> bool:
+    def _may_hedge(self, work: StageWork, context: CallContext) -> bool:
         weight = work.governing.entry.attainment_weight
         return (
             self._policy.hedge
             and work.stage.idempotent
-            and parts.sink is None
+            and context.sink is None
             and work.is_warm
             and weight >= HEDGE_MIN_WEIGHT
         )
 
     def _hedge(
-        self, work: StageWork, parts: CallContext, budget: RetryBudget, tried: _Tried
+        self, work: StageWork, context: CallContext, budget: RetryBudget, tried: _Tried
     ) -> TrackedAttempt | None:
-        """Return a second attempt elsewhere, if it can still be in time."""
+        """Return an attempt at a second target, if it can still be on time."""
         if time.monotonic() + work.expected_s >= work.deadline_s:
             return None
         chosen = self._router.choose(work, tried=tried.targets)
-        # Where work waits, a second attempt takes the place of somebody's first.
+        # Where work is queued, a hedge would delay another request's first attempt.
         if chosen is None or chosen.wait_s > 0.0 or not budget.spend():
             return None
-        tried.begin(chosen.view)
+        tried.record_attempt(chosen.view)
         self._record_route(Event.HEDGED, work, chosen, n_tried=tried.n_attempts)
-        return TrackedAttempt(work=work, view=chosen.view, parts=parts)
+        return TrackedAttempt(work=work, view=chosen.view, context=context)
 
-    def _may_repeat(self, work: StageWork, fault: StageFault, *, n_tried: int) -> bool:
-        """Return True if another attempt can neither double nor be too late."""
+    def _may_retry(self, work: StageWork, fault: StageFault, *, n_tried: int) -> bool:
+        """Return True if another attempt cannot run work twice nor be too late."""
         if n_tried >= MAX_ATTEMPTS or fault.has_passed_on:
             return False
         if time.monotonic() + work.expected_s >= work.deadline_s:
@@ -242,22 +246,22 @@
 def _hedge_delay_s(work: StageWork, chosen: Chosen) -> float:
     """Return how long to wait for an answer before a second attempt.
 
-    As late as a second attempt can still be in time, since each costs a target's
-    work; but never before the first is slower than such calls usually are.
+    The second attempt starts as late as it can still be on time, since it costs
+    target time, but never before the first is slower than such calls usually are.
     """
     usual_s = max(HEDGE_MIN_S, HEDGE_FACTOR * work.high_s)
     left_s = work.stage_deadline_s - time.monotonic()
     return max(chosen.wait_s + usual_s, left_s - usual_s)
 
 
-def _is_given_back(fault: StageFault) -> bool:
-    """Return True if a place was given up; no target has worked then.
+def _is_budget_free(fault: StageFault) -> bool:
+    """Return True if the retry uses no budget, since no target has worked.
 
-    Guards against callers who are refused beside free targets: a sidecar that stops
-    gives back all that crosses its stop and all that still waits at its end, many
-    times what a service may repeat at once. The budget keeps a service that fails
-    from being given more work by its failing; a sidecar leaves once, and is not
-    given the call again.
+    A sidecar that stops refuses all calls that arrive during its stop and all that
+    are still queued at its end, many times what a service may retry at once. If they
+    used the budget, callers would be refused although targets are free. The budget
+    keeps a failing service from receiving more work because of its failures; a
+    sidecar leaves only once and does not get the call again.
     """
     error = fault.error
     return isinstance(error, NotRun) and error.reason in BUDGET_FREE_REFUSALS
--- a/src/trefoilpaddle/coordination/requests/routing.py
+++ b/src/trefoilpaddle/coordination/requests/routing.py
@@ -16,31 +16,33 @@
 from .target_view import DEFAULT_SLOTS, TargetView, TargetViews
 
 SNAPSHOT_S: Final = 0.01
-"""How long a look into the directory serves."""
+"""How long a snapshot of the directory is used, in seconds."""
 PREFIX_WAIT_FACTOR: Final = 1.5
-"""Wait accepted for a cached prefix, in times of what it saves, less the
-entry's weight of attainment."""
+"""Wait accepted for a cached prefix, as a multiple of the time that it saves.
+
+The entry's attainment weight is subtracted from it.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Chosen:
-    """The target chosen, and the numbers it was chosen on.
+    """The chosen target, and the figures that the choice was based on.
 
     Parameters
     ----------
     view : TargetView
-        The target.
+        The chosen target.
     wait_s, predicted_s : float
-        Predicted queueing time, and time until the answer.
+        Predicted queueing time, and predicted time until the answer.
     n_candidates : int
-        How many could have been chosen.
+        Number of targets that could have been chosen.
     second : TargetView, optional
-        The next best that was looked at.
+        The second best of the compared targets.
     second_s : float
-        Its predicted time until the answer; 0 without one.
+        Predicted time until its answer; 0 without a second target.
     prefix_share : float
-        Share of the prompt's leading blocks that the target has likely cached,
-        where that decided; else 0.
+        Share of the prompt's leading blocks that the target has likely cached, if
+        the target was chosen for it; else 0.
     """
 
     view: TargetView
@@ -53,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Look:
+class _Snapshot:
     views: list[TargetView]
     at_s: float
 
@@ -64,15 +66,15 @@
     Parameters
     ----------
     directory : Directory
-        Says which sidecars there are.
+        Lists the sidecars.
     views : TargetViews
-        What is known of each.
+        Views of the targets.
     policy : PolicySettings
-        Which ways to choose are on.
+        States which ways of choosing are enabled.
     prefixes : PrefixRecord
-        Where prompt prefixes went.
+        Records which targets prompt prefixes were sent to.
     ejector : Ejector
-        Keeps slow targets out.
+        Ejects slow targets.
     seed : int
         Seed of the random choices.
     """
@@ -80,10 +82,10 @@
     __slots__ = (
         "_directory",
         "_ejector",
-        "_looks",
         "_policy",
         "_prefixes",
         "_random",
+        "_snapshots",
         "_turns",
         "_views",
     )
@@ -105,25 +107,26 @@
         self._ejector = ejector
         self._random = random.Random(seed)
         self._turns: dict[str, itertools.count[int]] = {}
-        self._looks: dict[str, _Look] = {}
+        self._snapshots: dict[str, _Snapshot] = {}
 
     def candidates(self, service: str) -> list[TargetView]:
         """Return the targets of `service` that may be given new work now."""
         return [view for view in self._views_of(service) if view.may_get_work()]
 
     def _views_of(self, service: str) -> list[TargetView]:
-        """Return the views of the directory's targets, looked up now and then.
+        """Return the views of the directory's targets, from a recent snapshot.
 
-        Each stage call asks several times. A process that was paused finds its
-        last look too old, so the directory's own guard against that holds.
+        Each stage call needs them several times. After a pause of the process the
+        last snapshot is too old, so that the directory is read again and its own
+        guard against pauses takes effect.
         """
         now_s = time.monotonic()
-        look = self._looks.get(service)
-        if look is None or now_s - look.at_s > SNAPSHOT_S:
+        snapshot = self._snapshots.get(service)
+        if snapshot is None or now_s - snapshot.at_s > SNAPSHOT_S:
             found = [self._views.of(host) for host in self._directory.sidecars(service)]
             views = [view for view in found if view is not None]
-            look = self._looks[service] = _Look(views=views, at_s=now_s)
-        return look.views
+            snapshot = self._snapshots[service] = _Snapshot(views=views, at_s=now_s)
+        return snapshot.views
 
     def choose(self, work: StageWork, *, tried: Set[str]) -> Chosen | None:
         """Return the target for `work`, or None if none may be given it.
@@ -131,9 +134,9 @@
         Parameters
         ----------
         work : StageWork
-            What is to be done.
+            The work to run.
         tried : set of str
-            Process ids that must not be chosen again.
+            Process ids of sidecars that must not be chosen again.
         """
         candidates = [
             view
@@ -143,13 +146,13 @@
         if not candidates:
             return None
         if self._policy.choice is Choice.ROUND_ROBIN:
-            return self._in_turn(work, candidates)
-        usable = self._ejector.usable(candidates, is_repeatable=work.stage.idempotent)
-        chosen = self._of_two(work, usable)
+            return self._round_robin(work, candidates)
+        usable = self._ejector.usable(candidates, is_retryable=work.stage.idempotent)
+        chosen = self._best_of_two(work, usable)
         return self._with_prefix(work, usable, chosen) or chosen
 
     def learn(self, work: StageWork, view: TargetView, *, measured_s: float) -> None:
-        """Take in how long a call took; a slow target may be ejected by it."""
+        """Record the duration of a call; a slow target may be ejected as a result."""
         if not work.is_warm:
             return
         view.learn(measured_s=measured_s, expected_s=work.expected_s)
@@ -157,56 +160,56 @@
             self._ejector.judge(view, self.candidates(work.stage.service))
 
     def record_prefix(self, work: StageWork, view: TargetView) -> None:
-        """Remember that the prompt of `work` is likely cached at `view` now."""
+        """Record that the prompt of `work` is likely cached at `view` from now on."""
         if work.prefix_hashes:
             service = work.stage.service
             self._prefixes.note(service, work.prefix_hashes, view.process_id)
 
     def least_wait_s(self, service: str, entry: Entry) -> float:
-        """Return the shortest predicted queueing time of a call of `entry` now."""
+        """Return the shortest predicted queueing time of a call of `entry`."""
         now_s = time.monotonic()
         waits = (view.wait_s(entry, now_s) for view in self.candidates(service))
         return min(waits, default=0.0)
 
     def n_slots(self, service: str) -> int:
-        """Return the slots of all targets of `service` that may get work."""
+        """Return the number of slots of all targets of `service` that may get work."""
         return sum(
             view.load.n_slots if view.load is not None else DEFAULT_SLOTS
             for view in self.candidates(service)
         )
 
     def n_free_slots(self, service: str) -> int:
-        """Return how many calls of `service` would start at once, sent now."""
+        """Return how many calls of `service` would start immediately if sent now."""
         return sum(view.n_free_slots() for view in self.candidates(service))
 
-    def _in_turn(self, work: StageWork, candidates: list[TargetView]) -> Chosen:
+    def _round_robin(self, work: StageWork, candidates: list[TargetView]) -> Chosen:
         turns = self._turns.setdefault(work.stage.service, itertools.count())
         ordered = sorted(candidates, key=lambda view: view.process_id)
         view = ordered[next(turns) % len(ordered)]
         return self._best(work, [view], len(candidates))
 
-    def _of_two(self, work: StageWork, usable: list[TargetView]) -> Chosen:
-        """Return the better of two at random, or the best if neither is in time.
+    def _best_of_two(self, work: StageWork, usable: list[TargetView]) -> Chosen:
+        """Return the better of two random targets, or the best if both are late.
 
-        Two are enough to keep queues even, and few enough that gateways with
-        the same stale reports do not all run to the same target. When the two
-        are late the rest is worth a look: one in time may be among them.
+        Comparing two is enough to keep queues even, and few enough that gateways
+        with the same stale reports do not all choose the same target. If both are
+        predicted late, all targets are compared: one of them may be on time.
         """
-        looked_at = self._random.sample(usable, min(2, len(usable)))
-        chosen = self._best(work, looked_at, len(usable))
+        compared = self._random.sample(usable, min(2, len(usable)))
+        chosen = self._best(work, compared, len(usable))
         is_late = chosen.predicted_s > work.stage_deadline_s - time.monotonic()
-        if is_late and len(usable) > len(looked_at):
+        if is_late and len(usable) > len(compared):
             return self._best(work, usable, len(usable))
         return chosen
 
     def _with_prefix(
         self, work: StageWork, usable: list[TargetView], chosen: Chosen
     ) -> Chosen | None:
-        """Return a target that likely holds the prompt's prefix, if it pays.
+        """Return a target that likely caches the prompt's prefix, if it saves time.
 
-        Bounded by load: the holder may make the call wait no longer than the
-        cached prefix is predicted to save. Without the bound all requests that
-        share a prefix would queue at one target while others idle.
+        Bounded by load: the additional wait at that target must not exceed the time
+        that the cached prefix is predicted to save. Without the bound all requests
+        that share a prefix would queue at one target while others are idle.
         """
         if not (self._policy.prefix_affinity and work.prefix_hashes):
             return None
@@ -214,15 +217,15 @@
         holders = [view for view in usable if view.process_id in shares]
         if not holders:
             return None
-        # Entries that weigh cost more may wait longer for a cheaper answer.
-        patience = PREFIX_WAIT_FACTOR - work.governing.entry.attainment_weight
+        # Entries that weigh cost more accept a longer wait for a cheaper answer.
+        wait_factor = PREFIX_WAIT_FACTOR - work.governing.entry.attainment_weight
         now_s = time.monotonic()
 
         def cost_s(view: TargetView) -> float:
-            saved_s = shares[view.process_id] * work.size_s * patience
+            saved_s = shares[view.process_id] * work.size_s * wait_factor
             return view.predicted_s(work, now_s) - saved_s
 
-        # Shuffled, or equal ones would all go to the first of the list.
+        # Shuffled, as the first of equal targets would otherwise always be chosen.
         self._random.shuffle(holders)
         best = min(holders, key=cost_s)
         if cost_s(best) > chosen.predicted_s:
@@ -236,7 +239,7 @@
         )
 
     def _best(
-        self, work: StageWork, looked_at: list[TargetView], n_candidates: int
+        self, work: StageWork, compared: list[TargetView], n_candidates: int
     ) -> Chosen:
         now_s = time.monotonic()
         scored = sorted(
@@ -245,11 +248,11 @@
                 view.n_outstanding,
                 index,
             )
-            for index, view in enumerate(looked_at)
+            for index, view in enumerate(compared)
         )
         best_s, _, best = scored[0]
-        view = looked_at[best]
-        second = looked_at[scored[1][2]] if len(scored) > 1 else None
+        view = compared[best]
+        second = compared[scored[1][2]] if len(scored) > 1 else None
         return Chosen(
             view=view,
             wait_s=view.wait_s(work.governing.entry, now_s),
--- a/src/trefoilpaddle/coordination/requests/stage_call.py
+++ b/src/trefoilpaddle/coordination/requests/stage_call.py
@@ -31,32 +31,32 @@
 from .target_view import TargetView
 
 LATE_ANSWER_WAIT_S: Final = 15.0
-"""How long an answer that is too late for its caller is waited for.
+"""How long to wait for an answer that is too late for its caller.
 
-The target runs the work to its end anyway; the request's key stays claimed as long.
+The target completes the work anyway; the request's key stays claimed as long.
 """
 
 OnReady = Callable[["StageCall"], bool]
 
 
 class StageCall:
-    """One attempt: sends it, follows its frames, and says what came of it.
+    """One attempt: sends it, handles its frames and returns its outcome.
 
     Parameters
     ----------
     work : StageWork
-        What to do.
+        The work to run.
     view : TargetView
-        Where to do it.
+        The target to run it at.
     attempts : OpenAttempts
-        Registry that hands over the frames.
+        Registry that delivers the frames.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     sink : Sink, optional
-        Takes the answer as it comes; it is kept whole besides.
-    may_go : callable, optional
-        For late binding: asked when the sidecar has a place; False gives the
-        place back. Without it the work is committed when it is sent.
+        Takes the answer as it arrives; the complete answer is buffered as well.
+    may_commit : callable, optional
+        For late binding: called when the sidecar has a free slot; False releases
+        the slot. Without it the work is committed when it is sent.
     """
 
     __slots__ = (
@@ -64,10 +64,10 @@
         "_attempt",
         "_attempts",
         "_has_arrived",
-        "_has_gone",
         "_has_refetched",
+        "_is_committed",
         "_journal",
-        "_may_go",
+        "_may_commit",
         "is_sent",
         "view",
         "work",
@@ -81,17 +81,17 @@
         attempts: OpenAttempts,
         journal: Journal,
         sink: Sink | None = None,
-        may_go: OnReady | None = None,
+        may_commit: OnReady | None = None,
     ) -> None:
         self.work = work
         self.view = view
         self.is_sent = False
         self._attempts = attempts
         self._journal = journal
-        self._may_go = may_go
+        self._may_commit = may_commit
         self._answer = AnswerReceiver(sink=sink)
         self._has_arrived = False
-        self._has_gone = False
+        self._is_committed = False
         self._has_refetched = False
         self._attempt: OpenAttempt | None = None
 
@@ -99,17 +99,17 @@
     def may_have_started(self) -> bool:
         """Return True unless it is certain that the target never started it.
 
-        A reserved place starts nothing before the word to go is sent.
+        A reserved slot starts nothing before the message to go is sent.
         """
-        return self.is_sent and (self._may_go is None or self._has_gone)
+        return self.is_sent and (self._may_commit is None or self._is_committed)
 
     def supersede(self) -> None:
-        """End the attempt because another one beside it has the answer."""
+        """End the attempt because a concurrent one has the answer."""
         if self._attempt is not None:
             self._attempt.post(Notice.SUPERSEDED)
 
     async def run(self) -> Result[StageAnswer, StageFault]:
-        """Run the attempt and return its whole answer, or what is known of it.
+        """Run the attempt and return its complete answer, or its error.
 
         Cancelling it cancels the work at the sidecar.
         """
@@ -119,7 +119,7 @@
             try:
                 return await self._run(attempt)
             finally:
-                self._arrive()
+                self._record_arrival()
                 self.view.ended()
 
     async def _run(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault]:
@@ -137,16 +137,16 @@
 
         if isinstance(late, Unknown) and self.work.on_late is not None:
             self.work.on_late(late)
-            return await self._follow_late(attempt, late)
+            return await self._wait_for_late_answer(attempt, late)
         return self._err(late)
 
-    async def _follow_late(
+    async def _wait_for_late_answer(
         self, attempt: OpenAttempt, late: Unknown
     ) -> Result[StageAnswer, StageFault]:
-        """Wait on for an answer whose caller has been told "unknown".
+        """Continue to wait for an answer whose caller was answered "unknown".
 
-        The work runs to its end at the target anyway. Its answer is what a
-        retry of the request must get, since it may not be run again.
+        The target completes the work anyway. A retry of the request must get that
+        answer, since the work must not run again.
         """
         try:
             async with asyncio.timeout(LATE_ANSWER_WAIT_S):
@@ -164,52 +164,54 @@
             self.work,
             attempt,
             credit_bytes=self._answer.window_bytes,
-            is_reserved=self._may_go is not None,
+            is_reserved=self._may_commit is not None,
         )
         return all(self.view.link.send(message) for message in messages)
 
     async def _follow(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault]:
         while True:
-            mail = await attempt.next_update()
-            if not isinstance(mail, Notice):
-                self._arrive()
-            verdict: Result[StageAnswer, StageFault] | None = None
-            match mail:
+            update = await attempt.next_update()
+            if not isinstance(update, Notice):
+                self._record_arrival()
+            result: Result[StageAnswer, StageFault] | None = None
+            match update:
                 case Queued():
                     pass
                 case Ready():
-                    verdict = self._on_ready(attempt)
+                    result = self._on_ready(attempt)
                 case Started():
                     attempt.is_started = True
                 case Chunk():
-                    verdict = await self._on_chunk(attempt, mail)
+                    result = await self._on_chunk(attempt, update)
                 case End():
-                    verdict = self._on_end(attempt, mail)
+                    result = self._on_end(attempt, update)
                 case Failure():
-                    return self._err(await self._on_failure(attempt, mail))
+                    return self._err(await self._on_failure(attempt, update))
                 case Notice.LINK_LOST:
-                    verdict = await self._on_lost(attempt)
+                    result = await self._on_lost(attempt)
                 case Notice.LINK_OPEN:
                     pass
                 case Notice.LINK_UNRESPONSIVE:
-                    verdict = self._on_silence(attempt)
+                    result = self._on_unresponsive(attempt)
                 case Notice.OVERRUN:
-                    verdict = self._drop(attempt, "it sent more than it was granted")
+                    result = self._reject_answer(
+                        attempt, "it sent more than it was granted"
+                    )
                 case Notice.RECALLED:
                     recall(attempt)
                 case Notice.SUPERSEDED:
-                    verdict = self._on_superseded(attempt)
-            if verdict is not None:
-                return verdict
+                    result = self._on_superseded(attempt)
+            if result is not None:
+                return result
 
-    def _arrive(self) -> None:
+    def _record_arrival(self) -> None:
         if not self._has_arrived:
             self._has_arrived = True
             self.view.arrived(self.work)
 
     def _on_ready(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault] | None:
-        if self._may_go is None or self._may_go(self):
-            self._has_gone = True
+        if self._may_commit is None or self._may_commit(self):
+            self._is_committed = True
             self.view.link.send(
                 Go(
                     attempt_id=attempt.attempt_id,
@@ -226,14 +228,14 @@
     ) -> Result[StageAnswer, StageFault] | None:
         attempt.is_started = True
         fault = await self._answer.receive(chunk, attempt)
-        return self._drop(attempt, fault) if fault else None
+        return self._reject_answer(attempt, fault) if fault else None
 
     def _on_end(
         self, attempt: OpenAttempt, end: End
     ) -> Result[StageAnswer, StageFault] | None:
         attempt.is_started = True
         if not self._answer.is_complete(end):
-            return self._on_torn(attempt)
+            return self._on_mismatch(attempt)
         self.view.link.send(Ack(attempt_id=attempt.attempt_id))
         return Ok(
             StageAnswer(
@@ -247,15 +249,17 @@
             )
         )
 
-    def _on_torn(self, attempt: OpenAttempt) -> Result[StageAnswer, StageFault] | None:
-        """Fetch a torn answer once more if nothing of it was passed on."""
+    def _on_mismatch(
+        self, attempt: OpenAttempt
+    ) -> Result[StageAnswer, StageFault] | None:
+        """Fetch a mismatching answer once more if none of it was forwarded."""
         if self._has_refetched or not self._answer.try_restart():
-            return self._drop(attempt, "count, size or checksum do not match")
+            return self._reject_answer(attempt, "count, size or checksum do not match")
         self._has_refetched = True
         fetch(attempt, self._answer, self._journal)
         return None
 
-    def _drop(
+    def _reject_answer(
         self, attempt: OpenAttempt, fault: str
     ) -> Result[StageAnswer, StageFault]:
         self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
@@ -266,13 +270,13 @@
         self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
         return self._err(call_errors.superseded(peer=self.view.process_id))
 
-    def _on_silence(
+    def _on_unresponsive(
         self, attempt: OpenAttempt
     ) -> Result[StageAnswer, StageFault] | None:
-        """Give up on a silent sidecar only where the work may be repeated.
+        """Abandon the attempt at an unresponsive sidecar if it may be retried.
 
-        A paused or cut-off sidecar may have started it and may still answer;
-        work that must run at most once has nowhere else to go and waits.
+        A paused or partitioned sidecar may have started the work and may still
+        answer. Work that must run at most once cannot go elsewhere and waits.
         """
         if not self.work.stage.idempotent:
             return None
@@ -305,5 +309,5 @@
         return error
 
     def _err(self, error: StageError) -> Err[StageFault]:
-        has_passed_on = self._answer.has_forwarded
-        return Err(StageFault(error=error, has_passed_on=has_passed_on))
+        has_forwarded = self._answer.has_forwarded
+        return Err(StageFault(error=error, has_passed_on=has_forwarded))
--- a/src/trefoilpaddle/coordination/requests/start_message.py
+++ b/src/trefoilpaddle/coordination/requests/start_message.py
@@ -13,7 +13,7 @@
 def start_messages(
     work: StageWork, attempt: OpenAttempt, *, credit_bytes: int, is_reserved: bool
 ) -> Iterator[Message]:
-    """Yield the start message, then the body where it does not fit into that."""
+    """Yield the start message, then the body if it does not fit into that message."""
     is_inline = len(work.body) <= INLINE_BODY_BYTES
     yield _start(
         work,
@@ -39,8 +39,9 @@
 ) -> Start:
     """Return the start message.
 
-    It carries the sidecar's own stamp and the span since it came, so that the
-    sidecar reads its start-by time off its own clock alone.
+    It carries the latest time stamp of the sidecar's clock and the time elapsed since
+    it arrived, so that the sidecar computes its start-by time from its own clock
+    alone.
     """
     stage, entry, view = work.stage, work.governing.entry, attempt.view
     now_s = time.monotonic()
@@ -59,7 +60,7 @@
         stamp_ns=view.stamp_ns,
         elapsed_ns=time.monotonic_ns() - view.stamp_at_ns,
         budget_ns=max(0, int((work.deadline_s - now_s) * NS_PER_S)),
-        # A repeated call may find its stage's share used up, but not the whole.
+        # On a retry the stage's share may be used up before the whole deadline is.
         stage_budget_ns=max(0, int((work.stage_deadline_s - now_s) * NS_PER_S)),
         idempotent=stage.idempotent,
         predicted_s=work.expected_s,
--- a/src/trefoilpaddle/coordination/requests/streams.py
+++ b/src/trefoilpaddle/coordination/requests/streams.py
@@ -1,4 +1,4 @@
-"""One attempt's answer on its way to a gateway: held, resumed, held back."""
+"""One attempt's answer as sent to a gateway: flow control, holding, resumption."""
 
 import asyncio
 import time
@@ -11,20 +11,20 @@
 from ...transport.connection import Connection
 
 MAX_UNSENT_BYTES: Final = 256 * 1024
-"""Reading from the target pauses while more than this waits to be sent."""
+"""Reading from the target pauses while more bytes than this are unsent."""
 
 Grow = Callable[[int], bool]
 
 
 class AnswerTooLargeError(Exception):
-    """The answer, or all answers together, exceed what is kept in memory."""
+    """The answer, or all answers together, exceed the memory bound."""
 
 
 class Sink(Protocol):
-    """Where a call to the target puts its answer."""
+    """Receives the answer of a call to the target."""
 
     def append(self, data: bytes) -> None:
-        """Take the next piece of the answer."""
+        """Append the next part of the answer."""
         ...
 
     async def wait_for_space(self) -> None:
@@ -35,20 +35,20 @@
 class AnswerStream:
     """Sends an answer within the gateway's credit and keeps it for a resume.
 
-    A reader that gives no credit stops this stream alone: its chunks wait here,
-    up to ``MAX_UNSENT_BYTES``, then reading from the target stops. Without a
-    connection the answer is read to its end and held.
+    A gateway that grants no credit stops this stream alone: chunks are buffered up
+    to ``MAX_UNSENT_BYTES``, then reading from the target stops. Without a connection
+    the answer is read to its end and held.
 
     Parameters
     ----------
     attempt_id : bytes
-        The attempt.
+        Id of the attempt.
     connection : Connection, optional
-        Where to send; None holds everything.
+        Connection to send on; None holds the complete answer.
     credit_bytes : int
-        How many bytes may be sent before more credit comes.
+        Number of bytes that may be sent before more credit arrives.
     grow : callable
-        Counts bytes of answers in memory; returns False when there is no room.
+        Counts bytes of answers in memory; returns False if there is no space.
     """
 
     __slots__ = (
@@ -92,12 +92,12 @@
         return self._connection
 
     def append(self, data: bytes) -> None:
-        """Take the next chunk and send what the credit allows.
+        """Append the next chunk and send what the credit allows.
 
         Raises
         ------
         AnswerTooLargeError
-            If there is no room for the chunk.
+            If there is no space for the chunk.
         """
         if self.answer.n_bytes + len(data) > MAX_ANSWER_BYTES:
             raise AnswerTooLargeError
@@ -108,13 +108,13 @@
         self._send()
 
     async def wait_for_space(self) -> None:
-        """Return when little enough is unsent to read on."""
+        """Return when few enough bytes are unsent to continue reading."""
         if self._has_space.is_set():
             return
         await self._has_space.wait()
 
     def finish(self, outcome: End | Failure) -> None:
-        """Set the last message; it is sent behind all chunks."""
+        """Set the final message; it is sent after all chunks."""
         self.outcome = outcome
         self._send()
 
@@ -135,7 +135,7 @@
         self._send()
 
     def detach(self) -> None:
-        """Hold the rest of the answer: its connection is lost."""
+        """Hold the rest of the answer, as its connection is lost."""
         if self._connection is not None:
             self.detached_ns = time.monotonic_ns()
         self._connection = None
@@ -161,7 +161,7 @@
             self._credit_bytes -= len(data)
             self._unsent_bytes -= len(data)
         self._send_outcome(connection)
-        self._note_space()
+        self._update_space()
 
     def _send_outcome(self, connection: Connection) -> None:
         if self.outcome is None or self._is_outcome_sent:
@@ -169,7 +169,7 @@
         if self._next_seq == len(self.answer.chunks):
             self._is_outcome_sent = connection.write(self.outcome)
 
-    def _note_space(self) -> None:
+    def _update_space(self) -> None:
         if self._unsent_bytes <= MAX_UNSENT_BYTES:
             self._has_space.set()
         else:
--- a/src/trefoilpaddle/coordination/requests/target_view.py
+++ b/src/trefoilpaddle/coordination/requests/target_view.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one target: its sidecar's load and its own calls."""
+"""A gateway's view of a target: its load as reported, and this gateway's calls."""
 
 import time
 from collections.abc import Iterator, Set
@@ -16,36 +16,39 @@
 from .unreported_calls import UnreportedCalls
 
 DEFAULT_SLOTS: Final = 4
-"""Slots assumed of a target that has not reported yet."""
+"""Number of slots assumed for a target that has not reported yet."""
 
 OCCUPANCY_SLOWDOWN: Final = 0.4
-"""How much longer a call takes, in part of its time, where all slots are taken;
-a batching engine makes slower steps then. Also tells idle targets apart."""
+"""Relative increase of a call's duration where all slots are taken.
+
+A batching engine runs slower steps then. Also ranks targets without a queue by how
+many of their slots are taken.
+"""
 
 CALL_WEIGHT: Final = 0.1
-"""Weight of one call in how much slower than predicted a target is."""
+"""Weight of one call in the moving average of a target's slowness ratio."""
 
 SLOW_CALL_WEIGHT: Final = 0.3
-"""The same of a call that was far too slow."""
+"""Weight of a call that was far too slow."""
 
 SLOW_RATIO: Final = 3.0
-"""Times the prediction from which on a call counts as far too slow."""
+"""Ratio to the prediction from which on a call counts as far too slow."""
 
 PROBE_WEIGHT: Final = 0.7
-"""The same weight of a probe of an ejected target, which gets few calls."""
+"""Weight of a probe of an ejected target, which gets few calls."""
 
 
 class TargetView:
-    """One target as its sidecar reported it, aged, with own calls added.
+    """One target: its sidecar's last report, aged, plus this gateway's own calls.
 
     Parameters
     ----------
     host : Host
-        The sidecar beside the target.
+        The sidecar of the target.
     address : Address
-        Where the sidecar listens.
+        Address that the sidecar listens on.
     link : Link
-        The connection to it.
+        Link to the sidecar.
     """
 
     __slots__ = (
@@ -90,29 +93,29 @@
 
     @property
     def incarnation(self) -> int:
-        """Incarnation of the sidecar that is connected; 0 without one."""
+        """Incarnation of the connected sidecar; 0 without a connection."""
         peer = self.link.peer
         return peer.incarnation if peer is not None else 0
 
     def may_get_work(self) -> bool:
-        """Return True if the sidecar is heard, not leaving and its target up."""
+        """Return True if the sidecar responds, is not leaving and its target is up."""
         if not self.link.takes():
             return False
         return self.load is None or not (self.load.leaving or not self.load.target_up)
 
     def apply_load(self, load: Load) -> None:
-        """Take in a report of the sidecar; it counts what had arrived before."""
+        """Apply a load report; it includes all calls that had arrived before it."""
         self.load = load
         self.load_at_s = time.monotonic()
         self.unreported.reported()
         self.record_stamp(load.stamp_ns)
 
     def adopt_hello_stamp(self) -> None:
-        """Take the stamp of a hello that came before this view was made.
+        """Take over the stamp of a hello that arrived before this view existed.
 
-        Membership and configuration open links too. A view made on an open link
-        hears of no hello; its first call would carry no stamp, and the sidecar
-        would refuse it as meant for a former start.
+        Membership and configuration open links too. A view that is created on an
+        open link receives no hello. Its first call would carry no stamp, and the
+        sidecar would refuse it as meant for a previous incarnation.
         """
         connection = self.link.connection
         if connection is not None:
@@ -120,28 +123,29 @@
             self.stamp_at_ns = connection.hello_at_ns
 
     def record_stamp(self, stamp_ns: int) -> None:
-        """Remember the newest stamp of the sidecar's clock and when it came."""
+        """Record the latest stamp of the sidecar's clock and when it arrived."""
         self.stamp_ns = stamp_ns
         self.stamp_at_ns = time.monotonic_ns()
 
     def sent(self, work: StageWork) -> None:
-        """Count a call sent that no report can hold yet."""
+        """Count a call that was sent and that no report can include yet."""
         self.n_outstanding += 1
         self.unreported.sent(work.governing.entry.owner, work.expected_s)
 
     def arrived(self, work: StageWork) -> None:
-        """Note that a call has reached the sidecar; the next report holds it."""
+        """Record that a call has reached the sidecar; the next report includes it."""
         self.unreported.arrived(work.governing.entry.owner, work.expected_s)
 
     def ended(self) -> None:
-        """Count a call as over."""
+        """Count a call as ended."""
         self.n_outstanding -= 1
 
     def learn(self, *, measured_s: float, expected_s: float) -> None:
-        """Take in how much slower than expected a call was; for ejection.
+        """Update the slowness ratio, which decides about ejection, with one call.
 
-        A call that is far too slow counts more, since few more are to be sent
-        there; so does the probe of an ejected target, since it gets so few.
+        A call that is far too slow weighs more, so that few more calls are sent to
+        the target. The probe of an ejected target weighs more, since it gets few
+        calls.
         """
         if expected_s <= 0.0:
             return
@@ -162,10 +166,10 @@
         )
 
     def predicted_s(self, work: StageWork, now_s: float) -> float:
-        """Return the predicted seconds until `work`, sent now, is answered.
+        """Return the predicted seconds until `work` is answered if sent now.
 
-        Work that is batched slows what it is batched with, so a target with
-        free slots is not as good as an idle one.
+        Calls that are batched together slow each other down, so a target with free
+        slots is not as fast as an idle one.
         """
         slow = slowness(self.load) if self.load is not None else 1.0
         service_s = (
@@ -174,14 +178,14 @@
         return self.wait_s(work.governing.entry, now_s) + service_s
 
     def n_free_slots(self) -> int:
-        """Return how many calls would start at once; none where work waits."""
+        """Return how many calls would start immediately; 0 if work is queued."""
         if self.load is None or self.load.n_queued:
             return 0
         n_taken = self.load.n_running + self.unreported.n_calls()
         return max(0, self.load.n_slots - n_taken)
 
     def slot_occupancy(self) -> float:
-        """Return which part of the target's slots is taken, own calls included."""
+        """Return the share of slots that is taken, this gateway's calls included."""
         if self.load is None:
             return min(1.0, self.n_outstanding / DEFAULT_SLOTS)
         n_taken = self.load.n_running + self.unreported.n_calls()
@@ -189,7 +193,7 @@
 
 
 class TargetViews:
-    """The views of all targets that this gateway has looked at.
+    """The views of all targets that this gateway has considered.
 
     Parameters
     ----------
@@ -205,7 +209,7 @@
         self._by_address: dict[Address, TargetView] = {}
 
     def of(self, host: Host) -> TargetView | None:
-        """Return the view of `host`, linked on first use; None if unusable."""
+        """Return the view of `host`, created on first use; None if unusable."""
         view = self._by_id.get(host.process_id)
         if view is not None and self._is_current(view, host):
             return view
@@ -226,7 +230,7 @@
         return iter(list(self._by_id.values()))
 
     def retain(self, wanted: Set[str]) -> None:
-        """Forget idle views of processes that are not among `wanted`."""
+        """Remove idle views of processes that are not among `wanted`."""
         for view in self:
             if view.n_outstanding or view.process_id in wanted:
                 continue
@@ -236,7 +240,7 @@
     def _is_current(self, view: TargetView, host: Host) -> bool:
         """Return True if the view's link is the one that is open to `host`.
 
-        Whoever watches the links may have closed one and opened another since.
+        Another part of the process may have closed the link and opened a new one.
         """
         if view.host.peer_address != host.peer_address:
             return False
--- a/src/trefoilpaddle/coordination/requests/upcoming_work.py
+++ b/src/trefoilpaddle/coordination/requests/upcoming_work.py
@@ -1,64 +1,64 @@
-"""Work that requests under way will bring to the services of later stages."""
+"""Work that requests in progress will bring to the services of later stages."""
 
 import contextlib
 from collections.abc import Iterator, Sequence
 
 
 class UpcomingWork:
-    """Predicted seconds on their way to each service, by owner.
+    """Predicted seconds of work that will reach each service, by owner.
 
-    Requests that are still at an early stage show in no queue of the later ones.
-    Without counting them a burst is admitted whole, and found to be late only
-    after its early stages have been paid for.
+    Requests that are still at an early stage appear in no queue of the later
+    stages. If they were not counted, a burst would be admitted as a whole and
+    found to be late only after its early stages had consumed target time.
     """
 
-    __slots__ = ("_by_place",)
+    __slots__ = ("_seconds_by_key",)
 
     def __init__(self) -> None:
-        self._by_place: dict[tuple[str, str], float] = {}
+        self._seconds_by_key: dict[tuple[str, str], float] = {}
 
     def of(self, service: str, owner: str) -> float:
-        """Return what `owner` has on its way to `service`, in seconds."""
-        return self._by_place.get((service, owner), 0.0)
+        """Return the work of `owner` that will still reach `service`, in seconds."""
+        return self._seconds_by_key.get((service, owner), 0.0)
 
     @contextlib.contextmanager
     def track(
         self, owner: str, services: Sequence[str], work_s: Sequence[float]
     ) -> Iterator["UpcomingStages"]:
-        """Count the work of one request at each service until it gets there."""
-        places = [(service, owner) for service in services]
-        for place, seconds in zip(places, work_s, strict=True):
-            self._by_place[place] = self._by_place.get(place, 0.0) + seconds
+        """Count the work of one request at each service until it arrives there."""
+        keys = [(service, owner) for service in services]
+        for key, seconds in zip(keys, work_s, strict=True):
+            self._seconds_by_key[key] = self._seconds_by_key.get(key, 0.0) + seconds
         arrivals = UpcomingStages(
-            left=list(zip(places, work_s, strict=True)), coming=self
+            remaining=list(zip(keys, work_s, strict=True)), upcoming=self
         )
         try:
             yield arrivals
         finally:
-            while arrivals.left:
+            while arrivals.remaining:
                 arrivals.mark_arrived()
 
-    def subtract(self, place: tuple[str, str], seconds: float) -> None:
-        """Count work no more that has arrived, or will not come."""
-        left_s = self._by_place.get(place, 0.0) - seconds
+    def subtract(self, key: tuple[str, str], seconds: float) -> None:
+        """Stop counting work that has arrived or will not arrive."""
+        left_s = self._seconds_by_key.get(key, 0.0) - seconds
         if left_s > 1e-9:
-            self._by_place[place] = left_s
+            self._seconds_by_key[key] = left_s
         else:
-            self._by_place.pop(place, None)
+            self._seconds_by_key.pop(key, None)
 
 
 class UpcomingStages:
-    """What one request still has on its way, in the order of its stages."""
+    """Work of one request that has not arrived yet, in the order of its stages."""
 
-    __slots__ = ("_coming", "left")
+    __slots__ = ("_upcoming", "remaining")
 
     def __init__(
-        self, *, left: list[tuple[tuple[str, str], float]], coming: UpcomingWork
+        self, *, remaining: list[tuple[tuple[str, str], float]], upcoming: UpcomingWork
     ) -> None:
-        self.left = left
-        self._coming = coming
+        self.remaining = remaining
+        self._upcoming = upcoming
 
     def mark_arrived(self) -> None:
-        """Note that the next stage's work has arrived."""
-        place, seconds = self.left.pop(0)
-        self._coming.subtract(place, seconds)
+        """Record that the work of the next stage has arrived."""
+        key, seconds = self.remaining.pop(0)
+        self._upcoming.subtract(key, seconds)
