--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar without a target, scripted by a test, on a real peer server."""
+"""A fake sidecar without a target: a real peer server with scripted replies."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 @dataclass
 class Call:
-    """One attempt as the sidecar saw it."""
+    """One attempt as received by the sidecar."""
 
     sidecar: "FakeSidecar"
     connection: Connection
@@ -60,26 +60,26 @@
     def chunk(self, seq: int, data: bytes) -> None:
         self.send(Chunk(attempt_id=self.start.attempt_id, seq=seq, data=data))
 
-    def end(self, *pieces: bytes, bad_checksum: bool = False) -> None:
-        whole = b"".join(pieces)
+    def end(self, *chunks: bytes, bad_checksum: bool = False) -> None:
+        body = b"".join(chunks)
         self.send(
             End(
                 attempt_id=self.start.attempt_id,
-                n_chunks=len(pieces),
-                n_bytes=len(whole),
-                checksum=checksum(whole) ^ int(bad_checksum),
+                n_chunks=len(chunks),
+                n_bytes=len(body),
+                checksum=checksum(body) ^ int(bad_checksum),
                 service_s=self.sidecar.service_s,
                 cost_s=0.001,
-                n_tokens=len(pieces),
+                n_tokens=len(chunks),
                 load=self.sidecar.load(),
             )
         )
 
-    def answer(self, *pieces: bytes) -> None:
+    def answer(self, *chunks: bytes) -> None:
         self.started()
-        for seq, piece in enumerate(pieces):
-            self.chunk(seq, piece)
-        self.end(*pieces)
+        for seq, data in enumerate(chunks):
+            self.chunk(seq, data)
+        self.end(*chunks)
 
 
 Script = Callable[[Call], Awaitable[None]]
@@ -91,7 +91,7 @@
 
 
 class FakeSidecar:
-    """Answers calls by its script, and holds what it was sent."""
+    """Answers calls by its script and records the received calls."""
 
     def __init__(self, *, service: str, name: str, script: Script = echo) -> None:
         self.service = service
@@ -101,9 +101,9 @@
         self.leaving = False
         self.calls: list[Call] = []
         self.runs: list[str] = []
-        self.bars = 0
+        self.n_bars = 0
         self.bar_state = BarState.BARRED
-        self.slots = 4
+        self.n_slots = 4
         self.service_s = 0.001
         self.queued_work_s = 0.0
         self.n_queued = 0
@@ -138,7 +138,7 @@
     def load(self) -> Load:
         return Load(
             stamp_ns=time.monotonic_ns(),
-            n_slots=self.slots,
+            n_slots=self.n_slots,
             n_queued=self.n_queued,
             queued_work_s=self.queued_work_s,
             leaving=self.leaving,
@@ -162,7 +162,7 @@
         )
 
     async def on_bar(self, bar: Bar, peer: Hello) -> BarAnswer:
-        self.bars += 1
+        self.n_bars += 1
         return BarAnswer(attempt_id=bar.attempt_id, state=self.bar_state)
 
     def call_of(self, attempt_id: bytes) -> Call | None:
@@ -213,15 +213,15 @@
         task.add_done_callback(self._tasks.discard)
 
     async def restart(self) -> None:
-        """Come back on the same port as a new incarnation."""
+        """Restart on the same port as a new incarnation."""
         port = self.port
         await self.close_server()
         self.incarnation = new_incarnation()
         self.server = self._server(port)
         await self.open_server()
 
-    def cut(self) -> None:
-        """Break every connection; the sidecar itself lives on."""
+    def abort_connections(self) -> None:
+        """Abort every connection; the sidecar itself keeps running."""
         for connection in list(self.server.connections):
             connection.abort()
 
@@ -230,7 +230,7 @@
         await self._context.__aenter__()
 
     async def close_server(self) -> None:
-        self.cut()
+        self.abort_connections()
         await self._context.__aexit__(None, None, None)
 
     @contextlib.asynccontextmanager
--- a/tests/test_gateway_answers.py
+++ b/tests/test_gateway_answers.py
@@ -1,4 +1,4 @@
-"""Answers of stage calls: each reaches its caller alone, and none torn looks whole."""
+"""Answers of stage calls: each reaches only its caller, and only if complete."""
 
 import asyncio
 
@@ -13,21 +13,23 @@
 from trefoilpaddle.protocol.gen.stage.ttypes import Chunk, End, Fetch
 from trefoilpaddle.state.journal import Event
 
-# Each piece is large enough that the gateway grants new credit once it has it.
-PIECE_BYTES = 300_000
-PIECES = (
-    b'{"a": "'.rjust(PIECE_BYTES),
-    b"w" * PIECE_BYTES,
-    b'"}'.rjust(PIECE_BYTES, b"h"),
+# Each chunk is large enough that the gateway grants new credit after it.
+CHUNK_BYTES = 300_000
+CHUNKS = (
+    b'{"a": "'.rjust(CHUNK_BYTES),
+    b"w" * CHUNK_BYTES,
+    b'"}'.rjust(CHUNK_BYTES, b"h"),
 )
-WHOLE = {"a": "w" * PIECE_BYTES + "h" * (PIECE_BYTES - 2)}
+COMPLETE_ANSWER = {"a": "w" * CHUNK_BYTES + "h" * (CHUNK_BYTES - 2)}
 
 
-class TestLateAndCrossedAnswers:
-    async def test_an_answer_of_a_given_up_attempt_reaches_nobody(self) -> None:
-        """A request runs into its deadline; the next one is sent to the same
-        target. Only then does the target answer the first, on the connection
-        that both share. The second caller must get its own answer alone.
+class TestLateAndInterleavedAnswers:
+    async def test_a_late_answer_of_an_abandoned_attempt_reaches_no_caller(
+        self,
+    ) -> None:
+        """A request reaches its deadline and the next one is sent to the same
+        target. Only then does the target answer the first, on the connection that
+        both share. The second caller must get only its own answer.
         """
         first: list[Call] = []
 
@@ -47,9 +49,9 @@
                 assert await answer.json() == {"whose": "second"}
             assert Event.FRAME_DROPPED in b.events()
 
-    async def test_two_answers_that_cross_reach_their_own_callers(self) -> None:
-        """Two requests wait at one target, which answers the later one first,
-        its pieces mixed with those of the earlier one.
+    async def test_two_interleaved_answers_reach_their_own_callers(self) -> None:
+        """Two requests wait at one target, which answers the later one first and
+        interleaves its chunks with those of the earlier one.
         """
         calls: list[Call] = []
 
@@ -74,8 +76,8 @@
             assert answers == [[{"input": {"n": 1}}], [{"input": {"n": 2}}]]
 
     async def test_a_frame_from_another_sidecar_is_dropped(self) -> None:
-        """One sidecar, mistaken or mended, answers an attempt that was sent to
-        another one. The caller must get what its own target says.
+        """A faulty or restored sidecar answers an attempt that was sent to another
+        one. The caller must get the answer of its own target.
         """
         other = sidecar(service="x", name="t2")
 
@@ -115,39 +117,41 @@
     async def test_the_answer_is_fetched_from_the_same_incarnation(
         self, n_before: int
     ) -> None:
-        """The connection breaks while a call that must run once is at its
-        target, in mid-answer or right before its end frame. The caller sees
-        nothing of it: the gateway comes back and asks for the rest.
+        """The connection is lost while a call that must run at most once is at its
+        target, during the answer or right before its end frame. The gateway
+        reconnects and fetches the rest, so the caller notices nothing.
         """
 
         async def script(call: Call) -> None:
             call.started()
             for seq in range(n_before):
-                call.chunk(seq, PIECES[seq])
+                call.chunk(seq, CHUNKS[seq])
             first_credit = call.start.credit_bytes
-            taken = n_before * PIECE_BYTES
+            taken = n_before * CHUNK_BYTES
             await until(lambda: call.credit_bytes == first_credit + taken)
-            s.cut()
+            s.abort_connections()
 
         def on_fetch(call: Call, fetch: Fetch) -> None:
-            for seq in range(fetch.from_seq, len(PIECES)):
-                call.chunk(seq, PIECES[seq])
-            call.end(*PIECES)
+            for seq in range(fetch.from_seq, len(CHUNKS)):
+                call.chunk(seq, CHUNKS[seq])
+            call.end(*CHUNKS)
 
         s = sidecar(script)
         s.on_fetch = on_fetch
         published = catalogue(plain_stage(idempotent=False))
         async with bench(s, published=published) as b, b.post(json={}) as answer:
             assert answer.status == 200
-            assert await answer.json() == WHOLE
+            assert await answer.json() == COMPLETE_ANSWER
             assert len(s.runs) == 1
             assert Event.RESULT_FETCHED in b.events()
             await s.calls[0].is_acked.wait()
 
-    async def test_a_restarted_sidecar_leaves_a_call_to_run_once_unknown(self) -> None:
-        """The sidecar dies while a call that must run once may be at its target.
-        Its successor knows nothing of it. The caller is told "unknown", and no
-        other target is tried.
+    async def test_a_non_idempotent_call_at_a_restarted_sidecar_is_unknown(
+        self,
+    ) -> None:
+        """The sidecar exits while a call that must run at most once may be at its
+        target. Its next incarnation does not know the call. The caller gets
+        "unknown", and no other target is tried.
         """
 
         async def script(call: Call) -> None:
@@ -165,8 +169,8 @@
             assert error["retry_safe"] is False
             assert not other.calls
 
-    async def test_an_idempotent_call_is_repeated_elsewhere(self) -> None:
-        """The same, but the call may be repeated: another target answers."""
+    async def test_an_idempotent_call_is_retried_at_another_target(self) -> None:
+        """The same, but the call may be retried: another target answers it."""
 
         async def script(call: Call) -> None:
             call.started()
@@ -184,36 +188,38 @@
             assert Event.RETRIED in b.events()
 
 
-class TestTornAnswers:
-    async def test_a_torn_answer_is_fetched_once_more(self) -> None:
-        """An answer comes with a checksum that does not match; the sidecar still
-        holds the right one. The caller gets that one.
+class TestCorruptAnswers:
+    async def test_a_corrupt_answer_is_fetched_once_more(self) -> None:
+        """An answer arrives with a checksum that does not match, and the sidecar
+        still holds the correct one. The caller gets the correct one.
         """
 
         async def script(call: Call) -> None:
             call.started()
-            call.chunk(0, PIECES[0])
-            call.end(PIECES[0], bad_checksum=True)
+            call.chunk(0, CHUNKS[0])
+            call.end(CHUNKS[0], bad_checksum=True)
 
         def on_fetch(call: Call, fetch: Fetch) -> None:
             assert fetch.from_seq == 0
-            for seq, piece in enumerate(PIECES):
-                call.chunk(seq, piece)
-            call.end(*PIECES)
+            for seq, data in enumerate(CHUNKS):
+                call.chunk(seq, data)
+            call.end(*CHUNKS)
 
         s = sidecar(script)
         s.on_fetch = on_fetch
         published = catalogue(plain_stage(idempotent=False))
         async with bench(s, published=published) as b, b.post(json={}) as answer:
-            assert await answer.json() == WHOLE
+            assert await answer.json() == COMPLETE_ANSWER
 
     @pytest.mark.parametrize("fault", ["count", "checksum", "gap"])
-    async def test_a_torn_answer_never_looks_whole(self, fault: str) -> None:
-        """The answer stays torn: a piece is missing, or the sum is wrong. The
-        caller gets an error, never the part that came.
+    async def test_a_corrupt_answer_is_never_passed_to_the_caller(
+        self, fault: str
+    ) -> None:
+        """The answer is still corrupt when it is fetched again: a chunk is missing
+        or the checksum is wrong. The caller gets an error, never a partial answer.
         """
 
-        def torn(call: Call, _fetch: object = None) -> None:
+        def send_corrupt(call: Call, _fetch: object = None) -> None:
             call.chunk(0, b"[1]")
             if fault == "gap":
                 call.chunk(2, b" ")
@@ -224,20 +230,20 @@
 
         async def script(call: Call) -> None:
             call.started()
-            torn(call)
+            send_corrupt(call)
 
         s = sidecar(script)
-        s.on_fetch = torn
+        s.on_fetch = send_corrupt
         published = catalogue(plain_stage(idempotent=False))
         async with bench(s, published=published) as b, b.post(json={}) as answer:
             assert answer.status == 502
             error = (await answer.json())["error"]
             assert (error["outcome"], error["reason"]) == ("failed", "corrupt")
 
-    async def test_a_torn_stream_ends_with_an_error_event(self) -> None:
-        """Tokens have reached the caller when the end frame shows that some
-        were lost. The stream ends with ``error``, so it cannot look finished,
-        and no other target is asked to write the text again.
+    async def test_a_truncated_stream_ends_with_an_error_event(self) -> None:
+        """Tokens have reached the caller when the end frame shows that some were
+        lost. The stream ends with ``error``, so it cannot be taken for complete,
+        and no other target is called to generate the text again.
         """
 
         async def script(call: Call) -> None:
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -1,4 +1,4 @@
-"""Stage calls under failure: what a caller sees, and what it may never see."""
+"""Stage calls under failure: what callers must and must not be answered."""
 
 import asyncio
 
@@ -18,68 +18,70 @@
 NO_HEDGE = PolicySettings(hedge=False)
 
 
-class TestSilentSidecar:
-    async def test_it_gets_nothing_new(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A sidecar is paused or cut off while its connection still looks open.
-        New requests go to the other target alone.
+class TestUnresponsiveSidecar:
+    async def test_it_gets_no_new_calls(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """A sidecar is paused or partitioned while its connection still seems open.
+        New requests go only to the other target.
         """
-        quiet, other = sidecar(), sidecar(name="t2")
-        async with bench(quiet, other, published=catalogue(plain_stage())) as b:
-            port = quiet.port
+        unresponsive, other = sidecar(), sidecar(name="t2")
+        async with bench(unresponsive, other, published=catalogue(plain_stage())) as b:
+            port = unresponsive.port
             monkeypatch.setattr(
                 Link, "is_heard", lambda self: self.address.port != port
             )
             for _ in range(6):
                 async with b.post(json={}) as answer:
                     assert answer.status == 200
-            assert not quiet.calls
+            assert not unresponsive.calls
             assert len(other.calls) == 6
 
-    async def test_an_idempotent_call_goes_elsewhere(
+    async def test_an_idempotent_call_is_retried_at_another_target(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """It falls silent while a call is there. Once that shows, the call is
-        repeated at another target, long before the deadline.
+        """The sidecar becomes unresponsive while it has a call. Once this is
+        detected, the call is retried at another target, long before the deadline.
         """
-        quiet, other = sidecar(never), sidecar(name="t2")
+        unresponsive, other = sidecar(never), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage())
-        async with bench(quiet, other, published=published, policy=NO_HEDGE) as b:
-            asking = asyncio.create_task(b.post(json={}).__aenter__())
-            await until(lambda: bool(quiet.runs))
+        async with bench(
+            unresponsive, other, published=published, policy=NO_HEDGE
+        ) as b:
+            request = asyncio.create_task(b.post(json={}).__aenter__())
+            await until(lambda: bool(unresponsive.runs))
             await until(lambda: all(v.was_responsive for v in b.gateway._views))
-            port = quiet.port
+            port = unresponsive.port
             monkeypatch.setattr(
                 Link, "is_heard", lambda self: self.address.port != port
             )
-            answer = await asking
+            answer = await request
             assert answer.status == 200
             assert len(other.calls) == 1
 
-    async def test_a_call_to_run_once_stays_unknown(
+    async def test_a_non_idempotent_call_is_unknown(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The same with a call that must run once: it may have run, so the
-        caller is told "unknown" at its deadline, and nothing else is tried.
+        """The same with a call that must run at most once: it may have run, so the
+        caller gets "unknown" at its deadline, and no other target is tried.
         """
-        quiet, other = sidecar(never), sidecar(name="t2")
+        unresponsive, other = sidecar(never), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(quiet, other, published=published) as b:
-            asking = asyncio.create_task(error_of(b, X_Deadline_S="0.6"))
-            await until(lambda: bool(quiet.runs))
-            port = quiet.port
+        async with bench(unresponsive, other, published=published) as b:
+            request = asyncio.create_task(error_of(b, X_Deadline_S="0.6"))
+            await until(lambda: bool(unresponsive.runs))
+            port = unresponsive.port
             monkeypatch.setattr(
                 Link, "is_heard", lambda self: self.address.port != port
             )
-            error = await asking
+            error = await request
             assert error["outcome"] == "unknown"
             assert not other.calls
 
 
 class TestLeaving:
-    async def test_a_leaving_sidecar_gets_nothing_new(self) -> None:
-        """A sidecar says that it leaves; its host is still listed as live."""
+    async def test_a_leaving_sidecar_gets_no_new_calls(self) -> None:
+        """A sidecar reports that it is leaving; its host is still listed as live."""
         leaving, other = sidecar(), sidecar(name="t2")
         async with bench(leaving, other, published=catalogue(plain_stage())) as b:
             leaving.leaving = True
@@ -90,10 +92,10 @@
                     assert answer.status == 200
             assert not leaving.calls
 
-    async def test_one_whose_connection_closes_is_not_tried(self) -> None:
-        """A sidecar closes without a drain before, as one does that ends by a fault;
-        it still answers, and its heartbeats come. Requests that could not be sent to it
-        each took a repeat from the service's budget.
+    async def test_a_sidecar_whose_connection_is_closing_is_not_tried(self) -> None:
+        """A sidecar closes without draining first, as after a failure; it still
+        answers and sends heartbeats. Each request that could not be sent to it used
+        a retry of the service's budget.
         """
         closing, other = sidecar(), sidecar(name="t2")
         async with bench(closing, other, published=catalogue(plain_stage())) as b:
@@ -106,9 +108,9 @@
             assert Event.RETRIED not in b.events()
             assert not closing.calls
 
-    async def test_what_it_refuses_as_not_run_goes_elsewhere(self) -> None:
-        """Work reaches a sidecar just as it begins to leave. It was not run, so
-        even a call that must run once may go to the other target.
+    async def test_a_call_that_it_refuses_goes_to_another_target(self) -> None:
+        """A call reaches a sidecar just as it starts to leave. It was not run, so
+        even a call that must run at most once may go to the other target.
         """
         leaving, other = sidecar(refuse(Reason.LEAVING)), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
@@ -121,10 +123,12 @@
             assert len(leaving.calls) == len(other.runs) == 1
             assert not leaving.runs
 
-    async def test_however_much_it_refuses_so_all_of_it_goes_elsewhere(self) -> None:
-        """Under load more calls cross the stop of a sidecar than the service may
-        repeat. Callers whose calls came last were refused, although the other
-        target had taken them and nobody had worked on them yet.
+    async def test_calls_beyond_the_retry_budget_also_go_to_another_target(
+        self,
+    ) -> None:
+        """Under load more calls arrive during the stop of a sidecar than the
+        service may retry. The callers of the last ones were refused, although the
+        other target would have accepted them and none of them had run.
         """
         leaving, other = sidecar(refuse(Reason.LEAVING)), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
@@ -135,16 +139,17 @@
                 async with b.post(json={}) as answer:
                     return int(answer.status)
 
-            told = await asyncio.gather(*(status() for _ in range(40)))
-            assert told == [200] * 40
+            statuses = await asyncio.gather(*(status() for _ in range(40)))
+            assert statuses == [200] * 40
             assert len(leaving.calls) > 2 * FIRST_CREDIT
             assert len(other.runs) == 40
             assert not leaving.runs
 
-    async def test_a_target_that_has_come_back_is_asked_again(self) -> None:
-        """Two sidecars are replaced, one after the other. A call comes to the first
-        as it leaves and to the second as it leaves, when the first is back. It was
-        refused: the first was remembered as tried, though not this start of it.
+    async def test_a_target_whose_sidecar_was_restarted_is_tried_again(self) -> None:
+        """Two sidecars are replaced, one after the other. A call reaches each of
+        them as it leaves; by the second time the first has restarted. The call was
+        refused, since the first was recorded as tried, although its new incarnation
+        was not.
         """
         first, second = sidecar(name="t1"), sidecar(name="t2")
         second.queued_work_s, second.n_queued = 100.0, 9
@@ -170,8 +175,8 @@
 
 
 class TestOutcomes:
-    async def test_a_call_to_run_once_that_failed_is_not_repeated(self) -> None:
-        """The target ran the call and failed. It is told as failed."""
+    async def test_a_failed_non_idempotent_call_is_not_retried(self) -> None:
+        """The target ran the call and failed. The caller gets "failed"."""
         bad = sidecar(refuse(Reason.TARGET_FAILED, Outcome.FAILED))
         other = sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
@@ -190,11 +195,11 @@
             (BarState.FORGOTTEN, "unknown"),
         ],
     )
-    async def test_not_run_at_the_deadline_needs_the_sidecars_word(
+    async def test_not_run_at_the_deadline_requires_the_sidecars_confirmation(
         self, state: int, outcome: str
     ) -> None:
-        """A call waits unstarted at its target when its deadline passes. Only
-        if the sidecar answers that it never will start it, is it "not run".
+        """A call is queued and not started when its deadline passes. It is "not
+        run" only if the sidecar replies that it will never start it.
         """
 
         async def wait(call: Call) -> None:
@@ -206,11 +211,13 @@
         async with bench(s, published=published) as b:
             error = await error_of(b, X_Deadline_S="0.1")
             assert error["outcome"] == outcome
-            assert s.bars == 1
+            assert s.n_bars == 1
 
-    async def test_not_run_is_not_said_when_an_earlier_stage_ran(self) -> None:
+    async def test_a_request_whose_first_stage_ran_is_not_reported_as_not_run(
+        self,
+    ) -> None:
         """The first stage ran; the second has no target. The request was not
-        answered, and it would be untrue that nothing ran.
+        answered, but it would be wrong to report that nothing ran.
         """
         published = catalogue(plain_stage(), plain_stage("gone"))
         async with bench(sidecar(), published=published) as b:
@@ -222,9 +229,9 @@
             assert error["cost_s"] == 0.001
 
     async def test_retries_stay_within_the_services_budget(self) -> None:
-        """All targets of a service fail every call. The calls that reach them
-        stay within the share that the service allows for retries, so that a
-        failing service is not buried under them.
+        """All targets of a service fail every call. The retries stay within the
+        share that the service allows, so that a failing service is not overloaded
+        by them.
         """
         n_requests = 60
         bad = [
@@ -242,19 +249,19 @@
 
 class TestCallerLeaves:
     async def test_an_idempotent_call_is_cancelled_downstream(self) -> None:
-        """The caller goes away while its request runs; nobody wants the rest."""
+        """The caller disconnects while its request runs, so the work is cancelled."""
         s = sidecar(never)
         async with bench(s, published=catalogue(plain_stage())) as b:
-            asking = asyncio.create_task(b.post(json={}).__aenter__())
+            request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(s.runs))
-            asking.cancel()
+            request.cancel()
             async with asyncio.timeout(10):
                 await s.calls[0].is_cancelled.wait()
             await until(lambda: Event.CALLER_LEFT in b.events())
 
-    async def test_a_call_to_run_once_goes_on_to_its_end(self) -> None:
-        """The same with a call that must run once: it is finished and its
-        answer taken, so that a retry can be told what came of it.
+    async def test_a_non_idempotent_call_is_completed(self) -> None:
+        """The same with a call that must run at most once: it is completed and its
+        answer received, so that a retry can get the outcome.
         """
         release = asyncio.Event()
 
@@ -266,9 +273,9 @@
         s = sidecar(script)
         published = catalogue(plain_stage(idempotent=False))
         async with bench(s, published=published) as b:
-            asking = asyncio.create_task(b.post(json={}).__aenter__())
+            request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(s.calls))
-            asking.cancel()
+            request.cancel()
             await until(lambda: Event.CALLER_LEFT in b.events())
             assert not s.calls[0].is_cancelled.is_set()
             release.set()
--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -1,4 +1,4 @@
-"""The whole path: HTTP in, stages over the sidecars, whole or streamed answer."""
+"""The complete path: HTTP request, stages at sidecars, complete or streamed answer."""
 
 import orjson
 
@@ -21,7 +21,7 @@
     return events
 
 
-class TestWholeAnswer:
+class TestCompleteAnswer:
     async def test_one_stage_is_answered_with_the_targets_output(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
@@ -35,7 +35,7 @@
             assert answer.headers["X-Reason"] == "served"
             await sidecar.calls[0].is_acked.wait()
 
-    async def test_each_stage_works_on_the_output_of_the_one_before(self) -> None:
+    async def test_each_stage_gets_the_output_of_the_preceding_one(self) -> None:
         encode = FakeSidecar(service="encode", name="t1")
         generate = FakeSidecar(service="gen", name="t2", script=three_tokens)
         published = catalogue(plain_stage("encode"), engine_stage())
@@ -51,7 +51,7 @@
             assert "squad sheet" in prompt
             assert "echo" in prompt
 
-    async def test_a_large_body_travels_in_chunks_and_arrives_whole(self) -> None:
+    async def test_a_large_body_is_sent_in_chunks_and_arrives_complete(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
             bench(sidecar, published=catalogue(plain_stage())) as b,
@@ -72,7 +72,7 @@
 
 
 class TestStreamedAnswer:
-    async def test_tokens_come_one_by_one_and_end_with_a_checksum(self) -> None:
+    async def test_tokens_are_sent_one_by_one_before_the_end_event(self) -> None:
         sidecar = FakeSidecar(service="gen", name="t1", script=three_tokens)
         async with (
             bench(sidecar, published=catalogue(engine_stage())) as b,
@@ -84,7 +84,7 @@
             assert isinstance(end, dict)
             assert end["n_tokens"] == 3
 
-    async def test_a_stage_that_does_not_stream_comes_as_one_token(self) -> None:
+    async def test_the_answer_of_a_stage_without_streaming_is_one_token(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
             bench(sidecar, published=catalogue(plain_stage())) as b,
@@ -105,7 +105,7 @@
             assert answer.headers["Retry-After"] == "1"
 
 
-class TestWhoIsServed:
+class TestAccess:
     async def test_a_token_names_its_client_account(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         published = catalogue(plain_stage())
@@ -118,7 +118,9 @@
             async with b.post(json={}) as answer:
                 assert answer.status == 401
 
-    async def test_no_entry_and_no_pipeline_are_told_apart(self) -> None:
+    async def test_a_missing_entry_and_a_missing_pipeline_have_different_statuses(
+        self,
+    ) -> None:
         async with bench(published=catalogue(plain_stage())) as b:
             async with b.post(json={}, X_Client_Account="other") as answer:
                 assert answer.status == 403
@@ -127,7 +129,7 @@
             async with b.client.post(url, json={}, headers=headers) as answer:
                 assert answer.status == 404
 
-    async def test_a_request_is_known_to_its_own_account_alone(self) -> None:
+    async def test_a_request_is_visible_only_to_its_own_account(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with bench(sidecar, published=catalogue(plain_stage())) as b:
             async with b.post(json={}) as answer:
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -9,7 +9,7 @@
 from trefoilpaddle.state.journal import Event
 from trefoilpaddle.state.settings import Choice, PolicySettings
 
-LATE = PolicySettings(choice=Choice.LATE_BINDING)
+LATE_BINDING = PolicySettings(choice=Choice.LATE_BINDING)
 WARM_UP = 10
 
 
@@ -44,34 +44,35 @@
                 await until(stuck[0].is_cancelled.is_set)
             return b, other
 
-    async def test_a_slow_idempotent_call_is_answered_by_a_second(self) -> None:
-        """A target stops in mid-call, its connection alive. Soon after the call
-        should have ended, another target is asked, and its answer counts.
+    async def test_a_slow_idempotent_call_is_answered_by_a_second_attempt(self) -> None:
+        """A target stops during a call while its connection stays open. Soon after
+        the call should have ended, another target is called and its answer is used.
         """
         b, _ = await self.hedged(plain_stage())
         assert self.status == 200
         assert Event.HEDGED in b.events()
 
-    async def test_a_call_to_run_once_is_never_hedged(self) -> None:
+    async def test_a_non_idempotent_call_is_never_hedged(self) -> None:
         b, _ = await self.hedged(plain_stage(idempotent=False))
         assert self.status == 504
         assert Event.HEDGED not in b.events()
 
-    async def test_an_entry_that_weighs_cost_alone_is_not_hedged(self) -> None:
+    async def test_an_entry_that_weighs_only_cost_is_not_hedged(self) -> None:
         b, _ = await self.hedged(plain_stage(), attainment_weight=0.0)
         assert Event.HEDGED not in b.events()
 
 
 class TestLateBinding:
-    async def test_the_first_place_that_is_free_gets_the_work(self) -> None:
-        """Both targets report the same old load; one is in truth busy. The work
-        runs once, at the one that has a place, also where it must run once.
+    async def test_the_first_free_slot_gets_the_work(self) -> None:
+        """Both targets have reported the same load, but one is in fact busy. The
+        work runs once, at the target with a free slot, also if it must run at most
+        once.
         """
         busy = FakeSidecar(service="s", name="t1")
         free = FakeSidecar(service="s", name="t2")
         busy.is_free.clear()
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(busy, free, published=published, policy=LATE) as b:
+        async with bench(busy, free, published=published, policy=LATE_BINDING) as b:
             await warm_up(b, 5)
             assert len(free.runs) == 5
             assert not busy.runs
@@ -79,25 +80,27 @@
             await until(lambda: all(c.is_cancelled.is_set() for c in busy.calls))
             busy.is_free.set()
 
-    async def test_two_free_places_run_the_work_once(self) -> None:
+    async def test_two_free_slots_run_the_work_once(self) -> None:
         one = FakeSidecar(service="s", name="t1")
         other = FakeSidecar(service="s", name="t2")
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(one, other, published=published, policy=LATE) as b:
+        async with bench(one, other, published=published, policy=LATE_BINDING) as b:
             await asyncio.gather(*[warm_up(b, 5) for _ in range(6)])
             assert len(one.runs) + len(other.runs) == 30
             assert len(set(one.runs + other.runs)) == 30
 
 
 class TestEarlyRefusal:
-    async def test_what_cannot_be_in_time_costs_nothing(self) -> None:
+    async def test_a_request_predicted_late_is_refused_without_a_stage_call(
+        self,
+    ) -> None:
         """The only target has a queue of many seconds. A request with a short
-        deadline is refused at once, "not run", and told when to come back.
+        deadline is refused immediately as "not run", with a time to retry after.
         """
         s = FakeSidecar(service="s", name="t1")
         async with bench(s, published=catalogue(plain_stage())) as b:
             await warm_up(b)
-            s.slots, s.n_queued, s.queued_work_s = 1, 50, 8.0
+            s.n_slots, s.n_queued, s.queued_work_s = 1, 50, 8.0
             view = next(iter(b.gateway._views))
             await until(lambda: view.load is not None and view.load.n_queued == 50)
             async with b.post(json={}, X_Deadline_S="2") as answer:
@@ -110,11 +113,11 @@
             assert len(s.calls) == WARM_UP
 
 
-class TestOverdueCalls:
+class TestSlowCalls:
     async def test_a_target_that_stops_is_ejected_before_its_calls_end(self) -> None:
-        """One of four targets stops answering, its connection alive. The calls
-        that it holds speak against it as soon as they are overdue, so that few
-        more are sent there.
+        """One of four targets stops answering while its connection stays open. Its
+        running calls count against it as soon as they are slower than predicted, so
+        that few more are sent there.
         """
         stuck = FakeSidecar(service="s", name="t0")
 
@@ -127,11 +130,11 @@
             await warm_up(b, 40)
             stuck.script = stop
             n_before = len(stuck.calls)
-            asking = [asyncio.create_task(warm_up(b, 1)) for _ in range(30)]
+            requests = [asyncio.create_task(warm_up(b, 1)) for _ in range(30)]
             views = list(b.gateway._views)
             await until(lambda: any(view.is_ejected for view in views))
             assert Event.TARGET_EJECTED in b.events()
             assert len(stuck.calls) > n_before
-            for task in asking:
+            for task in requests:
                 task.cancel()
-            await asyncio.gather(*asking, return_exceptions=True)
+            await asyncio.gather(*requests, return_exceptions=True)
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps: estimates, budgets, splits and records; properties."""
+"""A gateway's state: estimates, retry budgets, deadline splits, request records."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 
 class TestEstimate:
-    def test_it_finds_what_time_depends_on(self) -> None:
+    def test_the_fit_finds_the_share_of_bytes_and_tokens(self) -> None:
         estimate = Estimate()
         for n in range(200):
             size = WorkSize(n_bytes=(n * 7919) % 50_000, n_tokens=(n * 31) % 200)
@@ -29,7 +29,7 @@
         assert math.isclose(estimate.expected_s(wanted), 0.18, rel_tol=0.02)
         assert math.isclose(estimate.size_s(wanted), 0.06, rel_tol=0.05)
 
-    def test_it_follows_a_service_that_slows_down(self) -> None:
+    def test_the_fit_follows_a_service_that_slows_down(self) -> None:
         estimate = Estimate()
         for n in range(1500):
             size = WorkSize(n_bytes=(n * 7919) % 50_000)
@@ -47,7 +47,7 @@
         assert math.isfinite(expected_s)
         assert 0.0 <= expected_s <= estimate.high_s(size)
 
-    def test_work_that_never_varies_stays_predicted(self) -> None:
+    def test_one_outlier_does_not_change_the_prediction_of_constant_work(self) -> None:
         estimate = Estimate()
         size = WorkSize(n_bytes=1000, n_tokens=16)
         for _ in range(20_000):
@@ -112,7 +112,7 @@
 
 
 class TestRequests:
-    def test_old_ones_are_forgotten_by_number(self) -> None:
+    def test_the_oldest_records_are_dropped_beyond_the_maximum_number(self) -> None:
         requests = Requests(n_records=3, keep_s=100.0)
         for n in range(5):
             requests.begin(request_id=str(n), account="a", pipeline="p")
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -1,4 +1,4 @@
-"""What callers hear of a gateway whose planned stop ends before their requests."""
+"""Answers to callers whose requests outlast a gateway's planned stop."""
 
 import asyncio
 import contextlib
@@ -20,9 +20,11 @@
 
 
 class TestEndOfDrain:
-    async def test_what_still_runs_is_told_so_before_the_close(self) -> None:
-        """A request is still at its target when the gateway's time to drain is over.
-        Its caller saw a closed connection; now it hears that nobody knows.
+    async def test_a_request_that_still_runs_gets_unknown_before_the_close(
+        self,
+    ) -> None:
+        """A request is still at its target when the gateway's drain time is over. Its
+        caller got a closed connection; it must get "unknown" instead.
         """
         never = asyncio.Event()
 
@@ -34,20 +36,20 @@
             known = b.gateway._settings
             stop = replace(known.stop, drain_s=0.2)
             b.gateway._settings = replace(known, stop=stop)
-            asking = asyncio.create_task(b.post(json={}).__aenter__())
+            request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(b.sidecars[0].calls))
             b.gateway.process.stopping.set()
             await b.gateway.drain()
             async with asyncio.timeout(1.0):
-                answer = await asking
+                answer = await request
             error = (await answer.json())["error"]
             assert answer.status == 504
             assert (error["outcome"], error["reason"]) == ("unknown", "stopping")
             assert b.gateway.process.n_cut_off == 1
 
-    async def test_one_that_is_half_read_is_told_that_it_has_not_run(self) -> None:
-        """A caller still sends its body when the gateway's time to drain is over.
-        It saw a closed connection, and could not know that nothing had run.
+    async def test_a_request_with_a_partial_body_is_answered_as_not_run(self) -> None:
+        """A caller is still sending its body when the gateway's drain time is over.
+        It got a closed connection and could not know that nothing had run.
         """
         sidecar = FakeSidecar(service="s", name="t1")
         published = catalogue(plain_stage())
@@ -63,12 +65,12 @@
         assert not sidecar.calls
         writer.close()
 
-    async def test_a_caller_that_reads_slowly_gets_its_answer_whole(
+    async def test_a_slow_reader_gets_its_complete_answer(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The last answer of a gateway that stops goes to a caller that reads slowly.
-        Up to 64 KB of it were still in the process when all was drained; they ended
-        with it, and the caller had half of an answer.
+        """The last answer of a stopping gateway goes to a caller that reads slowly.
+        Up to 64 KB of it were still buffered in the process when the drain had
+        ended. They were lost with the process, and the caller got a partial answer.
         """
         size = 60_000
         transports: list[asyncio.Transport] = []
@@ -111,16 +113,18 @@
                 await until(lambda: any(t.get_write_buffer_size() for t in transports))
                 reading = asyncio.create_task(read_late())
             for transport in transports:
-                # What the end of the process does to what it has not sent.
+                # The exit of the process discards unsent data in the same way.
                 transport.abort()
             assert (await reading).count(b"x") >= size
 
 
 class TestChangeOfConfiguration:
-    async def test_a_pipeline_that_goes_while_a_request_is_read(self) -> None:
-        """A caller still sends its body when a publication takes its pipeline away.
-        It was told "unknown", and not to send it again, of what had not run: the
-        pipeline was looked up once more, in what was in force by then.
+    async def test_a_pipeline_removed_while_a_request_is_read_still_runs_it(
+        self,
+    ) -> None:
+        """A caller is still sending its body when a publication removes its pipeline.
+        It got "unknown" and that a retry was not safe, although nothing had run: the
+        pipeline was looked up a second time, in the configuration active by then.
         """
         sidecar = FakeSidecar(service="s", name="t1")
         async with bench(sidecar, published=catalogue(plain_stage())) as b:
--- a/tests/test_path_calls.py
+++ b/tests/test_path_calls.py
@@ -1,4 +1,7 @@
-"""Calls over the whole path under failure: lost, late, crossed and torn answers."""
+"""Calls over the complete path under failure.
+
+Covers lost, late, interleaved and damaged answers, and planned stops.
+"""
 
 import asyncio
 
@@ -15,27 +18,27 @@
     return slot.sidecar.dispatcher.load().n_queued
 
 
-def assert_whole(told: Told) -> None:
-    assert told.is_answered, told
-    assert told.echo == told.text
+def assert_complete(result: Told) -> None:
+    assert result.is_answered, result
+    assert result.echo == result.text
 
 
-class TestWholePath:
-    async def test_each_caller_gets_its_own_whole_answer(self) -> None:
+class TestCompletePath:
+    async def test_each_caller_gets_its_own_complete_answer(self) -> None:
         async with fleet(n_gateways=2, n_per_service=2) as f:
-            told = await asyncio.gather(
+            results = await asyncio.gather(
                 *(f.call(CHAIN, gateway=i % 2) for i in range(60))
             )
-            for each in told:
-                assert_whole(each)
+            for each in results:
+                assert_complete(each)
             assert len(f.runs("plain")) == 60
 
 
 class TestLateAnswer:
-    async def test_it_reaches_no_other_request(self) -> None:
-        # An officer's request runs past its deadline and is given up. Its
-        # answer comes late, on the same connection, while another officer
-        # waits: delivered by order instead of by id it would reach the other.
+    async def test_a_late_answer_reaches_no_other_request(self) -> None:
+        # A request runs past its deadline and is abandoned. Its answer arrives
+        # late, on the same connection, while another caller waits. If it were
+        # delivered by order instead of by id, it would reach the other caller.
         async with fleet() as f:
             target = f.slot("plain0").target
             target.gate.clear()
@@ -44,12 +47,12 @@
             other = asyncio.create_task(f.call(ONCE))
             await until(lambda: running(f, "plain", 2))
             target.gate.set()
-            assert_whole(await other)
+            assert_complete(await other)
             assert [run.text for run in target.runs] == [late.text, other.result().text]
 
-    async def test_two_that_cross_reach_their_own_callers(self) -> None:
-        # Two requests share sidecar and connection; the second is answered
-        # first because the first target call is slower.
+    async def test_answers_in_another_order_reach_their_own_callers(self) -> None:
+        # Two requests share a sidecar and a connection. The second is answered
+        # first, because the first target call is slower.
         async with fleet() as f:
             target = f.slot("pool0").target
             target.service_s = 0.3
@@ -58,15 +61,15 @@
             target.service_s = 0.0
             second = await f.call(FREE)
             assert not first.done()
-            assert_whole(second)
-            assert_whole(await first)
+            assert_complete(second)
+            assert_complete(await first)
 
 
 class TestLostConnection:
-    async def test_while_the_target_works(self) -> None:
-        # The connection between gateway and sidecar breaks while an order is
-        # being booked. The officer must get the booking's answer, and the
-        # target must not book twice.
+    async def test_lost_while_the_target_works(self) -> None:
+        # The connection between gateway and sidecar is lost while a call that must
+        # run at most once is running. The caller must get its answer, and the
+        # target must not run it twice.
         async with fleet() as f:
             target = f.slot("plain0").target
             target.gate.clear()
@@ -75,12 +78,12 @@
             f.gateways[0].relays["plain0"].cut()
             await asyncio.sleep(0.1)
             target.gate.set()
-            assert_whole(await call)
+            assert_complete(await call)
             assert len(target.runs) == 1
 
-    async def test_the_answer_is_ready_before_it_is_back(self) -> None:
-        # The connection breaks and stays away until the target has answered:
-        # the sidecar holds the answer, the gateway fetches it.
+    async def test_the_answer_is_ready_before_the_connection_recovers(self) -> None:
+        # The connection is lost until after the target has answered. The sidecar
+        # holds the answer and the gateway fetches it.
         async with fleet() as f:
             relay = f.gateways[0].relays["plain0"]
             target = f.slot("plain0").target
@@ -93,13 +96,13 @@
             await until(lambda: target.runs[0].is_done)
             await asyncio.sleep(0.1)
             relay.heal()
-            assert_whole(await call)
+            assert_complete(await call)
             assert len(target.runs) == 1
 
-    async def test_the_start_is_lost_on_its_way(self) -> None:
-        # The connection breaks while the start frame is on its way. Nobody
-        # ran it: the gateway must find that out and may then repeat even a
-        # call that must run at most once.
+    async def test_the_start_frame_is_lost(self) -> None:
+        # The connection is lost while the start frame is in transit, so the call
+        # did not run. The gateway must determine this and may then retry even a call
+        # that must run at most once.
         async with fleet(n_per_service=2) as f:
             for relay in f.all_relays():
                 relay.delay_s = 0.2
@@ -109,28 +112,28 @@
             f.gateways[0].relays[chosen].cut()
             for relay in f.all_relays():
                 relay.delay_s = 0.0
-            told = await call
-            assert_whole(told)
+            result = await call
+            assert_complete(result)
             assert len(f.runs("plain")) == 1
 
-    async def test_a_start_that_arrives_after_its_connection_was_given_up(
+    async def test_a_start_frame_that_arrives_after_the_deadline(
         self,
     ) -> None:
-        # The network holds a start frame back for long. The gateway loses
-        # patience, bars the call and says "not run"; the frame then arrives.
+        # The network delays a start frame. At the deadline the gateway bars the
+        # call and answers "not run"; the frame arrives afterwards.
         async with fleet() as f:
             relay = f.gateways[0].relays["plain0"]
             relay.delay_s = 0.7
-            told = await f.call(ONCE, deadline_s=0.5)
+            result = await f.call(ONCE, deadline_s=0.5)
             await asyncio.sleep(1.0)
-            if told.outcome == "not run":
+            if result.outcome == "not run":
                 assert not f.runs("plain")
             assert len(f.runs("plain")) <= 1
 
-    async def test_a_start_that_arrives_after_it_was_said_not_to_run(self) -> None:
-        # A start frame hangs in a connection that the gateway has lost. Over
-        # a new one the sidecar has promised never to run it, and the caller
-        # was told "not run"; then the old frame arrives, in good time.
+    async def test_a_start_frame_that_arrives_after_the_call_was_barred(self) -> None:
+        # A start frame is delayed in a connection that the gateway has lost. Over a
+        # new connection the sidecar has promised never to run it, and the caller got
+        # "not run". Then the old frame arrives, before its deadline.
         async with fleet() as f:
             relay = f.gateways[0].relays["plain0"]
             relay.delay_s = 1.0
@@ -139,28 +142,28 @@
             await asyncio.sleep(0.1)
             relay.delay_s = 0.0
             relay.cut_before()
-            told = await call
-            assert told.outcome == "not run"
+            result = await call
+            assert result.outcome == "not run"
             assert not f.runs("plain")
             await asyncio.sleep(1.5)
             assert not f.runs("plain")
 
-    async def test_the_word_that_it_started_comes_late(self) -> None:
-        # The target books, but the way back is slow: at the deadline the
-        # gateway has not heard that the call was started. "Not run" would be
-        # a lie; the sidecar has to be asked.
+    async def test_the_started_message_arrives_late(self) -> None:
+        # The target runs the call, but the connection back is slow: at the deadline
+        # the gateway has not received that the call was started. "Not run" would be
+        # wrong, so the gateway must query the sidecar.
         async with fleet() as f:
             f.slot("plain0").target.gate.clear()
             f.gateways[0].relays["plain0"].delay_back_s = 0.8
-            told = await f.call(ONCE, deadline_s=0.5)
+            result = await f.call(ONCE, deadline_s=0.5)
             assert len(f.runs("plain")) == 1
-            assert told.outcome == "unknown"
+            assert result.outcome == "unknown"
 
 
-class TestTornAnswer:
+class TestDamagedAnswer:
     async def test_a_damaged_answer_is_fetched_again(self) -> None:
-        # A byte of a long answer is damaged on its way. It must not reach the
-        # caller as if it were whole; the target must not run again.
+        # A byte of a long answer is damaged in transit. The damaged answer must not
+        # reach the caller, and the target must not run again.
         async with fleet() as f:
             relay = f.gateways[0].relays["plain0"]
             target = f.slot("plain0").target
@@ -169,16 +172,16 @@
             await until(lambda: running(f, "plain", 1))
             relay.n_damaged_at = 5000
             target.gate.set()
-            assert_whole(await call)
+            assert_complete(await call)
             assert relay.n_damaged_at == 0
             assert len(target.runs) == 1
 
 
 class TestKilledSidecar:
     async def test_work_that_was_running_or_waiting_is_unknown(self) -> None:
-        # A sidecar dies with four bookings at its target and two that wait.
-        # The gateway cannot know which is which, so it must not say "not run",
-        # and the successor must not run any of them.
+        # A sidecar is killed with four calls at its target and two in its queue. The
+        # gateway cannot know which is which, so it must not answer "not run", and
+        # the next incarnation must not run any of them.
         async with fleet() as f:
             slot = f.slot("plain0")
             slot.target.gate.clear()
@@ -188,17 +191,18 @@
             f.kill_sidecar(slot)
             await f.start_sidecar(slot)
             f.publish()
-            told = await asyncio.gather(*calls)
-            assert {each.outcome for each in told} == {"unknown"}
+            results = await asyncio.gather(*calls)
+            assert {each.outcome for each in results} == {"unknown"}
             slot.target.gate.set()
             await until(f.is_ready)
             after = await f.call(ONCE)
-            assert_whole(after)
+            assert_complete(after)
             assert len(slot.target.runs) == 5
 
-    async def test_work_that_may_run_once_is_not_sent_elsewhere(self) -> None:
-        # A sidecar dies with bookings in hand and is back at once. Another
-        # target could take them, but the first may have booked them.
+    async def test_non_idempotent_work_is_not_sent_to_another_target(self) -> None:
+        # Sidecars are killed while calls run at their targets and are restarted
+        # immediately. Another target could accept the calls, but the first may have
+        # run them.
         async with fleet(n_per_service=2) as f:
             for slot in f.slots:
                 slot.target.gate.clear()
@@ -207,11 +211,11 @@
             for name in ("plain0", "plain1"):
                 f.kill_sidecar(f.slot(name))
                 await f.start_sidecar(f.slot(name))
-            told = await asyncio.gather(*calls)
-            assert {each.outcome for each in told} == {"unknown"}
+            results = await asyncio.gather(*calls)
+            assert {each.outcome for each in results} == {"unknown"}
             assert len(f.runs("plain")) == 4
 
-    async def test_repeatable_work_is_answered_elsewhere(self) -> None:
+    async def test_idempotent_work_is_answered_by_another_target(self) -> None:
         async with fleet(n_per_service=2) as f:
             for slot in f.slots:
                 slot.target.gate.clear()
@@ -221,13 +225,13 @@
             for slot in f.slots:
                 slot.target.gate.set()
             for each in await asyncio.gather(*calls):
-                assert_whole(each)
+                assert_complete(each)
 
 
-class TestSilentSidecar:
-    async def test_a_call_to_run_once_is_not_repeated(self) -> None:
-        # A sidecar is cut off with a booking in hand while its target books.
-        # The gateway must say "unknown" at the deadline, not try elsewhere.
+class TestUnresponsiveSidecar:
+    async def test_a_non_idempotent_call_is_not_retried(self) -> None:
+        # A sidecar is partitioned while its target runs a call. The gateway must
+        # answer "unknown" at the deadline and not try another target.
         async with fleet(n_per_service=2) as f:
             for slot in f.slots:
                 slot.target.gate.clear()
@@ -235,24 +239,24 @@
             await until(lambda: running(f, "plain", 1))
             for relay in f.all_relays():
                 relay.is_stalled = True
-            told = await call
-            assert told.outcome == "unknown"
+            result = await call
+            assert result.outcome == "unknown"
             for slot in f.slots:
                 slot.target.gate.set()
             for relay in f.all_relays():
                 relay.heal()
             await until(f.is_ready)
-            assert_whole(await f.call(ONCE))
+            assert_complete(await f.call(ONCE))
             assert len(f.runs("plain")) == 2
 
     async def test_it_gets_no_new_work(self) -> None:
-        # A sidecar falls silent with its connection open, as in a partition.
+        # A sidecar becomes unresponsive with its connection open, as in a partition.
         async with fleet(n_per_service=2) as f:
             f.gateways[0].relays["pool0"].is_stalled = True
             await until(lambda: not f.hears(f.gateways[0], f.slot("pool0")))
             assert f.is_linked(f.gateways[0], f.slot("pool0"))
             for _ in range(6):
-                assert_whole(await f.call(FREE))
+                assert_complete(await f.call(FREE))
             assert not f.slot("pool0").target.runs
 
 
@@ -263,37 +267,39 @@
             f.hosts_revision += 1
             f.publish()
             for _ in range(6):
-                assert_whole(await f.call(FREE))
+                assert_complete(await f.call(FREE))
             assert not f.slot("pool0").target.runs
 
-    async def test_a_planned_stop_of_a_sidecar_under_load_cuts_off_none(self) -> None:
-        # A host is replaced while callers keep calling: what it holds is
-        # finished, what comes goes elsewhere, and nobody sees an error.
+    async def test_a_planned_stop_of_a_sidecar_under_load_interrupts_no_call(
+        self,
+    ) -> None:
+        # A host is replaced under load: its calls are completed, new ones go to
+        # another target, and no caller gets an error.
         async with fleet(n_gateways=2, n_per_service=2) as f:
             for slot in f.slots:
                 slot.target.service_s = 0.02
-            told: list[Told] = []
+            results: list[Told] = []
 
             async def caller(number: int) -> None:
                 for _ in range(12):
-                    told.append(await f.call(CHAIN, gateway=number % 2))
+                    results.append(await f.call(CHAIN, gateway=number % 2))
 
             load = [asyncio.create_task(caller(number)) for number in range(8)]
-            await until(lambda: len(told) > 10)
+            await until(lambda: len(results) > 10)
             assert await f.stop_sidecar(f.slot("pool0")) == 0
             assert await f.stop_sidecar(f.slot("plain0")) == 0
             await asyncio.gather(*load)
-            for each in told:
-                assert_whole(each)
-            assert len(f.runs("plain")) == len(told)
+            for each in results:
+                assert_complete(each)
+            assert len(f.runs("plain")) == len(results)
 
-    async def test_work_that_crosses_the_close_of_a_sidecar_goes_elsewhere(
+    async def test_calls_in_transit_to_a_closing_sidecar_go_to_another_target(
         self,
     ) -> None:
-        # A sidecar with nothing to do is told to stop, and is done at once. Calls
-        # that must run once are on their way to it: the gateways have not heard of
-        # the stop. Callers waited until their deadlines and were told "unknown",
-        # though nothing had run: the sidecar's refusals were not sent any more.
+        # An idle sidecar is stopped, which completes immediately. Calls that must run
+        # at most once are in transit to it, as the gateways do not know of the stop
+        # yet. Callers waited until their deadlines and got "unknown" although nothing
+        # had run, because the sidecar's refusals were no longer sent.
         async with fleet(n_per_service=2, deadline_s=3.0) as f:
             relay = f.gateways[0].relays["plain0"]
             relay.delay_s = 0.1
@@ -301,14 +307,14 @@
             await until(lambda: "plain0" in f.busy(f.gateways[0]))
             assert await f.stop_sidecar(f.slot("plain0")) == 0
             for each in await asyncio.gather(*calls):
-                assert_whole(each)
+                assert_complete(each)
             assert len(f.runs("plain")) == len(calls)
 
-    async def test_what_waits_there_goes_where_a_place_is_free(self) -> None:
-        # Two targets are replaced one after the other. While the first was away the
-        # second got all calls, and its own take far longer than they should. It is
-        # told to stop with calls waiting; the first is back and idle. Callers were
-        # refused at their deadlines: a sidecar gives back what waits at its end.
+    async def test_calls_queued_there_go_to_a_target_with_free_slots(self) -> None:
+        # Two targets are replaced one after the other. While the first was unavailable
+        # the second got all calls and became slow. It is stopped with calls queued
+        # after the first has restarted and is idle. Callers were refused at their
+        # deadlines, since a sidecar returns queued calls only at the end of its stop.
         async with fleet(n_gateways=2, n_per_service=2) as f:
             first, second = f.slot("plain0"), f.slot("plain1")
             await f.stop_sidecar(first)
@@ -326,17 +332,18 @@
             await until(lambda: all(f.hears(g, first) for g in f.gateways))
             stop = asyncio.create_task(f.stop_sidecar(second))
             for each in await asyncio.gather(*waiting):
-                assert_whole(each)
+                assert_complete(each)
             assert not stop.done()
             second.target.gate.set()
             for each in await asyncio.gather(*stuck):
-                assert_whole(each)
+                assert_complete(each)
             assert await stop == 0
             assert len(f.runs("plain")) == 12
 
-    async def test_what_waits_at_the_only_target_is_served_there(self) -> None:
-        # The only target of a service is replaced with calls waiting. Given back at
-        # once, they would be refused, though there is time to serve them.
+    async def test_calls_queued_at_the_only_target_are_served_there(self) -> None:
+        # The only target of a service is stopped with calls queued. If they were
+        # returned immediately, they would be refused although there is time to serve
+        # them.
         async with fleet(n_gateways=2) as f:
             only = f.slot("plain0")
             only.target.service_s = 0.2
@@ -346,12 +353,14 @@
             await until(lambda: n_waiting(only) == 8)
             assert await f.stop_sidecar(only) == 0
             for each in await asyncio.gather(*calls):
-                assert_whole(each)
+                assert_complete(each)
 
-    async def test_nothing_is_begun_that_its_end_would_cut_off(self) -> None:
-        # A stop has time for one call after the other that runs, not for two. The
-        # second was begun all the same and cut off: its caller waited until its
-        # deadline and was told "unknown", where "not run" would have been true.
+    async def test_no_call_is_started_that_the_end_of_the_stop_would_interrupt(
+        self,
+    ) -> None:
+        # After the running call a stop has time for one more call, not for two. The
+        # second was started nevertheless and interrupted: its caller waited until its
+        # deadline and got "unknown", where "not run" would have been correct.
         async with fleet(n_gateways=2, drain_s=1.0) as f:
             only = f.slot("plain0")
             only.target.service_s = 0.4
@@ -362,13 +371,15 @@
             ]
             await until(lambda: n_waiting(only) == 12)
             assert await f.stop_sidecar(only) == 0
-            told = await asyncio.gather(*calls)
-            assert {each.outcome for each in told if not each.is_answered} == {
+            results = await asyncio.gather(*calls)
+            assert {each.outcome for each in results if not each.is_answered} == {
                 "not run"
             }
-            assert sum(each.is_answered for each in told) >= 4
+            assert sum(each.is_answered for each in results) >= 4
 
-    async def test_a_planned_stop_of_a_gateway_under_load_cuts_off_none(self) -> None:
+    async def test_a_planned_stop_of_a_gateway_under_load_interrupts_no_call(
+        self,
+    ) -> None:
         async with fleet(n_gateways=2) as f:
             target = f.slot("plain0").target
             target.gate.clear()
@@ -379,5 +390,5 @@
             assert not stop.done()
             target.gate.set()
             for each in await asyncio.gather(*calls):
-                assert_whole(each)
+                assert_complete(each)
             assert await stop == 0
--- a/tests/test_path_retries.py
+++ b/tests/test_path_retries.py
@@ -20,10 +20,10 @@
         slot.target.gate.clear()
 
 
-class TestRetryElsewhere:
-    async def test_while_the_first_try_works(self) -> None:
-        # An officer's browser gives up waiting and asks again; the balancer
-        # picks another gateway. Two guarantees against one limit must not come.
+class TestRetryAtAnotherGateway:
+    async def test_while_the_first_try_runs(self) -> None:
+        # A caller's client times out and sends the request again; the load balancer
+        # chooses another gateway. The work must not run twice.
         async with fleet(n_gateways=2, n_per_service=2) as f:
             close_gates(f)
             first = asyncio.create_task(f.call(ONCE, "bond", key="k"))
@@ -42,17 +42,17 @@
             assert again.echo == "bond"
             assert n_runs(f) == 1
 
-    async def test_at_both_gateways_at_once(self) -> None:
+    async def test_at_both_gateways_concurrently(self) -> None:
         async with fleet(n_gateways=2, n_per_service=2) as f:
             tries = [
                 f.call(ONCE, f"bond {n}", gateway=g, key=f"k{n}")
                 for n in range(10)
                 for g in (0, 1)
             ]
-            told = await asyncio.gather(*tries)
+            results = await asyncio.gather(*tries)
             texts = [run.text for run in f.runs("plain")]
             assert len(texts) == len(set(texts)) == 10
-            for each in told:
+            for each in results:
                 assert each.is_answered or each.outcome == "unknown", each
 
     async def test_with_another_body(self) -> None:
@@ -62,9 +62,9 @@
             assert other.status == 409 and other.reason == "key_reused"
             assert n_runs(f) == 1
 
-    async def test_after_the_home_died(self) -> None:
-        # The process that holds the key dies; whoever stands in for it does
-        # not know the first try from its own memory alone.
+    async def test_after_the_primary_was_killed(self) -> None:
+        # The process that keeps the key's claim is killed; the process that takes
+        # over does not know the first try from its own memory.
         async with fleet(n_gateways=2, n_per_service=2) as f:
             key = f.key_placed_at("pool")
             await f.call(ONCE, "bond", key=key)
@@ -73,7 +73,7 @@
             assert again.is_answered or again.outcome == "unknown", again
             assert n_runs(f) == 1
 
-    async def test_after_the_home_was_restarted(self) -> None:
+    async def test_after_all_replicas_were_restarted(self) -> None:
         async with fleet(n_gateways=2, n_per_service=2) as f:
             key = f.key_placed_at("pool")
             await f.call(ONCE, "bond", key=key)
@@ -87,26 +87,25 @@
             assert again.is_answered or again.outcome != "failed", again
             assert n_runs(f) == 1
 
-    async def test_while_the_home_is_paused(self) -> None:
-        # The home takes the first claim and is then cut off from the second
-        # gateway: no answer is not a "new".
+    async def test_while_the_primary_is_unreachable(self) -> None:
+        # The primary accepts the first claim and is then partitioned from the second
+        # gateway. A missing reply must not be taken for a new key.
         async with fleet(n_gateways=2, n_per_service=2) as f:
             key = f.key_placed_at("pool")
-            home = f.places_of(key)[0]
+            primary = f.places_of(key)[0]
             close_gates(f)
             first = asyncio.create_task(f.call(ONCE, "bond", key=key))
             await until(lambda: n_runs(f) == 1)
-            f.gateways[1].relays[home.name].is_stalled = True
+            f.gateways[1].relays[primary.name].is_stalled = True
             second = await f.call(ONCE, "bond", gateway=1, key=key, deadline_s=3.0)
             assert second.outcome == "unknown", second
             open_gates(f)
             assert (await first).echo == "bond"
             assert n_runs(f) == 1
 
-    async def test_after_its_gateway_died(self) -> None:
-        # The gateway dies in the midst of a booking and the caller's
-        # connection with it. The retry must neither book again nor be told
-        # that nothing ran.
+    async def test_after_its_gateway_was_killed(self) -> None:
+        # The gateway is killed while the work runs, and the caller's connection is
+        # lost. The retry must neither run the work again nor be answered "not run".
         async with fleet(n_gateways=2, n_per_service=2) as f:
             close_gates(f)
             first = asyncio.create_task(f.call(ONCE, "bond", key="k"))
--- a/tests/test_path_schedules.py
+++ b/tests/test_path_schedules.py
@@ -1,6 +1,6 @@
-"""Random schedules of failures over the whole path: what callers are told is true.
+"""Random schedules of failures over the complete path: answers are truthful.
 
-The targets' own record of runs is compared with what each caller was told.
+The targets' records of runs are compared with the answers to the callers.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.harness import CHAIN, FREE, ONCE, Fleet, Told, fleet
-from tests.stop_schedules import play as play_stops
+from tests.stop_schedules import play as run_stops
 from tests.waiting import until
 
 N_GATEWAYS = 2
@@ -19,7 +19,7 @@
 DEADLINE_S = 1.2
 SETTLE_S = 0.3
 SERVICE_S = 0.1
-"""Long enough for faults to meet calls that run."""
+"""Long enough for faults to occur while calls run."""
 SLOTS = [f"{service}{i}" for service in ("pool", "plain") for i in range(2)]
 GATEWAYS = st.integers(min_value=0, max_value=N_GATEWAYS - 1)
 NAMES = st.sampled_from(SLOTS)
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """A caller's try; tries with the same key carry the same text."""
+    """One try of a caller; tries with the same key carry the same text."""
 
     pipeline: str
     gateway: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fault:
-    """What happens to one relay, or to the sidecar behind it."""
+    """A fault of one relay, or of the sidecar behind it."""
 
     kind: str
     gateway: int
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Wait:
-    """Time between two steps."""
+    """A pause between two steps."""
 
     pause_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KillGateway:
-    """The second gateway dies and does not come back."""
+    """The second gateway is killed and not restarted."""
 
 
 Step = Call | Fault | Wait | KillGateway
@@ -79,19 +79,19 @@
     st.lists(CALLS | WAIT, max_size=3),
     st.sampled_from([[], [], [], [KillGateway()]]),
 )
-"""Calls, a moment, faults that meet them, calls again."""
+"""Calls, a pause, faults while the calls run, more calls."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Tries:
-    """All tries of one example and what came of each."""
+    """All tries of one example and their results."""
 
     calls: list[Call] = field(default_factory=list)
     tasks: list[asyncio.Task[Told]] = field(default_factory=list)
     dead_gateways: set[int] = field(default_factory=set)
 
     def begin(self, f: Fleet, call: Call) -> None:
-        """Send the try, to the gateway that is left if its own is dead."""
+        """Send the try; use the other gateway if its own was killed."""
         gateway = 0 if call.gateway in self.dead_gateways else call.gateway
         key = f"{call.pipeline}-{call.key}" if call.key else ""
         text = f"keyed {key}" if key else f"alone {len(self.calls)}"
@@ -101,7 +101,7 @@
         )
 
 
-async def take(f: Fleet, step: Step, tries: Tries) -> None:
+async def apply_step(f: Fleet, step: Step, tries: Tries) -> None:
     match step:
         case Call():
             tries.begin(f, step)
@@ -113,10 +113,10 @@
                 tries.dead_gateways.add(1)
                 f.kill_gateway(gateway)
         case Fault():
-            await cause(f, step)
+            await inject_fault(f, step)
 
 
-async def cause(f: Fleet, fault: Fault) -> None:
+async def inject_fault(f: Fleet, fault: Fault) -> None:
     slot = f.slot(fault.name)
     relay = f.gateways[fault.gateway].relays[fault.name]
     match fault.kind:
@@ -176,40 +176,42 @@
             slot.target.service_s = SERVICE_S
         tries = Tries()
         for step in steps:
-            await take(f, step, tries)
-        told = await asyncio.gather(*tries.tasks)
+            await apply_step(f, step, tries)
+        results = await asyncio.gather(*tries.tasks)
         await heal_all(f)
-        # What was held back or late arrives now and must change nothing.
+        # Delayed frames arrive now and must change nothing.
         await asyncio.sleep(SETTLE_S)
         await until(lambda: all(run.is_done for run in f.runs("plain")))
-        check(f, tries.calls, told)
+        check(f, tries.calls, results)
 
 
-def check(f: Fleet, calls: list[Call], told: list[Told]) -> None:
+def check(f: Fleet, calls: list[Call], results: list[Told]) -> None:
     plain_texts = [run.text for run in f.runs("plain")]
     all_runs = f.runs("plain") + f.runs("pool")
-    for call, each in zip(calls, told, strict=True):
-        if each.is_lost:
+    for call, result in zip(calls, results, strict=True):
+        if result.is_lost:
             continue
-        if each.is_answered:
-            assert each.echo == each.text, "crossed or torn"
+        if result.is_answered:
+            assert result.echo == result.text, "not the answer to this call"
             ran_at = plain_texts if call.pipeline != FREE else None
-            assert ran_at is None or each.text in ran_at, "answered without a run"
+            assert ran_at is None or result.text in ran_at, "answered without a run"
             continue
-        assert each.outcome in {"not run", "failed", "unknown"}
-        if each.outcome == "not run":
-            ran = [r for r in all_runs if r.request_id == each.request_id]
-            assert not ran, f"said not run: {each}"
+        assert result.outcome in {"not run", "failed", "unknown"}
+        if result.outcome == "not run":
+            ran = [r for r in all_runs if r.request_id == result.request_id]
+            assert not ran, f"wrongly answered not run: {result}"
             if not call.key:
-                assert each.text not in plain_texts, f"said not run: {each}"
+                assert result.text not in plain_texts, (
+                    f"wrongly answered not run: {result}"
+                )
     assert len(plain_texts) == len(set(plain_texts)), "ran twice"
 
 
 class TestRandomSchedules:
-    # Officers call and call again at either gateway while connections are
-    # delayed, stalled, cut and damaged, sidecars are killed and restarted and a
-    # gateway dies. Whatever a caller was told must agree with what the targets
-    # recorded, and nothing that may run once may have run twice.
+    # Callers call and retry at either gateway while connections are delayed,
+    # stalled, lost and damaged, sidecars are killed and restarted and a gateway is
+    # killed. Each answer must agree with the runs that the targets recorded, and
+    # work that must run at most once must not have run twice.
     @settings(
         max_examples=14,
         suppress_health_check=[HealthCheck.too_slow],
@@ -223,12 +225,12 @@
 
 class TestPlannedStops:
     # Gateways and sidecars are stopped as planned and started again, one after the
-    # other and several at once, while callers call and what they say is on its way for
-    # a while. Calls that crossed the close of a sidecar were told "unknown" at their
-    # deadlines; many that crossed a stop were refused beside free targets, and
-    # so was one that met all targets of its service as they left.
+    # other and several at once, under load and with delayed messages. Calls in transit
+    # to a closing sidecar got "unknown" at their deadlines. Many calls in transit
+    # during a stop were refused although targets were free, and so was one that reached
+    # all targets of its service while they were leaving.
     @pytest.mark.parametrize("seed", [0, 1, 6])
     async def test_every_call_is_answered(self, seed: int) -> None:
-        n_calls, problems = await play_stops(seed)
+        n_calls, problems = await run_stops(seed)
         assert n_calls
         assert problems == []
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of a target: decisions on what is known, with no connection."""
+"""Choice of a target from known state, without any connection."""
 
 import random
 import time
@@ -29,7 +29,7 @@
 
 
 class FakeLink:
-    """A link that is heard or not, as the test says."""
+    """A link whose peer responds or not, as set by the test."""
 
     def __init__(self, *, is_up: bool = True) -> None:
         self.is_up = is_up
@@ -43,7 +43,7 @@
 
 
 class Fleet:
-    """Targets of one service, as views and as a directory of them."""
+    """Targets of one service, both as views and as their directory."""
 
     def __init__(self, *, n_targets: int, policy: PolicySettings | None = None) -> None:
         self.hosts = [
@@ -138,7 +138,7 @@
 )
 
 
-class TestWhoMayBeChosen:
+class TestCandidates:
     @given(states=TARGET_STATES, choice=st.sampled_from(Choice))
     def test_never_a_silent_leaving_down_or_tried_target(
         self,
@@ -167,10 +167,10 @@
 
 
 class TestStaleReports:
-    def test_a_burst_does_not_all_go_to_the_target_last_reported_idle(self) -> None:
-        """All reports are old, and one target looked idle in them. A burst of
-        calls comes before any new report. They must spread, since this gateway
-        knows what it has sent itself.
+    def test_a_burst_is_spread_although_one_target_was_reported_idle(self) -> None:
+        """All reports are stale, and one target was idle in them. A burst of calls
+        arrives before any new report. The calls must be spread, since this gateway
+        counts the calls that it has sent itself.
         """
         fleet = Fleet(n_targets=4)
         for n in range(4):
@@ -182,7 +182,7 @@
         assert max(view.n_outstanding for view in fleet.views) <= 20
         assert min(view.n_outstanding for view in fleet.views) >= 4
 
-    def test_a_reported_queue_is_worked_off_as_time_goes_by(self) -> None:
+    def test_a_reported_queue_shrinks_with_the_age_of_the_report(self) -> None:
         fleet = Fleet(n_targets=1)
         fleet.report(0, n_queued=5, queued_work_s=10.0)
         view = fleet.views[0]
@@ -191,10 +191,10 @@
         assert view.wait_s(ENTRY, at_s + 4.0) == 6.0
         assert view.wait_s(ENTRY, at_s + 40.0) == 0.0
 
-    def test_a_burst_of_one_owner_is_no_wait_for_another(self) -> None:
-        """One owner has many seconds of work waiting at a fair target. Another,
-        which has none, is served next there; its calls must not be taken for
-        late and refused. The first owner itself does wait for its own work.
+    def test_a_burst_of_one_owner_does_not_delay_another_owner(self) -> None:
+        """One owner has many seconds of work queued at a target with fair shares.
+        Another owner without queued work is served next there, so its calls must
+        not be predicted late and refused. The first owner waits for its own work.
         """
         fleet = Fleet(n_targets=1)
         fleet.report(0, n_queued=50, queued_work_s=20.0, running_work_s=0.2)
@@ -207,9 +207,10 @@
         view.unreported.sent("bank", 1.0)
         assert view.wait_s(ENTRY, view.load_at_s) == 2.2
 
-    def test_calls_that_have_arrived_count_until_a_report_holds_them(self) -> None:
-        """The last report says idle. Calls are sent, and arrive, before the next
-        one comes. The target must not look idle meanwhile, or more follow.
+    def test_calls_that_have_arrived_count_until_a_report_includes_them(self) -> None:
+        """The last report states an idle target. Calls are sent and arrive before
+        the next report. The target must not be taken for idle until then, or more
+        calls would be sent to it.
         """
         fleet = Fleet(n_targets=1)
         fleet.report(0, n_slots=2)
@@ -264,7 +265,7 @@
             names.add(chosen.view.process_id)
         return names
 
-    def test_an_idle_holder_of_the_prefix_is_chosen(self) -> None:
+    def test_an_idle_target_that_caches_the_prefix_is_chosen(self) -> None:
         fleet = Fleet(n_targets=6)
         for n in range(6):
             fleet.report(n)
@@ -272,7 +273,7 @@
         fleet.router.record_prefix(wanted, fleet.views[3])
         assert self.chosen(fleet, wanted) == {"t3-sidecar"}
 
-    def test_a_holder_whose_queue_costs_more_than_it_saves_is_not(self) -> None:
+    def test_a_cached_prefix_does_not_outweigh_a_longer_queue(self) -> None:
         fleet = Fleet(n_targets=6)
         for n in range(6):
             fleet.report(n)
@@ -281,7 +282,7 @@
         fleet.router.record_prefix(wanted, fleet.views[3])
         assert "t3-sidecar" not in self.chosen(fleet, wanted)
 
-    def test_an_entry_that_weighs_cost_waits_longer_for_it(self) -> None:
+    def test_an_entry_that_weighs_cost_waits_longer_for_a_cached_prefix(self) -> None:
         fleet = Fleet(n_targets=6)
         for n in range(6):
             fleet.report(n)
@@ -292,7 +293,7 @@
         fleet.router.record_prefix(cheap, fleet.views[3])
         assert self.chosen(fleet, cheap) == {"t3-sidecar"}
 
-    def test_only_what_is_shared_from_the_start_counts(self) -> None:
+    def test_only_shared_leading_blocks_count(self) -> None:
         record = PrefixRecord()
         record.note(SERVICE, (1, 2, 3, 4), "a")
         record.note(SERVICE, (1, 9), "b")
@@ -319,9 +320,10 @@
             self.learn(fleet, n, 1.0, MIN_SAMPLES)
         return fleet
 
-    def test_a_slow_target_goes_out_and_comes_back_by_a_probe(self) -> None:
-        """One target becomes five times slower than its peers, later mends. It
-        gets nothing while out but a probe now and then; a good one readmits it.
+    def test_a_slow_target_is_ejected_and_readmitted_by_a_probe(self) -> None:
+        """One target becomes five times slower than its peers and later recovers.
+        While ejected it gets only a probe from time to time; a fast probe readmits
+        it.
         """
         fleet = self.usual(4)
         slow = fleet.views[0]
@@ -341,7 +343,7 @@
         assert chosen is not None
         return chosen.view.process_id
 
-    def test_a_call_to_run_once_is_never_a_probe(self) -> None:
+    def test_a_non_idempotent_call_is_never_a_probe(self) -> None:
         fleet = self.usual(4)
         self.learn(fleet, 0, 5.0, 30)
         fleet.views[0].probe_at_s = 0.0
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of a target when it first looks at it."""
+"""The state of a target view when a gateway first uses the target."""
 
 import asyncio
 import contextlib
@@ -15,9 +15,9 @@
 
 
 def hello() -> Hello:
-    said = hello_of("t1-sidecar", incarnation=10)()
-    said.stamp_ns = STAMP_NS
-    return said
+    message = hello_of("t1-sidecar", incarnation=10)()
+    message.stamp_ns = STAMP_NS
+    return message
 
 
 @contextlib.asynccontextmanager
@@ -31,13 +31,13 @@
         yield peers
 
 
-class TestFirstLook:
-    async def test_takes_the_stamp_of_a_hello_heard_before(self) -> None:
-        """A first call to each target was refused as meant for a former start.
+class TestNewView:
+    async def test_takes_over_the_stamp_of_an_earlier_hello(self) -> None:
+        """The first call to each target was refused as for a previous incarnation.
 
-        Membership opens the link to a sidecar and its hello arrives; later the
-        gateway looks at the target for the first time. Nobody told the new view
-        of the hello, so its call carried no stamp of the sidecar's clock.
+        Membership opens the link to a sidecar and its hello arrives. Later the
+        gateway creates a view of the target. The new view was not notified of the
+        hello, so its first call carried no stamp of the sidecar's clock.
         """
         async with server_of(own_hello=hello).listening() as server, own_peers() as own:
             link = own.link(server.address)
