--- a/src/trefoilpaddle/coordination/requests/stage_call.py
+++ b/src/trefoilpaddle/coordination/requests/stage_call.py
@@ -99,7 +99,7 @@
     def may_have_started(self) -> bool:
         """Return True unless it is certain that the target never started it.
 
-        A reserved slot starts nothing before the message to go is sent.
+        A reserved slot starts nothing before the ``Go`` message is sent.
         """
         return self.is_sent and (self._may_commit is None or self._is_committed)
 
@@ -309,5 +309,5 @@
         return error
 
     def _err(self, error: StageError) -> Err[StageFault]:
-        has_forwarded = self._answer.has_forwarded
-        return Err(StageFault(error=error, has_passed_on=has_forwarded))
+        was_forwarded = self._answer.has_forwarded
+        return Err(StageFault(error=error, has_passed_on=was_forwarded))
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -103,7 +103,7 @@
         self.runs: list[str] = []
         self.n_bars = 0
         self.bar_state = BarState.BARRED
-        self.n_slots = 4
+        self.n_target_slots = 4
         self.service_s = 0.001
         self.queued_work_s = 0.0
         self.n_queued = 0
@@ -138,7 +138,7 @@
     def load(self) -> Load:
         return Load(
             stamp_ns=time.monotonic_ns(),
-            n_slots=self.n_slots,
+            n_slots=self.n_target_slots,
             n_queued=self.n_queued,
             queued_work_s=self.queued_work_s,
             leaving=self.leaving,
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -9,7 +9,7 @@
 from trefoilpaddle.state.journal import Event
 from trefoilpaddle.state.settings import Choice, PolicySettings
 
-LATE_BINDING = PolicySettings(choice=Choice.LATE_BINDING)
+LATE_BOUND = PolicySettings(choice=Choice.LATE_BINDING)
 WARM_UP = 10
 
 
@@ -72,7 +72,7 @@
         free = FakeSidecar(service="s", name="t2")
         busy.is_free.clear()
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(busy, free, published=published, policy=LATE_BINDING) as b:
+        async with bench(busy, free, published=published, policy=LATE_BOUND) as b:
             await warm_up(b, 5)
             assert len(free.runs) == 5
             assert not busy.runs
@@ -84,7 +84,7 @@
         one = FakeSidecar(service="s", name="t1")
         other = FakeSidecar(service="s", name="t2")
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(one, other, published=published, policy=LATE_BINDING) as b:
+        async with bench(one, other, published=published, policy=LATE_BOUND) as b:
             await asyncio.gather(*[warm_up(b, 5) for _ in range(6)])
             assert len(one.runs) + len(other.runs) == 30
             assert len(set(one.runs + other.runs)) == 30
@@ -100,7 +100,7 @@
         s = FakeSidecar(service="s", name="t1")
         async with bench(s, published=catalogue(plain_stage())) as b:
             await warm_up(b)
-            s.n_slots, s.n_queued, s.queued_work_s = 1, 50, 8.0
+            s.n_target_slots, s.n_queued, s.queued_work_s = 1, 50, 8.0
             view = next(iter(b.gateway._views))
             await until(lambda: view.load is not None and view.load.n_queued == 50)
             async with b.post(json={}, X_Deadline_S="2") as answer:
