--- a/src/trefoilpaddle/coordination/requests/answer_receiver.py
+++ b/src/trefoilpaddle/coordination/requests/answer_receiver.py
@@ -1,4 +1,4 @@
-"""Takes in one answer: collects it, passes it on, grants credit for it."""
+"""Receives one answer: buffers it, forwards it to the caller, grants credit."""
 
 from typing import Final
 
@@ -7,23 +7,26 @@
 from .answer_buffer import AnswerBuffer
 from .open_attempts import OpenAttempt
 
-WHOLE_CREDIT_BYTES: Final = 1024 * 1024
-"""Window of an answer that is only kept; sixteen chunks."""
+BUFFERED_WINDOW_BYTES: Final = 1024 * 1024
+"""Credit window of an answer that is only buffered; sixteen chunks."""
 
-STREAM_CREDIT_BYTES: Final = 64 * 1024
-"""Window of an answer that is passed on; most that lies here for a slow caller."""
+STREAMED_WINDOW_BYTES: Final = 64 * 1024
+"""Credit window of an answer that is forwarded as it arrives.
 
-CREDIT_PARTS: Final = 4
-"""Parts of a window; a grant is sent once one of them was taken."""
+Bounds how much of the answer is buffered here for a slow caller.
+"""
+
+GRANTS_PER_WINDOW: Final = 4
+"""Grants per window; credit is sent each time this part of a window was consumed."""
 
 
 class AnswerReceiver:
-    """One answer on its way in.
+    """Receives the chunks of one answer.
 
     Parameters
     ----------
     sink : Sink, optional
-        Takes the answer as it comes; it is kept whole besides.
+        Takes each chunk as it arrives; the complete answer is buffered as well.
     """
 
     __slots__ = ("_buffer", "_n_ungranted_bytes", "_sink", "window_bytes")
@@ -32,60 +35,62 @@
         self._sink = sink
         self._buffer = AnswerBuffer()
         self._n_ungranted_bytes = 0
-        self.window_bytes = WHOLE_CREDIT_BYTES if sink is None else STREAM_CREDIT_BYTES
+        self.window_bytes = (
+            BUFFERED_WINDOW_BYTES if sink is None else STREAMED_WINDOW_BYTES
+        )
 
     @property
     def n_chunks(self) -> int:
-        """Pieces taken in so far."""
+        """Number of chunks received so far."""
         return self._buffer.n_chunks
 
     @property
-    def has_passed_on(self) -> bool:
-        """Return True if part of the answer has left for the caller."""
+    def has_forwarded(self) -> bool:
+        """Return True if part of the answer was already forwarded to the caller."""
         return self._sink is not None and self._buffer.n_chunks > 0
 
-    def is_whole(self, end: End) -> bool:
-        """Return True if what came is what `end` says was sent."""
-        return self._buffer.is_whole(end)
+    def is_complete(self, end: End) -> bool:
+        """Return True if the received chunks match what `end` states was sent."""
+        return self._buffer.is_complete(end)
 
     def body(self) -> bytes:
-        """Return what came, as one."""
+        """Return the received chunks joined into one body."""
         return self._buffer.body()
 
-    async def take(self, chunk: Chunk, attempt: OpenAttempt) -> str:
-        """Take in a piece; return what is wrong with it, or nothing."""
+    async def receive(self, chunk: Chunk, attempt: OpenAttempt) -> str:
+        """Receive a chunk; return what is wrong with it, or an empty text."""
         if self._buffer.is_repeated(chunk):
             return ""
         if not self._buffer.is_next(chunk):
             return "a piece of the answer is missing"
-        if not self._buffer.has_room(chunk):
+        if not self._buffer.fits(chunk):
             return "the answer is larger than may be kept"
         self._buffer.add(chunk)
         if self._sink is not None:
             await self._sink(chunk.data)
-        self._give_credit(attempt, len(chunk.data))
+        self._grant_credit(attempt, len(chunk.data))
         return ""
 
-    def may_begin_again(self) -> bool:
-        """Forget all pieces if none was passed on; return whether that was so."""
-        if self.has_passed_on:
+    def try_restart(self) -> bool:
+        """Discard all chunks unless one was forwarded; return whether they were."""
+        if self.has_forwarded:
             return False
         self._buffer.clear()
         return True
 
-    def renew_window(self, attempt: OpenAttempt) -> None:
-        """Grant a full window anew; what was granted before counts no more."""
+    def reset_window(self, attempt: OpenAttempt) -> None:
+        """Grant a full window; credit granted before no longer counts."""
         attempt.n_granted_bytes = self.window_bytes
         self._n_ungranted_bytes = 0
 
-    def _give_credit(self, attempt: OpenAttempt, n_bytes: int) -> None:
-        """Grant what was taken, in pieces worth a frame of their own.
+    def _grant_credit(self, attempt: OpenAttempt, n_bytes: int) -> None:
+        """Grant credit for consumed bytes, in steps that justify a frame each.
 
-        Most of the window is always out, so waiting for more before granting
-        holds back no answer; a small one needs no credit at all.
+        Most of the window is always granted, so collecting a step before granting
+        delays no answer. An answer smaller than a step needs no credit at all.
         """
         self._n_ungranted_bytes += n_bytes
-        if self._n_ungranted_bytes < self.window_bytes // CREDIT_PARTS:
+        if self._n_ungranted_bytes < self.window_bytes // GRANTS_PER_WINDOW:
             return
         n_bytes, self._n_ungranted_bytes = self._n_ungranted_bytes, 0
         attempt.n_granted_bytes += n_bytes
--- a/src/trefoilpaddle/coordination/requests/asker.py
+++ b/src/trefoilpaddle/coordination/requests/peer_client.py
@@ -1,4 +1,4 @@
-"""What coordination needs of the transport: a question to an address."""
+"""The transport as coordination uses it: a query to the peer at an address."""
 
 from typing import Protocol
 
@@ -9,23 +9,23 @@
 from ...transport.connection import Address
 
 
-class Asker(Protocol):
-    """Asks peers; `transport.peers.Peers` is one."""
+class PeerClient(Protocol):
+    """Sends queries to peers; `transport.peers.Peers` implements it."""
 
     async def ask(
         self, address: Address, message: Message, *, timeout_s: float
     ) -> Result[Message, PeerError]:
-        """Return the reply of the peer at `address`, or the step that failed."""
+        """Return the reply of the peer at `address`, or the error of a step."""
         ...
 
 
-async def ask_at(
-    asker: Asker, address: str, message: Message, *, timeout_s: float
+async def query_address(
+    client: PeerClient, address: str, message: Message, *, timeout_s: float
 ) -> Result[Message, PeerError]:
-    """Ask the peer whose address is written ``ip:port``."""
+    """Query the peer whose address is given as the text ``ip:port``."""
     match Address.parse(address):
         case Ok(parsed):
-            return await asker.ask(parsed, message, timeout_s=timeout_s)
+            return await client.ask(parsed, message, timeout_s=timeout_s)
         case Err(problem):
             error = PeerError(
                 step="connect", peer=address, detail=problem, is_sent=False
