--- a/src/trefoilpaddle/coordination/claims/vouchers.py
+++ b/src/trefoilpaddle/coordination/claims/absence_confirmations.py
@@ -2,10 +2,10 @@
 
 from ...protocol.gen.claims.ttypes import CopyAnswer
 from ...state.places import Place
-from .claim_book import ClaimBook
+from .claim_registry import ClaimRegistry
 
 
-class Vouchers:
+class AbsenceConfirmations:
     """What the places asked about one key can vouch for."""
 
     __slots__ = ("_complete", "_learned")
@@ -14,11 +14,11 @@
         self._complete: set[str] = set()
         self._learned: dict[str, frozenset[str]] = {}
 
-    def add_own(self, book: ClaimBook) -> None:
+    def add_own(self, registry: ClaimRegistry) -> None:
         """Add this process, which holds no claim on the key."""
-        if book.is_complete():
-            self._complete.add(book.process_id)
-        self._learned[book.process_id] = frozenset(book.learned_from)
+        if registry.is_complete():
+            self._complete.add(registry.process_id)
+        self._learned[registry.process_id] = frozenset(registry.learned_from)
 
     def add(self, place: Place, answer: CopyAnswer) -> None:
         """Add a place that has answered that it held no claim on the key."""
@@ -26,7 +26,7 @@
             self._complete.add(place.process_id)
         self._learned[place.process_id] = frozenset(answer.learned_from)
 
-    def has_for(self, pair: tuple[Place, ...]) -> bool:
+    def covers(self, pair: tuple[Place, ...]) -> bool:
         """Return True if one of `pair` vouches that they never granted the key.
 
         A place that has started lately vouches if it holds all that the other
--- a/src/trefoilpaddle/coordination/claims/claim_home.py
+++ b/src/trefoilpaddle/coordination/claims/claim_home.py
@@ -27,14 +27,14 @@
 from ...state.places import Place
 from ...transport.server import PeerServer
 from ..requests.asker import Asker, ask_at
-from .claim_book import ClaimBook, answer_for, places_of, request_of
-from .claim_copy import ClaimCopies
-from .vouchers import Vouchers
+from .absence_confirmations import AbsenceConfirmations
+from .claim_registry import ClaimRegistry, answer_for, replicas_of, request_id_of
+from .claim_replica import ClaimReplica
 
-COPY_TIMEOUT_S: Final = 0.4
+REPLICA_TIMEOUT_S: Final = 0.4
 """Wait for another place; shorter than the gateway's wait for this one."""
 
-Pair = tuple[Place, ...]
+ReplicaPair = tuple[Place, ...]
 
 
 class ClaimHome:
@@ -42,7 +42,7 @@
 
     Parameters
     ----------
-    book : ClaimBook
+    registry : ClaimRegistry
         What this process knows.
     asker : Asker
         Reaches the other places.
@@ -50,13 +50,15 @@
         Takes each decision.
     """
 
-    __slots__ = ("_asker", "_book", "_copies", "_journal")
+    __slots__ = ("_asker", "_copies", "_journal", "_registry")
 
-    def __init__(self, *, book: ClaimBook, asker: Asker, journal: Journal) -> None:
-        self._book = book
+    def __init__(
+        self, *, registry: ClaimRegistry, asker: Asker, journal: Journal
+    ) -> None:
+        self._registry = registry
         self._asker = asker
         self._journal = journal
-        self._copies = ClaimCopies(book=book)
+        self._copies = ClaimReplica(registry=registry)
 
     def mount(self, server: PeerServer) -> None:
         """Answer claims, copies and settlements that arrive at `server`."""
@@ -75,106 +77,117 @@
         self._journal.record(
             Decision(
                 event=Event.CLAIM_GRANTED if is_granted else Event.CLAIM_ANSWERED,
-                request_id=request_of(claim.request_id),
+                request_id=request_id_of(claim.request_id),
                 peer=claim.gateway,
                 detail=" ".join(
                     [ClaimState._VALUES_TO_NAMES[answer.state], answer.detail]
                 ).strip(),
-                figures=(Figure(name="n_keys", value=len(self._book.table)),),
+                figures=(Figure(name="n_keys", value=len(self._registry.table)),),
             )
         )
         return answer
 
     async def _decide(self, claim: Claim) -> ClaimAnswer:
-        present = self._book.present
+        present = self._registry.active_list
         if claim.hosts_revision > present.revision:
-            return self._book.not_mine("this place has an older host list")
+            return self._registry.not_mine("this place has an older host list")
         pair = present.pair(claim.key)
-        if not pair or pair[0].process_id != self._book.process_id:
-            return self._book.not_mine("another place decides about this key")
-        record = self._book.table.get(claim.key)
+        if not pair or pair[0].process_id != self._registry.process_id:
+            return self._registry.not_mine("another place decides about this key")
+        record = self._registry.table.get(claim.key)
         if record is not None:
-            return self._book.known(record, claim)
-        record = self._book.note(claim, stage=ClaimStage.PENDING)
+            return self._registry.evaluate(record, claim)
+        record = self._registry.record_claim(claim, stage=ClaimStage.PENDING)
         if record is None:
-            return self._book.unsure("the place of this key keeps no more keys")
+            return self._registry.unknown_outcome(
+                "the place of this key keeps no more keys"
+            )
         if claim.idempotent:
             record.stage = ClaimStage.RUNNING
             return answer_for(record, ClaimState.NEW)
         return await self._ask_others(record, claim, pair)
 
     async def _ask_others(
-        self, record: ClaimRecord, claim: Claim, pair: Pair
+        self, record: ClaimRecord, claim: Claim, pair: ReplicaPair
     ) -> ClaimAnswer:
         """Grant a pending claim if no other place objects, else withdraw it."""
-        passed_on = _passed_on(claim, hosts_revision=self._book.present.revision)
+        passed_on = _passed_on(
+            claim, hosts_revision=self._registry.active_list.revision
+        )
         answer = await self._objection(passed_on, pair)
-        is_ours = self._book.table.get(claim.key) is record
+        is_ours = self._registry.table.get(claim.key) is record
         if answer is None and is_ours and record.stage is ClaimStage.PENDING:
             record.stage = ClaimStage.RUNNING
             return answer_for(record, ClaimState.NEW)
         await self._withdraw(pair[1:], passed_on)
         if is_ours and record.stage is ClaimStage.PENDING:
-            self._book.table.remove(claim.key)
-        return answer or self._book.not_mine("the key was taken over meanwhile")
+            self._registry.table.remove(claim.key)
+        return answer or self._registry.not_mine("the key was taken over meanwhile")
 
-    async def _objection(self, claim: Claim, pair: Pair) -> ClaimAnswer | None:
+    async def _objection(self, claim: Claim, pair: ReplicaPair) -> ClaimAnswer | None:
         """Return what speaks against granting, or None.
 
         One place of each pair, present and former, must vouch that it never
         recorded the key: it holds no record, and cannot lack one.
         """
-        vouchers = Vouchers()
-        vouchers.add_own(self._book)
+        confirmations = AbsenceConfirmations()
+        confirmations.add_own(self._registry)
         revision = claim.hosts_revision
-        former = list(self._book.other_pairs(claim.key, revision=revision))
+        former = list(self._registry.pairs_of_other_lists(claim.key, revision=revision))
         for second in pair[1:]:
             copied = await self._ask_place(second, claim, CopyKind.COPY)
             if copied is None or copied.answer is None:
                 detail = f"the second place {second.process_id} did not answer"
-                return self._book.unsure(detail)
+                return self._registry.unknown_outcome(detail)
             if copied.answer.state != ClaimState.NEW:
                 return copied.answer
-            former += [places_of(places) for places in copied.former]
-            vouchers.add(second, copied)
-        if not vouchers.has_for(pair):
-            return self._book.unsure("the places of this key have started lately")
-        return await self._former_objection(claim, former, vouchers)
+            former += [replicas_of(places) for places in copied.former]
+            confirmations.add(second, copied)
+        if not confirmations.covers(pair):
+            return self._registry.unknown_outcome(
+                "the places of this key have started lately"
+            )
+        return await self._former_objection(claim, former, confirmations)
 
     async def _former_objection(
-        self, claim: Claim, former: list[Pair], vouchers: Vouchers
+        self,
+        claim: Claim,
+        former: list[ReplicaPair],
+        confirmations: AbsenceConfirmations,
     ) -> ClaimAnswer | None:
         for pair in former:
-            if vouchers.has_for(pair):
+            if confirmations.covers(pair):
                 continue
-            answer = await self._pair_objection(claim, pair, vouchers)
+            answer = await self._pair_objection(claim, pair, confirmations)
             if answer is not None:
                 return answer
         return None
 
     async def _pair_objection(
-        self, claim: Claim, pair: Pair, vouchers: Vouchers
+        self, claim: Claim, pair: ReplicaPair, confirmations: AbsenceConfirmations
     ) -> ClaimAnswer | None:
         """Return what a former pair objects, or None once one of it vouches."""
         for place in pair:
-            if place.process_id == self._book.process_id:
+            if place.process_id == self._registry.process_id:
                 continue
             moved = await self._ask_place(place, claim, CopyKind.MOVE)
             if moved is None or moved.answer is None:
                 continue
             if moved.answer.state != ClaimState.NEW:
                 return moved.answer
-            vouchers.add(place, moved)
-            if vouchers.has_for(pair):
+            confirmations.add(place, moved)
+            if confirmations.covers(pair):
                 return None
-        return self._book.unsure("no earlier place of this key could vouch for it")
+        return self._registry.unknown_outcome(
+            "no earlier place of this key could vouch for it"
+        )
 
     async def _ask_place(
         self, place: Place, claim: Claim, kind: int
     ) -> CopyAnswer | None:
         question = ClaimCopy(kind=kind, claim=claim)
         reply = await ask_at(
-            self._asker, place.address, question, timeout_s=COPY_TIMEOUT_S
+            self._asker, place.address, question, timeout_s=REPLICA_TIMEOUT_S
         )
         match reply:
             case Ok(CopyAnswer() as answer):
@@ -182,22 +195,26 @@
             case _:
                 return None
 
-    async def _withdraw(self, places: Pair, claim: Claim) -> None:
+    async def _withdraw(self, places: ReplicaPair, claim: Claim) -> None:
         """Free the key at a second place that recorded a claim never granted."""
         settle = Settle(key=claim.key, request_id=claim.request_id, grant=claim.grant)
         for place in places:
-            await ask_at(self._asker, place.address, settle, timeout_s=COPY_TIMEOUT_S)
+            await ask_at(
+                self._asker, place.address, settle, timeout_s=REPLICA_TIMEOUT_S
+            )
 
     async def answer_settle(self, settle: Settle, _peer: Hello) -> SettleAnswer:
         """Note the end of a request, here and at the key's second place."""
         is_known = self._settle(settle)
-        pair = self._book.present.pair(settle.key)
-        if len(pair) > 1 and pair[0].process_id == self._book.process_id:
-            await ask_at(self._asker, pair[1].address, settle, timeout_s=COPY_TIMEOUT_S)
+        pair = self._registry.active_list.pair(settle.key)
+        if len(pair) > 1 and pair[0].process_id == self._registry.process_id:
+            await ask_at(
+                self._asker, pair[1].address, settle, timeout_s=REPLICA_TIMEOUT_S
+            )
         return SettleAnswer(known=is_known)
 
     def _settle(self, settle: Settle) -> bool:
-        record = self._book.table.get(settle.key)
+        record = self._registry.table.get(settle.key)
         if record is None or record.request_id != settle.request_id:
             return False
         # A withdrawal that was delayed must not free the key after the same
@@ -206,9 +223,9 @@
             return False
         if settle.run:
             result = settle.result if settle.has_result else None
-            self._book.table.finish(record, result=result)
+            self._registry.table.finish(record, result=result)
         elif record.stage in (ClaimStage.PENDING, ClaimStage.RUNNING):
-            self._book.table.remove(settle.key)
+            self._registry.table.remove(settle.key)
         return True
 
 
--- a/src/trefoilpaddle/coordination/claims/claim_outcomes.py
+++ b/src/trefoilpaddle/coordination/claims/claim_outcomes.py
@@ -14,12 +14,12 @@
     ----------
     text : str
         Client account and its own key, or the minted id.
-    minted : RequestId, optional
+    generated_id : RequestId, optional
         Set where the key is an id from ``POST /v1/requests``.
     """
 
     text: str
-    minted: RequestId | None = None
+    generated_id: RequestId | None = None
 
 
 def account_key(account: str, key: str) -> Key:
--- a/src/trefoilpaddle/coordination/claims/claim_book.py
+++ b/src/trefoilpaddle/coordination/claims/claim_registry.py
@@ -10,16 +10,16 @@
 from ...state.places import Place, PlaceHistory, PlaceList
 from ...state.published import Published
 
-FORMER_LISTS_S: Final = 300.0
+FORMER_LIST_RETENTION_S: Final = 300.0
 """How long a replaced list is asked about; a partition of minutes fits in."""
 
-RETRY_S: Final = 1.0
+MIN_RETRY_AFTER_S: Final = 1.0
 """Shortest wait that a caller is told where nobody is sure."""
 
 TRY_BYTES: Final = 6
 """Random bytes in the id of a try."""
 
-TRY_MARK: Final = "~"
+TRY_SEPARATOR: Final = "~"
 """Between a request id and what tells one try of the request from another."""
 
 IncarnationOf = Callable[[str], int | None]
@@ -29,7 +29,7 @@
     return None
 
 
-class ClaimBook:
+class ClaimRegistry:
     """Claims known to this process, and how far it can vouch for others.
 
     Parameters
@@ -75,7 +75,7 @@
         self._clock = clock
         self._born_s = clock()
         self._longest_s = 0.0
-        self.history = PlaceHistory(keep_s=FORMER_LISTS_S, clock=clock)
+        self.history = PlaceHistory(keep_s=FORMER_LIST_RETENTION_S, clock=clock)
         published.subscribe(self._on_published)
         self._on_published()
 
@@ -89,16 +89,16 @@
         self._longest_s = max([self._longest_s, *(e.deadline_s for e in entries)])
 
     @property
-    def present(self) -> PlaceList:
+    def active_list(self) -> PlaceList:
         """The list in force."""
         return self.history.present
 
     @property
-    def memory_s(self) -> float:
+    def retention_s(self) -> float:
         """Longest time for which any claim must be remembered."""
         return self.table.window_s + self._longest_s
 
-    def incomplete_s(self) -> float:
+    def time_to_complete_s(self) -> float:
         """Return for how long this process may still lack an earlier claim.
 
         A restarted process has forgotten the claims that it held. Until every
@@ -106,13 +106,13 @@
         over, it cannot vouch that a key is new.
         """
         known_since_s = max(self._born_s, self.history.cut_s)
-        return max(0.0, known_since_s + self.memory_s - self._clock())
+        return max(0.0, known_since_s + self.retention_s - self._clock())
 
     def is_complete(self) -> bool:
         """Return True if no claim recorded here can have been forgotten."""
-        return self.incomplete_s() == 0.0
+        return self.time_to_complete_s() == 0.0
 
-    def vouches_with(self, partner: str) -> bool:
+    def is_complete_with(self, partner: str) -> bool:
         """Return True if no claim on keys decided with `partner` can be missing.
 
         Either nothing can have been forgotten here, or `partner` has handed over
@@ -120,14 +120,16 @@
         """
         return self.is_complete() or partner in self.learned_from
 
-    def other_pairs(self, key: str, *, revision: int) -> Iterator[tuple[Place, ...]]:
+    def pairs_of_other_lists(
+        self, key: str, *, revision: int
+    ) -> Iterator[tuple[Place, ...]]:
         """Yield the distinct places of `key` under known lists but `revision`.
 
         These are the lists replaced lately, and the present one where the asker
         decides under a newer: others may still decide under either.
         """
         seen: set[tuple[str, ...]] = set()
-        for places in (self.present, *self.history.former()):
+        for places in (self.active_list, *self.history.former()):
             if places.revision == revision:
                 continue
             pair = places.pair(key)
@@ -136,7 +138,7 @@
                 seen.add(names)
                 yield pair
 
-    def known(self, record: ClaimRecord, claim: Claim) -> ClaimAnswer:
+    def evaluate(self, record: ClaimRecord, claim: Claim) -> ClaimAnswer:
         """Return what `record` means for the try that `claim` describes."""
         if record.stage is ClaimStage.MOVED:
             return self.not_mine("this key has moved to another place")
@@ -167,7 +169,7 @@
         record.gateway_incarnation = claim.gateway_incarnation
         record.overdue_s = self._clock() + claim.budget_ms / 1000
 
-    def note(self, claim: Claim, *, stage: ClaimStage) -> ClaimRecord | None:
+    def record_claim(self, claim: Claim, *, stage: ClaimStage) -> ClaimRecord | None:
         """Record a claim on an unknown key; return None if the table is full."""
         record = record_of(claim, stage=stage)
         is_kept = self.table.add(record, budget_s=claim.budget_ms / 1000)
@@ -177,13 +179,13 @@
         """Return the answer of a process that does not decide about the key."""
         return ClaimAnswer(
             state=ClaimState.NOT_MINE,
-            hosts_revision=self.present.revision,
+            hosts_revision=self.active_list.revision,
             detail=detail,
         )
 
-    def unsure(self, detail: str) -> ClaimAnswer:
+    def unknown_outcome(self, detail: str) -> ClaimAnswer:
         """Return the answer when nobody can tell whether an earlier try ran."""
-        wait_s = max(RETRY_S, self.incomplete_s())
+        wait_s = max(MIN_RETRY_AFTER_S, self.time_to_complete_s())
         return ClaimAnswer(
             state=ClaimState.UNKNOWN, detail=detail, retry_after_ms=int(1000 * wait_s)
         )
@@ -229,15 +231,15 @@
 
 def new_try_id(request_id: str) -> str:
     """Return an id of one try alone; a retry can carry the same request id."""
-    return f"{request_id}{TRY_MARK}{secrets.token_hex(TRY_BYTES)}"
+    return f"{request_id}{TRY_SEPARATOR}{secrets.token_hex(TRY_BYTES)}"
 
 
-def request_of(try_id: str) -> str:
+def request_id_of(try_id: str) -> str:
     """Return the request id in the id of a try."""
-    return try_id.partition(TRY_MARK)[0]
+    return try_id.partition(TRY_SEPARATOR)[0]
 
 
-def places_message(pair: tuple[Place, ...]) -> Places:
+def replicas_message(pair: tuple[Place, ...]) -> Places:
     """Return `pair` as it travels."""
     return Places(
         process_ids=[place.process_id for place in pair],
@@ -245,7 +247,7 @@
     )
 
 
-def places_of(message: Places) -> tuple[Place, ...]:
+def replicas_of(message: Places) -> tuple[Place, ...]:
     """Return the pair that `message` carries; domains do not travel."""
     named = zip(message.process_ids, message.addresses, strict=False)
     return tuple(
--- a/src/trefoilpaddle/coordination/claims/claim_copy.py
+++ b/src/trefoilpaddle/coordination/claims/claim_replica.py
@@ -10,16 +10,16 @@
 )
 from ...protocol.gen.stage.ttypes import Hello
 from ...state.claim_table import ClaimRecord, ClaimStage
-from .claim_book import ClaimBook, places_message
+from .claim_registry import ClaimRegistry, replicas_message
 
 
-class ClaimCopies:
+class ClaimReplica:
     """Answers copies, moves and peeks from what this process knows."""
 
-    __slots__ = ("_book",)
+    __slots__ = ("_registry",)
 
-    def __init__(self, *, book: ClaimBook) -> None:
-        self._book = book
+    def __init__(self, *, registry: ClaimRegistry) -> None:
+        self._registry = registry
 
     async def answer(self, copy: ClaimCopy, peer: Hello) -> CopyAnswer:
         """Return what is known of a key here, having done what `copy` asks."""
@@ -33,11 +33,11 @@
                 answer = self._peek(claim)
         return CopyAnswer(
             answer=answer,
-            complete=self._book.is_complete(),
+            complete=self._registry.is_complete(),
             learned_from=self._learned_from(claim),
             former=[
-                places_message(pair)
-                for pair in self._book.other_pairs(
+                replicas_message(pair)
+                for pair in self._registry.pairs_of_other_lists(
                     claim.key, revision=claim.hosts_revision
                 )
             ],
@@ -45,49 +45,51 @@
 
     def _learned_from(self, claim: Claim) -> list[str]:
         """Return the partners in this key that have handed over what they knew."""
-        pairs = self._book.other_pairs(claim.key, revision=0)
+        pairs = self._registry.pairs_of_other_lists(claim.key, revision=0)
         partners = {place.process_id for pair in pairs for place in pair}
-        return sorted(partners & self._book.learned_from)
+        return sorted(partners & self._registry.learned_from)
 
     def _copy(self, claim: Claim) -> ClaimAnswer:
         if self._is_stale(claim):
-            return self._book.not_mine("the asking place has an older host list")
-        record = self._book.table.get(claim.key)
+            return self._registry.not_mine("the asking place has an older host list")
+        record = self._registry.table.get(claim.key)
         if record is None:
-            record = self._book.note(claim, stage=ClaimStage.RUNNING)
+            record = self._registry.record_claim(claim, stage=ClaimStage.RUNNING)
             return _none(claim) if record else self._full()
-        answer = self._book.known(record, claim)
+        answer = self._registry.evaluate(record, claim)
         if answer.state == ClaimState.NEW:
             record.grant = claim.grant
         return answer
 
     def _move(self, claim: Claim, peer: Hello) -> ClaimAnswer:
-        record = self._book.table.get(claim.key)
+        record = self._registry.table.get(claim.key)
         if record is None:
-            record = self._book.note(claim, stage=ClaimStage.MOVED)
+            record = self._registry.record_claim(claim, stage=ClaimStage.MOVED)
             if record is None:
                 return self._full()
         elif not _may_move(record, peer):
-            return self._book.known(record, claim)
+            return self._registry.evaluate(record, claim)
         record.stage = ClaimStage.MOVED
         record.gateway = peer.process_id
         record.gateway_incarnation = peer.incarnation
-        self._book.table.keep_until(record, for_s=self._book.memory_s)
+        self._registry.table.keep_until(record, for_s=self._registry.retention_s)
         return _none(claim)
 
     def _peek(self, claim: Claim) -> ClaimAnswer:
-        record = self._book.table.get(claim.key)
+        record = self._registry.table.get(claim.key)
         if record is None:
-            return self._book.unsure("the second place has no record of the key")
-        answer = self._book.known(record, claim)
+            return self._registry.unknown_outcome(
+                "the second place has no record of the key"
+            )
+        answer = self._registry.evaluate(record, claim)
         if answer.state != ClaimState.NEW:
             return answer
         # The first place copied this very try here and may have granted it;
         # the gateway asks because that answer did not arrive.
-        return self._book.unsure("the first place did not answer in time")
+        return self._registry.unknown_outcome("the first place did not answer in time")
 
     def _full(self) -> ClaimAnswer:
-        return self._book.unsure("a place of this key keeps no more keys")
+        return self._registry.unknown_outcome("a place of this key keeps no more keys")
 
     def _is_stale(self, claim: Claim) -> bool:
         """Return True if the asker decides under a list that is replaced.
@@ -96,11 +98,11 @@
         the platform or just woken, still grants under its old list; its second
         place knows a newer one, in which it is not second, and stops it.
         """
-        present = self._book.present
+        present = self._registry.active_list
         if claim.hosts_revision >= present.revision:
             return False
         pair = present.pair(claim.key)
-        return len(pair) < 2 or pair[1].process_id != self._book.process_id
+        return len(pair) < 2 or pair[1].process_id != self._registry.process_id
 
 
 def _may_move(record: ClaimRecord, peer: Hello) -> bool:
--- a/src/trefoilpaddle/coordination/claims/key_parts.py
+++ b/src/trefoilpaddle/coordination/claims/claim_setup.py
@@ -5,12 +5,12 @@
 from ...state.published import Published
 from ...transport.peers import Peers
 from ...transport.server import PeerServer
-from .claim_book import ClaimBook, IncarnationOf
 from .claim_home import ClaimHome
-from .claim_sync import ClaimSyncs
+from .claim_registry import ClaimRegistry, IncarnationOf
+from .claim_sync import ClaimSynchroniser
 
 
-def incarnations_at(server: PeerServer) -> IncarnationOf:
+def connected_incarnations(server: PeerServer) -> IncarnationOf:
     """Return what tells the incarnation last heard from a process at `server`."""
 
     def incarnation_of(process_id: str) -> int | None:
@@ -22,7 +22,7 @@
     return incarnation_of
 
 
-def sidecar_keys(
+def mount_sidecar_claims(
     *,
     process_id: str,
     published: Published,
@@ -30,15 +30,15 @@
     server: PeerServer,
     journal: Journal,
     window_s: float,
-) -> ClaimSyncs:
+) -> ClaimSynchroniser:
     """Answer for request keys at `server`; return what must run after a start."""
-    book = ClaimBook(
+    registry = ClaimRegistry(
         process_id=process_id,
         published=published,
         table=ClaimTable(window_s=window_s),
-        incarnation_of=incarnations_at(server),
+        incarnation_of=connected_incarnations(server),
     )
-    ClaimHome(book=book, asker=peers, journal=journal).mount(server)
-    syncs = ClaimSyncs(book=book, asker=peers)
+    ClaimHome(registry=registry, asker=peers, journal=journal).mount(server)
+    syncs = ClaimSynchroniser(registry=registry, asker=peers)
     syncs.mount(server)
     return syncs
--- a/src/trefoilpaddle/coordination/claims/claim_sync.py
+++ b/src/trefoilpaddle/coordination/claims/claim_sync.py
@@ -23,7 +23,7 @@
 from ...state.places import Place, PlaceList
 from ...transport.server import PeerServer
 from ..requests.asker import Asker, ask_at
-from .claim_book import ClaimBook, record_of
+from .claim_registry import ClaimRegistry, record_of
 
 MAX_PAGE_BYTES: Final = 512 * 1024
 """Size at which a page ends; the claim that exceeds it is still sent.
@@ -35,7 +35,7 @@
 """A place whose lists are larger, many changes in a large fleet, hands over none;
 the other one then waits until it is old enough to vouch."""
 
-PLACE_BYTES: Final = 100
+REPLICA_BYTES: Final = 100
 """Taken as the size of a place in a list."""
 
 CLAIM_BYTES: Final = 512
@@ -51,21 +51,21 @@
 """Pause before the places that have not handed over are asked again."""
 
 
-class ClaimSyncs:
+class ClaimSynchroniser:
     """Asks other places for shared claims after a start, and answers them.
 
     Parameters
     ----------
-    book : ClaimBook
+    registry : ClaimRegistry
         What this process knows.
     asker : Asker
         Reaches the other places.
     """
 
-    __slots__ = ("_asker", "_book")
+    __slots__ = ("_asker", "_registry")
 
-    def __init__(self, *, book: ClaimBook, asker: Asker) -> None:
-        self._book = book
+    def __init__(self, *, registry: ClaimRegistry, asker: Asker) -> None:
+        self._registry = registry
         self._asker = asker
 
     def mount(self, server: PeerServer) -> None:
@@ -74,15 +74,15 @@
 
     async def run(self) -> None:
         """Learn from every place of the list, until nothing can be missing."""
-        while not self._book.is_complete():
-            await self.learn()
+        while not self._registry.is_complete():
+            await self.fetch_once()
             await asyncio.sleep(RETRY_S)
 
-    async def learn(self) -> None:
+    async def fetch_once(self) -> None:
         """Ask each place that has not handed over yet, once."""
-        for place in self._book.present.places:
-            is_own = place.process_id == self._book.process_id
-            if not is_own and place.process_id not in self._book.learned_from:
+        for place in self._registry.active_list.places:
+            is_own = place.process_id == self._registry.process_id
+            if not is_own and place.process_id not in self._registry.learned_from:
                 await self._learn_from(place)
 
     async def _learn_from(self, place: Place) -> None:
@@ -99,12 +99,12 @@
                     return
             is_complete = is_complete and page.complete and self._keep(page.claims)
             for known in page.lists:
-                self._book.history.learn(
+                self._registry.history.learn(
                     _list_of(known), replaced_ago_s=known.replaced_ago_ms / MS_PER_S
                 )
             if not page.more or not page.claims:
                 if is_complete:
-                    self._book.learned_from.add(place.process_id)
+                    self._registry.learned_from.add(place.process_id)
                 return
             last = page.claims[-1].claim
             after_key = last.key if last is not None else ""
@@ -113,9 +113,9 @@
         """Record what is not known here; return False if there is no room."""
         for known in claims:
             claim = known.claim
-            if claim is None or self._book.table.get(claim.key) is not None:
+            if claim is None or self._registry.table.get(claim.key) is not None:
                 continue
-            is_kept = self._book.table.copy_in(
+            is_kept = self._registry.table.copy_in(
                 record_of(
                     claim,
                     stage=_stage_of(known),
@@ -131,25 +131,27 @@
     async def answer(self, sync: ClaimSync, peer: Hello) -> SyncAnswer:
         """Return a page of the claims on keys that `peer` decides too."""
         answer = SyncAnswer(
-            claims=[], complete=self._book.vouches_with(peer.process_id)
+            claims=[], complete=self._registry.is_complete_with(peer.process_id)
         )
         n_bytes = 0
         if not sync.after_key:
-            answer.lists = [_known_list(a, p) for a, p in self._book.history.dated()]
-            n_bytes = PLACE_BYTES * sum(len(k.process_ids) for k in answer.lists)
+            answer.lists = [
+                _known_list(a, p) for a, p in self._registry.history.dated()
+            ]
+            n_bytes = REPLICA_BYTES * sum(len(k.process_ids) for k in answer.lists)
         if n_bytes > MAX_LISTS_BYTES:
             return SyncAnswer(complete=False)
         for record in self._shared(sync.after_key, peer.process_id):
             if n_bytes > MAX_PAGE_BYTES:
                 answer.more = True
                 break
-            answer.claims.append(_known(record, now_s=self._book.now_s()))
+            answer.claims.append(_known(record, now_s=self._registry.now_s()))
             n_bytes += CLAIM_BYTES + len(record.result or b"")
         return answer
 
     def _shared(self, after_key: str, partner: str) -> Iterator[ClaimRecord]:
-        for record in self._book.table.after(after_key):
-            pairs = self._book.other_pairs(record.key, revision=0)
+        for record in self._registry.table.after(after_key):
+            pairs = self._registry.pairs_of_other_lists(record.key, revision=0)
             if any(partner == place.process_id for pair in pairs for place in pair):
                 yield record
 
--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -29,7 +29,7 @@
 from ..members.directory import Directory
 from ..requests.asker import Asker, ask_at
 from .claim_outcomes import Answered, ClaimOutcome, InProgress, Key, KeyGranted
-from .minted import MintedClaims
+from .generated_ids import GeneratedIdClaims
 
 CLAIM_TIMEOUT_S: Final = 1.5
 """Wait for the first place, which itself may wait for three others."""
@@ -43,7 +43,7 @@
 POLL_MAX_S: Final = 0.5
 """Longest pause before a place is asked again."""
 
-NOT_MINE_S: Final = 3.0
+LIST_SKEW_S: Final = 3.0
 """How long gateway and place may differ about the list; it is read each second."""
 
 STEP: Final = "claim"
@@ -73,7 +73,7 @@
         Finds the gateway that minted an id.
     asker : Asker
         Reaches the places.
-    minted : MintedClaims
+    generated_ids : GeneratedIdClaims
         Decides about the ids of this gateway.
     clock, sleep : callable
         Monotonic seconds, and a wait of seconds.
@@ -84,8 +84,8 @@
         "_clock",
         "_directory",
         "_drops",
+        "_generated_ids",
         "_hello",
-        "_minted",
         "_published",
         "_sleep",
     )
@@ -97,7 +97,7 @@
         published: Published,
         directory: Directory,
         asker: Asker,
-        minted: MintedClaims,
+        generated_ids: GeneratedIdClaims,
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
@@ -105,7 +105,7 @@
         self._published = published
         self._directory = directory
         self._asker = asker
-        self._minted = minted
+        self._generated_ids = generated_ids
         self._clock = clock
         self._sleep = sleep
         self._drops: set[asyncio.Task[bool]] = set()
@@ -173,8 +173,8 @@
         return self._outcome(key, claim, home, answer)
 
     def _home(self, key: Key) -> _Home | None:
-        if key.minted is not None:
-            return self._minting_home(key.minted)
+        if key.generated_id is not None:
+            return self._generating_home(key.generated_id)
         hosts = self._published.hosts
         pair = place_list(hosts).pair(key.text)
         if not pair:
@@ -186,26 +186,26 @@
             hosts_revision=hosts.revision,
         )
 
-    def _minting_home(self, minted: RequestId) -> _Home | None:
+    def _generating_home(self, generated: RequestId) -> _Home | None:
         address = ""
-        if minted.process_id != self._hello().process_id:
-            host = self._directory.host(minted.process_id)
+        if generated.process_id != self._hello().process_id:
+            host = self._directory.host(generated.process_id)
             if host is None:
                 return None
             address = host.peer_address
         return _Home(
-            process_id=minted.process_id,
+            process_id=generated.process_id,
             address=address,
             second_address="",
             hosts_revision=0,
-            incarnation=minted.incarnation,
+            incarnation=generated.incarnation,
         )
 
     async def _ask(self, home: _Home, claim: Claim) -> ClaimAnswer | None:
         claim.hosts_revision = home.hosts_revision
         claim.home_incarnation = home.incarnation
         if not home.address:
-            return await self._minted.answer_claim(claim, self._hello())
+            return await self._generated_ids.answer_claim(claim, self._hello())
         reply = await ask_at(
             self._asker,
             home.address,
@@ -301,8 +301,8 @@
             result=kept or b"",
             has_result=kept is not None,
         )
-        if granted.key.minted is not None and not granted.addresses:
-            noted = await self._minted.answer_settle(settle, self._hello())
+        if granted.key.generated_id is not None and not granted.addresses:
+            noted = await self._generated_ids.answer_settle(settle, self._hello())
             return noted.known
         for address in granted.addresses:
             if _is_noted(await self._send(address, settle)):
@@ -327,7 +327,7 @@
     if answer is None:
         return False
     if answer.state == ClaimState.NOT_MINE:
-        return passed_s < NOT_MINE_S
+        return passed_s < LIST_SKEW_S
     return answer.state == ClaimState.IN_PROGRESS and passed_s < wait_s
 
 
--- a/src/trefoilpaddle/coordination/claims/minted.py
+++ b/src/trefoilpaddle/coordination/claims/generated_ids.py
@@ -19,21 +19,21 @@
 from ...protocol.ids import RequestId
 from ...state.claim_table import ClaimStage
 from ...transport.server import PeerServer
-from .claim_book import ClaimBook
+from .claim_registry import ClaimRegistry
 
-MINTED_S: Final = 300.0
+UNUSED_ID_TTL_S: Final = 300.0
 """How long an unused id stays valid."""
 
-MAX_MINTED: Final = 100_000
+MAX_UNUSED_IDS: Final = 100_000
 """Unused ids remembered; beyond it the oldest one ends."""
 
 
-class MintedClaims:
+class GeneratedIdClaims:
     """Mints ids and decides about them.
 
     Parameters
     ----------
-    book : ClaimBook
+    registry : ClaimRegistry
         Claims known to this gateway.
     process_id : str
         This gateway.
@@ -43,17 +43,17 @@
         Monotonic seconds.
     """
 
-    __slots__ = ("_book", "_clock", "_incarnation", "_process_id", "_unused")
+    __slots__ = ("_clock", "_incarnation", "_process_id", "_registry", "_unused")
 
     def __init__(
         self,
         *,
-        book: ClaimBook,
+        registry: ClaimRegistry,
         process_id: str,
         incarnation: int,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._process_id = process_id
         self._incarnation = incarnation
         self._clock = clock
@@ -64,48 +64,52 @@
         server.answer(Claim, self.answer_claim)
         server.answer(Settle, self.answer_settle)
 
-    def mint(self) -> RequestId:
-        """Return a fresh id; beyond ``MAX_MINTED`` the oldest unused one ends."""
+    def generate(self) -> RequestId:
+        """Return a fresh id; beyond ``MAX_UNUSED_IDS`` the oldest unused one ends."""
         self._drop_old()
-        minted = RequestId.mint(
+        generated = RequestId.mint(
             process_id=self._process_id, incarnation=self._incarnation
         )
-        self._unused[str(minted)] = self._clock() + MINTED_S
-        return minted
+        self._unused[str(generated)] = self._clock() + UNUSED_ID_TTL_S
+        return generated
 
     def _drop_old(self) -> None:
         while self._unused:
             oldest = next(iter(self._unused))
             is_over = self._unused[oldest] < self._clock()
-            if not is_over and len(self._unused) < MAX_MINTED:
+            if not is_over and len(self._unused) < MAX_UNUSED_IDS:
                 return
             del self._unused[oldest]
 
     async def answer_claim(self, claim: Claim, _peer: Hello) -> ClaimAnswer:
         """Return whether the try that `claim` describes may run."""
         if claim.home_incarnation != self._incarnation:
-            return self._book.unsure("the gateway that made this id has restarted")
-        record = self._book.table.get(claim.key)
+            return self._registry.unknown_outcome(
+                "the gateway that made this id has restarted"
+            )
+        record = self._registry.table.get(claim.key)
         if record is not None:
-            return self._book.known(record, claim)
+            return self._registry.evaluate(record, claim)
         self._drop_old()
         if claim.key not in self._unused:
-            return self._book.unsure("this id was used before, or is too old")
-        record = self._book.note(claim, stage=ClaimStage.RUNNING)
+            return self._registry.unknown_outcome(
+                "this id was used before, or is too old"
+            )
+        record = self._registry.record_claim(claim, stage=ClaimStage.RUNNING)
         if record is None:
-            return self._book.unsure("this gateway keeps no more ids")
+            return self._registry.unknown_outcome("this gateway keeps no more ids")
         del self._unused[claim.key]
-        return self._book.known(record, claim)
+        return self._registry.evaluate(record, claim)
 
     async def answer_settle(self, settle: Settle, _peer: Hello) -> SettleAnswer:
         """Note the end of a request."""
-        record = self._book.table.get(settle.key)
+        record = self._registry.table.get(settle.key)
         if record is None or record.request_id != settle.request_id:
             return SettleAnswer(known=False)
         if settle.run:
             result = settle.result if settle.has_result else None
-            self._book.table.finish(record, result=result)
+            self._registry.table.finish(record, result=result)
         elif record.stage is ClaimStage.RUNNING:
-            self._book.table.remove(settle.key)
-            self._unused[settle.key] = self._clock() + MINTED_S
+            self._registry.table.remove(settle.key)
+            self._unused[settle.key] = self._clock() + UNUSED_ID_TTL_S
         return SettleAnswer(known=True)
--- a/src/trefoilpaddle/coordination/claims/key_claims.py
+++ b/src/trefoilpaddle/coordination/claims/key_claims.py
@@ -19,8 +19,8 @@
 from ..requests.request import Answer, Refusal, Request
 from ..requests.request_guards import EndedBefore, KeyState, RunsHere
 from ..requests.stage_call import FOLLOW_LATE_S
-from .claim_book import request_of
 from .claim_outcomes import Answered, InProgress, Key, KeyGranted, account_key
+from .claim_registry import request_id_of
 from .claims import Claimer
 
 STEP: Final = "claim"
@@ -98,8 +98,8 @@
 
 def _key_of(request: Request) -> Key:
     if request.is_key_minted:
-        minted = RequestId.parse(request.key).unwrap()
-        return Key(text=request.key, minted=minted)
+        generated = RequestId.parse(request.key).unwrap()
+        return Key(text=request.key, generated_id=generated)
     return account_key(request.account, request.key)
 
 
@@ -108,7 +108,7 @@
         reason=Reason.IN_PROGRESS,
         step=STEP,
         peer=outcome.gateway,
-        detail=f"The earlier try of {request_of(outcome.request_id)} still runs.",
+        detail=f"The earlier try of {request_id_of(outcome.request_id)} still runs.",
         retry_after_s=RETRY_AFTER_S,
     )
 
@@ -132,13 +132,13 @@
 
 
 def _ended(answered: Answered) -> EndedBefore:
-    first_id = request_of(answered.request_id)
+    first_id = request_id_of(answered.request_id)
     record = read_record(answered.result) if answered.result else Err("")
     match record:
         case Ok(AnsweredRecord() as kept):
             outcome = Ok(Answer(output=kept.output, cost_s=kept.cost_s))
             return EndedBefore(
-                request_id=request_of(answered.request_id), outcome=outcome
+                request_id=request_id_of(answered.request_id), outcome=outcome
             )
         case Ok(EndedRecord() as kept):
             refusal = Refusal(
--- a/src/trefoilpaddle/coordination/claims/spent.py
+++ b/src/trefoilpaddle/coordination/claims/request_usage.py
@@ -6,7 +6,7 @@
 from ..targets.stage_work import StageWork
 
 
-class Spent:
+class RequestUsage:
     """Attempts and cost of one request, kept up to date while they run.
 
     An attempt counts as started from the moment that it may have left this
@@ -14,7 +14,7 @@
 
     Attributes
     ----------
-    given_up : asyncio.Future of Refusal
+    early_refusal : asyncio.Future of Refusal
         Set when the caller is to be answered although the request goes on.
     """
 
@@ -24,7 +24,7 @@
         "_n_in_doubt",
         "_n_once_only_in_doubt",
         "cost_s",
-        "given_up",
+        "early_refusal",
         "n_attempts",
         "n_tokens",
     )
@@ -36,7 +36,7 @@
         self._n_once_only_in_doubt = 0
         self.cost_s = 0.0
         loop = asyncio.get_running_loop()
-        self.given_up: asyncio.Future[Refusal] = loop.create_future()
+        self.early_refusal: asyncio.Future[Refusal] = loop.create_future()
         self.n_attempts = 0
         self.n_tokens = 0
 
@@ -50,10 +50,10 @@
         """Return True if a stage that must run at most once may have started."""
         return self._has_run_once_only or self._n_once_only_in_doubt > 0
 
-    def give_up(self, refusal: Refusal) -> None:
+    def answer_early(self, refusal: Refusal) -> None:
         """Have the caller answered now; the request goes on for a retry of it."""
-        if not self.given_up.done():
-            self.given_up.set_result(refusal)
+        if not self.early_refusal.done():
+            self.early_refusal.set_result(refusal)
 
     def begin(self, work: StageWork) -> None:
         """Count an attempt that is about to be sent."""
--- a/src/trefoilpaddle/coordination/limits/admission.py
+++ b/src/trefoilpaddle/coordination/limits/admission.py
@@ -82,7 +82,7 @@
     )
 
 
-def is_body_sound(attempt: Attempt) -> bool:
+def is_body_intact(attempt: Attempt) -> bool:
     """Return True if the body has the length and checksum that were announced."""
     start = attempt.start
     if len(attempt.body) != start.body_bytes:
--- a/src/trefoilpaddle/coordination/limits/entry_allowances.py
+++ b/src/trefoilpaddle/coordination/limits/entry_allowances.py
@@ -19,10 +19,10 @@
 MIN_RETRY_S: Final = 0.2
 """Shortest wait that a refused caller is told."""
 
-RECENT_S: Final = 10.0
+RECENT_USE_S: Final = 10.0
 """An entry used within this time is expected to be used again."""
 
-PLENTY: Final = 4
+MIN_REQUESTS_TO_PREFETCH: Final = 4
 """A share that serves so many requests at once can spare one in advance."""
 
 IDLE_S: Final = 30.0
@@ -30,20 +30,20 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Moment:
-    """What holds for one entry at one moment.
+class AdmissionTimes:
+    """What holds for one entry at one times.
 
     Parameters
     ----------
     now_s : float
         Own monotonic clock.
-    share_from_s : float
+    own_share_from_s : float
         Own clock, from which on no home counts on this gateway, so that its own
         share of a rate refills here.
     """
 
     now_s: float
-    share_from_s: float
+    own_share_from_s: float
 
 
 class EntryAllowances:
@@ -99,7 +99,7 @@
         self._slots = SlotAllowance(now_s=now_s, asked_s=asked_s)
         self._tokens = RateAllowance(now_s=now_s)
 
-    def take(self, moment: Moment, n_tokens: int) -> Result[int, NotRun]:
+    def take(self, times: AdmissionTimes, n_tokens: int) -> Result[int, NotRun]:
         """Use up what one request needs, or say which limit lacks it.
 
         Returns
@@ -107,10 +107,10 @@
         Result[int, NotRun]
             The tokens taken, 0 where no limit binds them.
         """
-        limits, now_s = self.entry.limits, moment.now_s
+        limits, now_s = self.entry.limits, times.now_s
         self._used_s = now_s
         self._n_tokens = float(n_tokens)
-        lacking = list(self._lacking(moment, float(n_tokens)))
+        lacking = list(self._lacking(times, float(n_tokens)))
         if lacking:
             return Err(lacking[0])
         self._slots.take()
@@ -121,19 +121,19 @@
         self._tokens.take(now_s, float(n_tokens))
         return Ok(n_tokens)
 
-    def _lacking(self, moment: Moment, n_tokens: float) -> Iterator[NotRun]:
+    def _lacking(self, times: AdmissionTimes, n_tokens: float) -> Iterator[NotRun]:
         """Yield a refusal for each limit that lacks budget, and note the need."""
-        limits, now_s = self.entry.limits, moment.now_s
+        limits, now_s = self.entry.limits, times.now_s
         if not self._slots.has(self._n_slots(now_s)):
             wait_s = self._slots.refused_until_s - now_s
             yield self._refusal(Reason.LIMIT_CONCURRENCY, wait_s)
         if limits.rate_per_s is not None:
-            self._use_share(self._rate, limits.rate_per_s, moment, 1.0)
+            self._use_share(self._rate, limits.rate_per_s, times, 1.0)
             if not self._rate.has(now_s, 1.0):
                 wait_s = self._rate.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_RATE, wait_s)
         if limits.tokens_per_s is not None:
-            self._use_share(self._tokens, limits.tokens_per_s, moment, n_tokens)
+            self._use_share(self._tokens, limits.tokens_per_s, times, n_tokens)
             if not self._tokens.has(now_s, n_tokens):
                 wait_s = self._tokens.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_TOKENS, wait_s)
@@ -148,7 +148,7 @@
         """Return True if nothing of the entry was asked for lately or runs."""
         return self._slots.n_used == 0 and now_s > self._used_s + IDLE_S
 
-    def is_refused(self, now_s: float) -> bool:
+    def is_backing_off(self, now_s: float) -> bool:
         """Return True if the home has lately said to come back later."""
         limits = self.entry.limits
         return (
@@ -163,7 +163,7 @@
         """Return True if budget should be asked for before a request waits."""
         return self._rate.is_low() or self._tokens.is_low()
 
-    def is_short(self) -> bool:
+    def is_urgent(self) -> bool:
         """Return True if a request waits for budget, or places are to be freed."""
         return (
             self._slots.is_missed()
@@ -173,11 +173,11 @@
             or self.is_low()
         )
 
-    def is_wanted_elsewhere(self) -> bool:
+    def is_contended(self) -> bool:
         """Return True if another gateway waits for places that are free here."""
         return self._slots.is_contended
 
-    def wants(self, now_s: float, *, period_s: float) -> list[LeaseWant]:
+    def report_wants(self, now_s: float, *, period_s: float) -> list[LeaseWant]:
         """Return what to tell the home, and count it as told."""
         limits = self.entry.limits
         told: list[LeaseWant] = []
@@ -191,7 +191,9 @@
                 now_s,
                 share=share,
                 limit=limits.n_concurrent,
-                n_spare=int(self._is_recent(now_s) and share >= PLENTY),
+                n_spare=int(
+                    self._is_recent(now_s) and share >= MIN_REQUESTS_TO_PREFETCH
+                ),
             )
             told.append(self._wire(LimitKind.CONCURRENCY, want))
         if limits.tokens_per_s is not None:
@@ -207,13 +209,15 @@
         waits for an answer of the home. Of a scarce limit none is kept back.
         """
         share = limit * self._shares.fraction(self._alone)
-        is_plenty = share * self.entry.limits.burst_s >= PLENTY * n_each
+        is_plenty = (
+            share * self.entry.limits.burst_s >= MIN_REQUESTS_TO_PREFETCH * n_each
+        )
         return n_each if is_plenty and self._is_recent(now_s) else 0.0
 
     def _is_recent(self, now_s: float) -> bool:
-        return now_s < self._used_s + RECENT_S
+        return now_s < self._used_s + RECENT_USE_S
 
-    def grant(self, grant: LeaseGrant, *, sent_s: float, now_s: float) -> None:
+    def apply_grant(self, grant: LeaseGrant, *, sent_s: float, now_s: float) -> None:
         """Take what the ask sent at `sent_s` brought."""
         wait_s = grant.retry_after_ms / 1000
         match grant.kind:
@@ -246,12 +250,12 @@
         )
 
     def _use_share(
-        self, allowance: RateAllowance, limit: float, moment: Moment, need: float
+        self, allowance: RateAllowance, limit: float, times: AdmissionTimes, need: float
     ) -> None:
         allowance.use_share(
-            moment.now_s,
+            times.now_s,
             rate_per_s=limit * self._shares.fraction(self._alone),
-            from_s=moment.share_from_s,
+            from_s=times.own_share_from_s,
             burst_s=self.entry.limits.burst_s,
             need=need,
         )
--- a/src/trefoilpaddle/coordination/limits/lease_contact.py
+++ b/src/trefoilpaddle/coordination/limits/lease_contact.py
@@ -13,7 +13,7 @@
 from ...state.places import Place
 from ..requests.asker import Asker, ask_at
 
-ASK_TIMEOUT_S: Final = 0.4
+LEASE_REQUEST_TIMEOUT_S: Final = 0.4
 """Longest wait for the home, and the pause after it was not heard."""
 
 PERIOD_S: Final = 0.6
@@ -26,18 +26,20 @@
 """Least time between two asks to one home, however many requests wait."""
 
 
-class Ledger(Protocol):
+class LeaseHolder(Protocol):
     """What a contact asks for and where answers go; `Limiter` is one."""
 
-    def next_ask(self, home: Place, incarnation: int, now_s: float) -> LeaseAsk:
+    def next_lease_request(
+        self, home: Place, incarnation: int, now_s: float
+    ) -> LeaseAsk:
         """Return what to ask of `home` now; counted as sent."""
         ...
 
-    def take(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
+    def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
         """Take the answer to the ask sent at `sent_s`."""
         ...
 
-    def lose(self, home: Place) -> None:
+    def record_home_lost(self, home: Place) -> None:
         """Note that `home` answers no more."""
         ...
 
@@ -55,7 +57,7 @@
         The sidecar asked.
     asker : Asker
         Reaches it.
-    ledger : Ledger
+    holder : LeaseHolder
         What to ask, and who takes the answers.
     clock : callable
         Monotonic seconds.
@@ -64,13 +66,13 @@
     __slots__ = (
         "_asker",
         "_clock",
+        "_holder",
         "_incarnation",
-        "_kick",
-        "_ledger",
         "_period_s",
         "_round",
         "_stamp_ns",
         "_stamped_s",
+        "_triggered",
         "_turned",
         "_turning",
         "home",
@@ -81,35 +83,35 @@
         *,
         home: Place,
         asker: Asker,
-        ledger: Ledger,
+        holder: LeaseHolder,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.home = home
         self._asker = asker
-        self._ledger = ledger
+        self._holder = holder
         self._clock = clock
         self._incarnation = 0
         self._stamp_ns = 0
         self._stamped_s = 0.0
-        self._kick = asyncio.Event()
+        self._triggered = asyncio.Event()
         self._period_s = PERIOD_S
         self._round = 0
         self._turning = False
         self._turned = asyncio.Condition()
 
     @property
-    def is_heard(self) -> bool:
+    def is_responsive(self) -> bool:
         """Return True if the home answered the last ask."""
         return self._incarnation != 0
 
-    def kick(self) -> None:
+    def trigger(self) -> None:
         """Ask soon."""
-        self._kick.set()
+        self._triggered.set()
 
     async def refresh(self, *, timeout_s: float) -> None:
         """Wait for the answer to an ask that is sent from now on."""
         wanted = self._round + 2 if self._turning else self._round + 1
-        self._kick.set()
+        self._triggered.set()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s), self._turned:
                 await self._turned.wait_for(lambda: self._round >= wanted)
@@ -117,19 +119,21 @@
     async def run(self) -> None:
         """Ask again and again until cancelled."""
         while True:
-            await self.turn()
-            await asyncio.sleep(MIN_PERIOD_S if self.is_heard else ASK_TIMEOUT_S)
+            await self.exchange_once()
+            await asyncio.sleep(
+                MIN_PERIOD_S if self.is_responsive else LEASE_REQUEST_TIMEOUT_S
+            )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._period_s):
-                    await self._kick.wait()
+                    await self._triggered.wait()
 
-    async def turn(self) -> None:
+    async def exchange_once(self) -> None:
         """Probe the home if it was silent, then ask it once."""
-        self._kick.clear()
+        self._triggered.clear()
         self._turning = True
-        if not self.is_heard:
+        if not self.is_responsive:
             await self._probe()
-        if self.is_heard:
+        if self.is_responsive:
             await self._ask()
         self._turning = False
         async with self._turned:
@@ -143,7 +147,7 @@
 
     async def _ask(self) -> None:
         sent_s = self._clock()
-        ask = self._ledger.next_ask(self.home, self._incarnation, sent_s)
+        ask = self._holder.next_lease_request(self.home, self._incarnation, sent_s)
         self._period_s = PERIOD_S if ask.wants else IDLE_PERIOD_S
         ask.home_incarnation = self._incarnation
         ask.stamp_ns = self._stamp_ns
@@ -151,14 +155,14 @@
         answer = await self._send(ask)
         if answer is None or not answer.mine:
             self._incarnation = 0
-            self._ledger.lose(self.home)
+            self._holder.record_home_lost(self.home)
             return
         self._note_stamp(answer)
-        self._ledger.take(self.home, answer, sent_s=sent_s)
+        self._holder.apply_answer(self.home, answer, sent_s=sent_s)
 
     async def _send(self, ask: LeaseAsk) -> LeaseAnswer | None:
         reply = await ask_at(
-            self._asker, self.home.address, ask, timeout_s=ASK_TIMEOUT_S
+            self._asker, self.home.address, ask, timeout_s=LEASE_REQUEST_TIMEOUT_S
         )
         match reply:
             case Ok(LeaseAnswer() as answer):
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -20,19 +20,19 @@
 from ...state.published import Published
 from ..requests.asker import Asker
 from ..requests.request_guards import FREE, Permit
-from .entry_allowances import EntryAllowances, Moment
+from .entry_allowances import AdmissionTimes, EntryAllowances
 from .lease_contact import PERIOD_S, HomeContact
 from .permits import HeldPermit
 
-ASK_WAIT_S: Final = 0.25
+LEASE_WAIT_S: Final = 0.25
 """Longest wait of a request for budget that is not in hand."""
 
-N_ROUNDS: Final = 2
-UNBOUND: Final = Limits()
+MAX_LEASE_ROUNDS: Final = 2
+NO_LIMITS: Final = Limits()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Reliance:
+class ShareDelegation:
     """The home that may count on this gateway's share of a bucket, and why.
 
     Parameters
@@ -108,7 +108,7 @@
         self._allowances: dict[str, EntryAllowances] = {}
         self._homes: dict[int, Place] = {}
         self._holds_s: dict[int, float] = {}
-        self._reliances: dict[int, Reliance] = {}
+        self._reliances: dict[int, ShareDelegation] = {}
         self._told_s: dict[str, float] = {}
         self._tasks: dict[str, asyncio.Task[None]] | None = None
         self.contacts: dict[str, HomeContact] = {}
@@ -125,30 +125,34 @@
         """Return leave to run, or which limit refuses and for how long.
 
         Waits only when the budget in hand is not enough and the home has not
-        lately said to come back later; then ``ASK_WAIT_S`` at most.
+        lately said to come back later; then ``LEASE_WAIT_S`` at most.
         """
-        if entry.limits == UNBOUND:
+        if entry.limits == NO_LIMITS:
             return Ok(FREE)
         allowances = self._allowances_of(entry_name, entry)
-        taken = allowances.take(self._moment(allowances), n_tokens)
-        for _ in range(N_ROUNDS):
-            if isinstance(taken, Ok) or allowances.is_refused(self._clock()):
+        taken = allowances.take(self._times(allowances), n_tokens)
+        for _ in range(MAX_LEASE_ROUNDS):
+            if isinstance(taken, Ok) or allowances.is_backing_off(self._clock()):
                 break
             contact = self._contact_of(allowances.bucket)
-            if contact is None or not contact.is_heard:
+            if contact is None or not contact.is_responsive:
                 break
-            await contact.refresh(timeout_s=ASK_WAIT_S)
-            taken = allowances.take(self._moment(allowances), n_tokens)
+            await contact.refresh(timeout_s=LEASE_WAIT_S)
+            taken = allowances.take(self._times(allowances), n_tokens)
         match taken:
             case Err(error):
                 self._record_refusal(entry_name, entry, error)
                 return Err(error)
             case Ok(n_taken):
-                kick = self._kicker(allowances.bucket)
-                if allowances.is_low() and not allowances.is_refused(self._clock()):
-                    kick()
+                trigger = self._lease_trigger(allowances.bucket)
+                if allowances.is_low() and not allowances.is_backing_off(self._clock()):
+                    trigger()
                 return Ok(
-                    HeldPermit(allowances=allowances, n_tokens=n_taken, kick=kick)
+                    HeldPermit(
+                        allowances=allowances,
+                        n_tokens=n_taken,
+                        trigger_lease_request=trigger,
+                    )
                 )
 
     def _allowances_of(self, name: str, entry: Entry) -> EntryAllowances:
@@ -166,10 +170,10 @@
         allowances.entry = entry
         return allowances
 
-    def _moment(self, allowances: EntryAllowances) -> Moment:
+    def _times(self, allowances: EntryAllowances) -> AdmissionTimes:
         now_s = self._clock()
-        return Moment(
-            now_s=now_s, share_from_s=self._asked_s(allowances.bucket) + HOLD_S
+        return AdmissionTimes(
+            now_s=now_s, own_share_from_s=self._asked_s(allowances.bucket) + HOLD_S
         )
 
     def _asked_s(self, bucket: int) -> float:
@@ -181,13 +185,13 @@
         home = self._homes.get(bucket)
         return self.contacts.get(home.process_id) if home else None
 
-    def _kicker(self, bucket: int) -> Callable[[], None]:
-        def kick() -> None:
+    def _lease_trigger(self, bucket: int) -> Callable[[], None]:
+        def trigger() -> None:
             contact = self._contact_of(bucket)
             if contact is not None:
-                contact.kick()
+                contact.trigger()
 
-        return kick
+        return trigger
 
     def _record_refusal(self, name: str, entry: Entry, error: NotRun) -> None:
         self._journal.record(
@@ -208,7 +212,7 @@
         self.shares.set_hosts(self._published.hosts)
         places = place_list(self._published.hosts)
         entries = self._published.catalogue.entries
-        bound = {bucket_of(n) for n, e in entries.items() if e.limits != UNBOUND}
+        bound = {bucket_of(n) for n, e in entries.items() if e.limits != NO_LIMITS}
         pairs = {b: places.pair(bucket_key(b)) for b in range(N_BUCKETS) if b in bound}
         self._homes = {bucket: pair[0] for bucket, pair in pairs.items() if pair}
         self._holds_s = _holds_s(entries)
@@ -225,7 +229,7 @@
             if known is None or known.home.address != home.address:
                 self._close_contact(name)
                 self.contacts[name] = HomeContact(
-                    home=home, asker=self._asker, ledger=self, clock=self._clock
+                    home=home, asker=self._asker, holder=self, clock=self._clock
                 )
             self._start_contact(name)
         held = {
@@ -263,26 +267,28 @@
     async def leave(self) -> None:
         """Tell every home in touch that this gateway uses its shares no more."""
         self.is_leaving = True
-        heard = [contact for contact in self.contacts.values() if contact.is_heard]
-        await asyncio.gather(*(contact.turn() for contact in heard))
+        heard = [contact for contact in self.contacts.values() if contact.is_responsive]
+        await asyncio.gather(*(contact.exchange_once() for contact in heard))
 
     # What contacts ask
 
-    def next_ask(self, home: Place, incarnation: int, now_s: float) -> LeaseAsk:
+    def next_lease_request(
+        self, home: Place, incarnation: int, now_s: float
+    ) -> LeaseAsk:
         """Return what to ask of `home` now; counted as sent."""
         here = [b for b, place in self._homes.items() if place == home]
         buckets = [b for b in here if self._may_rely(b, home, incarnation, now_s)]
         for bucket in buckets:
-            self._reliances[bucket] = Reliance(
+            self._reliances[bucket] = ShareDelegation(
                 home=home.process_id, incarnation=incarnation, sent_s=now_s
             )
         relied = frozenset(buckets)
         allowances = [h for h in self._allowances.values() if h.bucket in relied]
         if now_s < self._told_s.get(home.process_id, -math.inf) + PERIOD_S:
-            allowances = [h for h in allowances if h.is_short()]
+            allowances = [h for h in allowances if h.is_urgent()]
         else:
             self._told_s[home.process_id] = now_s
-        wants = [h.wants(now_s, period_s=PERIOD_S) for h in allowances]
+        wants = [h.report_wants(now_s, period_s=PERIOD_S) for h in allowances]
         for idle in [h.name for h in allowances if h.is_idle(now_s)]:
             del self._allowances[idle]
         return LeaseAsk(
@@ -321,7 +327,7 @@
             if reliance.home == home.process_id and bucket not in here
         ]
 
-    def take(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
+    def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
         """Take the answer to the ask sent at `sent_s`."""
         now_s = self._clock()
         for bucket in answer.released:
@@ -331,11 +337,11 @@
         for grant in answer.grants:
             allowances = self._allowances.get(grant.entry)
             if allowances is not None:
-                allowances.grant(grant, sent_s=sent_s, now_s=now_s)
+                allowances.apply_grant(grant, sent_s=sent_s, now_s=now_s)
         if self.contacts.keys() - {place.process_id for place in self._homes.values()}:
             self._open_contacts()
 
-    def lose(self, home: Place) -> None:
+    def record_home_lost(self, home: Place) -> None:
         """Note that `home` answers no more."""
         self._journal.record(
             Decision(
--- a/src/trefoilpaddle/coordination/limits/permits.py
+++ b/src/trefoilpaddle/coordination/limits/permits.py
@@ -14,18 +14,22 @@
         Where place and tokens go back to.
     n_tokens : int
         Tokens taken.
-    kick : callable
+    trigger_lease_request : callable
         Asks the home soon; called when another gateway waits for the place.
     """
 
-    __slots__ = ("_allowances", "_kick", "_n_tokens")
+    __slots__ = ("_allowances", "_n_tokens", "_trigger_lease_request")
 
     def __init__(
-        self, *, allowances: EntryAllowances, n_tokens: int, kick: Callable[[], None]
+        self,
+        *,
+        allowances: EntryAllowances,
+        n_tokens: int,
+        trigger_lease_request: Callable[[], None],
     ) -> None:
         self._allowances: EntryAllowances | None = allowances
         self._n_tokens = n_tokens
-        self._kick = kick
+        self._trigger_lease_request = trigger_lease_request
 
     def release(self, *, n_tokens: int | None = None) -> None:
         """Give back the place, and the tokens taken beyond `n_tokens`."""
@@ -33,6 +37,6 @@
             return
         n_used = self._n_tokens if n_tokens is None else n_tokens
         self._allowances.release(n_unused_tokens=self._n_tokens - n_used)
-        if self._allowances.is_wanted_elsewhere():
-            self._kick()
+        if self._allowances.is_contended():
+            self._trigger_lease_request()
         self._allowances = None
--- a/src/trefoilpaddle/coordination/placing/orders.py
+++ b/src/trefoilpaddle/coordination/placing/orders.py
@@ -21,13 +21,13 @@
 ORDER_TIMEOUT_S: Final = 120.0
 """Longest that loading a model may take."""
 
-MAX_AGE_S: Final = 2.0
+MAX_DECISION_AGE_S: Final = 2.0
 """An order decided longer ago than this is not sent."""
 
 FENCE_STEP_BITS: Final = 32
 """A sidecar takes a fencing number this far, at random, above the highest."""
 
-NO_MODEL: Final = "trefoilpaddle.none"
+PROBE_MODEL: Final = "trefoilpaddle.none"
 """A model that is never loaded; unloading it tells the highest fencing number."""
 
 HTTP_OK: Final = 200
@@ -185,7 +185,7 @@
         orders of a former sidecar, still on their way, come too late. The step
         is random: two sidecars that ask at the same time take different ones.
         """
-        probe = Order(kind=OrderKind.UNLOAD_MODEL, name=NO_MODEL)
+        probe = Order(kind=OrderKind.UNLOAD_MODEL, name=PROBE_MODEL)
         match await self._post(probe, fence=0, begin_s=begin_s):
             case Err(error):
                 return Err(error)
@@ -253,7 +253,7 @@
             return "this process does not hold the target's lock"
         if self.is_superseded:
             return "a newer sidecar gives this target its orders"
-        if self._clock() - begin_s > MAX_AGE_S:
+        if self._clock() - begin_s > MAX_DECISION_AGE_S:
             return "it was decided too long ago"
         return ""
 
--- a/src/trefoilpaddle/coordination/placing/placement.py
+++ b/src/trefoilpaddle/coordination/placing/placement.py
@@ -25,13 +25,13 @@
 ROUND_S: Final = 2.0
 """Time between two exchanges with peers of the service."""
 
-FRESH_S: Final = 3 * ROUND_S
+REPORT_TTL_S: Final = 3 * ROUND_S
 """A report older than this tells nothing of what a target holds."""
 
-N_ASKED: Final = 16
+MAX_PEERS_PER_ROUND: Final = 16
 """Peers of the service asked in one round, at most."""
 
-ASK_TIMEOUT_S: Final = 0.5
+EXCHANGE_TIMEOUT_S: Final = 0.5
 """Longest wait for what a peer holds."""
 
 DEMAND_HALF_LIFE_S: Final = 20.0
@@ -42,12 +42,12 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Report:
+class PeerReport:
     """What a peer said of its target, and when by this process's clock."""
 
     holder: Holder
     demand: dict[str, float]
-    heard_s: float
+    received_s: float
 
 
 class Placement:
@@ -110,7 +110,7 @@
         self._journal = journal
         self._clock = clock
         self._random = random.Random(seed)
-        self._reports: dict[str, Report] = {}
+        self._reports: dict[str, PeerReport] = {}
         self._demand: dict[str, float] = {}
         self._steadied = Steadied()
         self._not_before_s = 0.0
@@ -120,14 +120,14 @@
         """Exchange holdings with sidecars that ask at `server`."""
         server.answer(Holdings, self.answer)
 
-    def note_work(self, model: str, work_s: float) -> None:
+    def record_demand(self, model: str, work_s: float) -> None:
         """Count target-seconds asked of this target for `model`."""
         self._demand[model] = self._demand.get(model, 0.0) + work_s
 
     def on_message(self, _connection: Connection, message: Message) -> None:
         """Count the work that a gateway asks for."""
         if isinstance(message, Start) and message.model:
-            self.note_work(message.model, message.predicted_s)
+            self.record_demand(message.model, message.predicted_s)
 
     async def run(self) -> None:
         """Exchange and decide, round after round, until cancelled."""
@@ -164,7 +164,7 @@
 
     def _asked(self) -> list[Host]:
         peers = {host.process_id: host for host in self._peers()}
-        chosen = highest(self._process_id, peers, n=N_ASKED)
+        chosen = highest(self._process_id, peers, n=MAX_PEERS_PER_ROUND)
         return [peers[name] for name in chosen]
 
     def _peers(self) -> Iterator[Host]:
@@ -174,7 +174,10 @@
 
     async def _swap(self, peer: Host) -> None:
         reply = await ask_at(
-            self._asker, peer.peer_address, self.holdings(), timeout_s=ASK_TIMEOUT_S
+            self._asker,
+            peer.peer_address,
+            self.holdings(),
+            timeout_s=EXCHANGE_TIMEOUT_S,
         )
         match reply:
             case Ok(Holdings() as holdings):
@@ -184,10 +187,10 @@
         if holdings.service_name != self._service:
             return
         loaded = frozenset(use.name for use in holdings.models if use.loaded)
-        self._reports[holdings.process_id] = Report(
+        self._reports[holdings.process_id] = PeerReport(
             holder=Holder(process_id=holdings.process_id, loaded=loaded),
             demand={use.name: use.demand for use in holdings.models},
-            heard_s=self._clock(),
+            received_s=self._clock(),
         )
 
     async def decide(self) -> None:
@@ -219,10 +222,10 @@
         else:
             await self._change(unloads[0], is_load=False)
 
-    def _fresh(self) -> list[Report]:
-        oldest_s = self._clock() - FRESH_S
+    def _fresh(self) -> list[PeerReport]:
+        oldest_s = self._clock() - REPORT_TTL_S
         return [
-            report for report in self._reports.values() if report.heard_s > oldest_s
+            report for report in self._reports.values() if report.received_s > oldest_s
         ]
 
     def _models(self) -> frozenset[str]:
@@ -239,7 +242,7 @@
         }
         return frozenset(service.models) | named
 
-    def _total_demand(self, reports: list[Report]) -> dict[str, float]:
+    def _total_demand(self, reports: list[PeerReport]) -> dict[str, float]:
         total = {m: s / DEMAND_HALF_LIFE_S for m, s in self._demand.items()}
         for report in reports:
             for model, demand in report.demand.items():
--- a/src/trefoilpaddle/coordination/requests/calls.py
+++ b/src/trefoilpaddle/coordination/requests/calls.py
@@ -9,7 +9,7 @@
 
 from ...protocol.errors import Failed, NotRun
 from ...state.journal import Journal
-from ..claims.spent import Spent
+from ..claims.request_usage import RequestUsage
 from ..targets.stage_work import Sink, StageAnswer, StageFault, StageWork
 from .open_attempts import OpenAttempts
 from .routing import Router
@@ -28,7 +28,7 @@
     ----------
     attempts, journal, router
         Of this gateway.
-    spent : Spent
+    spent : RequestUsage
         Of the request.
     sink : Sink, optional
         Takes the answer as it comes.
@@ -37,7 +37,7 @@
     attempts: OpenAttempts
     journal: Journal
     router: Router
-    spent: Spent
+    spent: RequestUsage
     sink: Sink | None
 
 
--- a/src/trefoilpaddle/coordination/requests/retries.py
+++ b/src/trefoilpaddle/coordination/requests/retries.py
@@ -11,7 +11,7 @@
 from ...state.budget import RetryBudget, RetryBudgets
 from ...state.journal import Event, Figure, Journal
 from ...state.settings import Choice, PolicySettings
-from ..claims.spent import Spent
+from ..claims.request_usage import RequestUsage
 from ..targets.stage_work import Sink, StageAnswer, StageFault, StageWork
 from .calls import Call, CallParts, Outcome, hedged, late_bound
 from .open_attempts import OpenAttempts
@@ -112,7 +112,7 @@
         self._journal = journal
 
     async def run(
-        self, work: StageWork, *, spent: Spent, sink: Sink | None
+        self, work: StageWork, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[StageAnswer, StageError]:
         """Return the whole answer of the stage, or what is known of it."""
         budget = self._budgets.of(work.stage.service, share=work.service.retry_share)
--- a/src/trefoilpaddle/coordination/requests/walk.py
+++ b/src/trefoilpaddle/coordination/requests/walk.py
@@ -16,7 +16,7 @@
 from ...state.prefix import prefix_hashes
 from ...state.published import Published
 from ...state.settings import PolicySettings
-from ..claims.spent import Spent
+from ..claims.request_usage import RequestUsage
 from ..targets.stage_body import (
     Json,
     Material,
@@ -67,7 +67,7 @@
         self._journal = journal
 
     async def run(
-        self, request: Request, *, spent: Spent, sink: Sink | None
+        self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
         """Run all stages and return the last one's output, or how it ended.
 
@@ -75,7 +75,7 @@
         ----------
         request : Request
             What to run.
-        spent : Spent
+        spent : RequestUsage
             Kept up to date while it runs, also when it is cancelled.
         sink : Sink, optional
             Takes the last stage's answer as it comes, if that stage streams.
@@ -100,7 +100,7 @@
         request: Request,
         index: int,
         material: Material,
-        spent: Spent,
+        spent: RequestUsage,
         sink: Sink | None,
     ) -> Result[Json, StageError]:
         stage = request.pipeline.stages[index]
@@ -209,13 +209,15 @@
             stage_decision(Event.STAGE_FAILED, work, error=error, figures=figures)
         )
 
-    def _giver_up(self, stage: Stage, spent: Spent) -> Callable[[StageError], None]:
+    def _giver_up(
+        self, stage: Stage, spent: RequestUsage
+    ) -> Callable[[StageError], None]:
         def give_up(error: StageError) -> None:
-            spent.give_up(self._refusal(error, stage, spent))
+            spent.answer_early(self._refusal(error, stage, spent))
 
         return give_up
 
-    def _refusal(self, error: StageError, stage: Stage, spent: Spent) -> Refusal:
+    def _refusal(self, error: StageError, stage: Stage, spent: RequestUsage) -> Refusal:
         return Refusal(
             error=whole_request_error(error, has_started=spent.has_started),
             stage=stage.name,
--- a/src/trefoilpaddle/coordination/targets/lifecycle.py
+++ b/src/trefoilpaddle/coordination/targets/lifecycle.py
@@ -9,7 +9,7 @@
 from ...protocol.reasons import Reason
 from ...state.journal import Event, Figure, Journal
 from ...state.requests import Requests, RequestState
-from ..claims.spent import Spent
+from ..claims.request_usage import RequestUsage
 from ..requests.prediction import Predictor
 from ..requests.request import Answer, Refusal, Request
 from ..requests.request_decisions import request_decision
@@ -22,7 +22,7 @@
     """Runs a checked request to its end."""
 
     async def run(
-        self, request: Request, *, spent: Spent, sink: Sink | None
+        self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
         """Return the whole answer, or how the request ended."""
         ...
@@ -74,7 +74,7 @@
         self._journal = journal
 
     async def run(
-        self, request: Request, *, spent: Spent, sink: Sink | None
+        self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
         """Return the whole answer, or how the request ended.
 
@@ -101,7 +101,7 @@
         return outcome
 
     async def _admit_and_run(
-        self, request: Request, *, spent: Spent, sink: Sink | None
+        self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
         early = self._predictor.refusal(request)
         if early is not None:
@@ -128,7 +128,10 @@
             permit.release(n_tokens=spent.n_tokens if is_counted else None)
 
     def _settle(
-        self, request: Request, outcome: Result[Answer, Refusal] | None, spent: Spent
+        self,
+        request: Request,
+        outcome: Result[Answer, Refusal] | None,
+        spent: RequestUsage,
     ) -> None:
         """Settle the key; without an end the caller has left."""
         if outcome is None:
--- a/src/trefoilpaddle/coordination/targets/stage_server.py
+++ b/src/trefoilpaddle/coordination/targets/stage_server.py
@@ -26,7 +26,7 @@
 from ...state.published import Published
 from ...state.work_queue import Work
 from ...transport.connection import Connection
-from ..limits.admission import admit, is_body_sound
+from ..limits.admission import admit, is_body_intact
 from ..requests.attempts import Attempt, AttemptTable, Phase
 from .dispatcher import Dispatcher
 from .stage_journal import StageJournal
@@ -177,7 +177,7 @@
             self._on_whole_body(attempt)
 
     def _on_whole_body(self, attempt: Attempt) -> None:
-        if not is_body_sound(attempt):
+        if not is_body_intact(attempt):
             self._dispatcher.withdraw(attempt, Reason.CORRUPT)
             return
         self._dispatcher.offer(attempt, self._work(attempt))
--- a/src/trefoilpaddle/roles/caller_input.py
+++ b/src/trefoilpaddle/roles/caller_input.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from ..coordination.claims.claim_book import new_try_id
+from ..coordination.claims.claim_registry import new_try_id
 from ..coordination.requests.request import Request
 from ..coordination.targets.stage_body import Json
 from ..protocol.checksum import checksum
--- a/src/trefoilpaddle/roles/callers.py
+++ b/src/trefoilpaddle/roles/callers.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from ..coordination.claims.spent import Spent
+from ..coordination.claims.request_usage import RequestUsage
 from ..coordination.requests.request import Answer, Refusal, Request
 from ..coordination.requests.request_decisions import request_decision
 from ..coordination.targets.lifecycle import RequestRunner, state_of
@@ -93,7 +93,7 @@
         self._is_ready = is_ready
         self._why_closed = why_closed
         self._reads: set[asyncio.Timeout] = set()
-        self._spent: dict[asyncio.Task[Result[Answer, Refusal]], Spent] = {}
+        self._spent: dict[asyncio.Task[Result[Answer, Refusal]], RequestUsage] = {}
         self.answering: set[asyncio.Task[Any]] = set()
         self.running: set[asyncio.Task[Result[Answer, Refusal]]] = set()
 
@@ -170,7 +170,7 @@
             await asyncio.wait(held, timeout=max(0.0, end_s - time.monotonic()))
 
     def _end_open(
-        self, task: "asyncio.Task[Result[Answer, Refusal]]", spent: Spent
+        self, task: "asyncio.Task[Result[Answer, Refusal]]", spent: RequestUsage
     ) -> None:
         """Have a request answered that is still open when the stop's time is over."""
         error: NotRun | Unknown = NotRun(
@@ -180,7 +180,7 @@
             error = Unknown(
                 reason=Reason.STOPPING, step="stop", peer="", detail=STOPPED_DETAIL
             )
-        spent.give_up(
+        spent.answer_early(
             Refusal(
                 error=error,
                 stage="",
@@ -244,20 +244,20 @@
         must run at most once and may have started then goes on to its end, so
         that a retry finds the result; anything else is cancelled downstream.
         """
-        spent = Spent()
+        spent = RequestUsage()
         task = asyncio.create_task(self._runner.run(request, spent=spent, sink=sink))
         self.running.add(task)
         self._spent[task] = spent
         task.add_done_callback(self._forget)
         try:
-            ends: set[asyncio.Future[Any]] = {task, spent.given_up}
+            ends: set[asyncio.Future[Any]] = {task, spent.early_refusal}
             await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             self._on_caller_left(request, spent, task)
             raise
         if task.done() and not task.cancelled():
             return task.result()
-        return Err(self._given_up(request, spent.given_up.result()))
+        return Err(self._given_up(request, spent.early_refusal.result()))
 
     def _forget(self, task: "asyncio.Task[Result[Answer, Refusal]]") -> None:
         self.running.discard(task)
@@ -281,7 +281,7 @@
     def _on_caller_left(
         self,
         request: Request,
-        spent: Spent,
+        spent: RequestUsage,
         task: asyncio.Task[Result[Answer, Refusal]],
     ) -> None:
         goes_on = spent.has_started_once_only
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -9,11 +9,11 @@
 
 from absl import logging
 
-from ..coordination.claims.claim_book import ClaimBook
+from ..coordination.claims.claim_registry import ClaimRegistry
+from ..coordination.claims.claim_setup import connected_incarnations
 from ..coordination.claims.claims import Claimer
+from ..coordination.claims.generated_ids import GeneratedIdClaims
 from ..coordination.claims.key_claims import KeyClaims
-from ..coordination.claims.key_parts import incarnations_at
-from ..coordination.claims.minted import MintedClaims
 from ..coordination.configuration.config_feed import config_feed
 from ..coordination.limits import limits
 from ..coordination.members.directory import Directory, PublishedDirectory
@@ -305,24 +305,28 @@
 ) -> Keys:
     """Return request keys that are claimed at their places among the peers."""
     identity = process.identity
-    book = ClaimBook(
+    registry = ClaimRegistry(
         process_id=identity.process_id,
         published=process.published,
         table=ClaimTable(window_s=settings.retention.retry_window_s),
-        incarnation_of=incarnations_at(process.server),
+        incarnation_of=connected_incarnations(process.server),
     )
-    minted = MintedClaims(
-        book=book, process_id=identity.process_id, incarnation=identity.incarnation
+    generated_ids = GeneratedIdClaims(
+        registry=registry,
+        process_id=identity.process_id,
+        incarnation=identity.incarnation,
     )
-    minted.mount(process.server)
+    generated_ids.mount(process.server)
     claimer = Claimer(
         hello=process.hello,
         published=process.published,
         directory=directory,
         asker=process.peers,
-        minted=minted,
+        generated_ids=generated_ids,
+    )
+    return Keys(
+        guard=KeyClaims(claimer=claimer), mint=lambda: str(generated_ids.generate())
     )
-    return Keys(guard=KeyClaims(claimer=claimer), mint=lambda: str(minted.mint()))
 
 
 async def run(settings: GatewaySettings) -> int:
--- a/src/trefoilpaddle/roles/sidecar.py
+++ b/src/trefoilpaddle/roles/sidecar.py
@@ -10,7 +10,7 @@
 from absl import logging
 from result import Err, Ok
 
-from ..coordination.claims.key_parts import sidecar_keys
+from ..coordination.claims.claim_setup import mount_sidecar_claims
 from ..coordination.configuration.config_feed import config_feed
 from ..coordination.limits.lease_home import LeaseHome
 from ..coordination.placing.orders import TargetOrders
@@ -164,7 +164,7 @@
         process.message_listeners.append(self.server.on_message)
         process.close_listeners.append(self.server.on_close)
         process.server.answer(Bar, self.server.answer_bar)
-        key_syncs = sidecar_keys(
+        key_syncs = mount_sidecar_claims(
             process_id=process.identity.process_id,
             published=process.published,
             peers=process.peers,
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -7,7 +7,6 @@
 
 from result import Err, Ok, Result
 
-from trefoilpaddle.coordination.claims.claim_book import ClaimBook
 from trefoilpaddle.coordination.claims.claim_home import ClaimHome
 from trefoilpaddle.coordination.claims.claim_outcomes import (
     ClaimOutcome,
@@ -15,9 +14,10 @@
     KeyGranted,
     account_key,
 )
-from trefoilpaddle.coordination.claims.claim_sync import ClaimSyncs
+from trefoilpaddle.coordination.claims.claim_registry import ClaimRegistry
+from trefoilpaddle.coordination.claims.claim_sync import ClaimSynchroniser
 from trefoilpaddle.coordination.claims.claims import Claimer
-from trefoilpaddle.coordination.claims.minted import MintedClaims
+from trefoilpaddle.coordination.claims.generated_ids import GeneratedIdClaims
 from trefoilpaddle.coordination.members.directory import PublishedDirectory
 from trefoilpaddle.protocol.errors import PeerError
 from trefoilpaddle.protocol.frames import Message
@@ -136,7 +136,7 @@
         self.published = Published()
         self.table = ClaimTable(window_s=WINDOW_S, clock=fleet.clock)
         line = Line(fleet.net, listed.peer_address, self.hello)
-        self.book = ClaimBook(
+        self.registry = ClaimRegistry(
             process_id=listed.process_id,
             published=self.published,
             table=self.table,
@@ -146,10 +146,10 @@
         journal = Journal(
             process_id=listed.process_id, n_records=100, format=LogFormat.KEY_VALUE
         )
-        self.home = ClaimHome(book=self.book, asker=line, journal=journal)
-        self.syncs = ClaimSyncs(book=self.book, asker=line)
-        self.minted = MintedClaims(
-            book=self.book,
+        self.home = ClaimHome(registry=self.registry, asker=line, journal=journal)
+        self.syncs = ClaimSynchroniser(registry=self.registry, asker=line)
+        self.generated_ids = GeneratedIdClaims(
+            registry=self.registry,
             process_id=listed.process_id,
             incarnation=incarnation,
             clock=fleet.clock,
@@ -159,7 +159,7 @@
             published=self.published,
             directory=PublishedDirectory(published=self.published),
             asker=line,
-            minted=self.minted,
+            generated_ids=self.generated_ids,
             clock=fleet.clock,
             sleep=fleet.clock.sleep,
         )
@@ -172,7 +172,7 @@
         is_gateway = self.host.role == "gateway"
         match message:
             case Claim():
-                answerer = self.minted if is_gateway else self.home
+                answerer = self.generated_ids if is_gateway else self.home
                 answer: ClaimAnswer = await answerer.answer_claim(message, sender)
                 return answer
             case ClaimCopy():
@@ -181,7 +181,7 @@
             case ClaimSync():
                 return await self.syncs.answer(message, sender)
             case Settle():
-                settler = self.minted if is_gateway else self.home
+                settler = self.generated_ids if is_gateway else self.home
                 settled: SettleAnswer = await settler.answer_settle(message, sender)
                 return settled
         raise AssertionError(message)
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -141,7 +141,7 @@
         """Let the named gateways, or all, ask each of their homes once."""
         for name in names or sorted(self.limiters):
             for contact in list(self.limiters[name].contacts.values()):
-                await contact.turn()
+                await contact.exchange_once()
 
     async def request(
         self, name: str, *, lasts_s: float = DEADLINE_S, n_tokens: int = 0
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -3,7 +3,6 @@
 import asyncio
 
 from tests.claims_fleet import WINDOW_S, Fleet, host
-from trefoilpaddle.coordination.claims.claim_book import FORMER_LISTS_S
 from trefoilpaddle.coordination.claims.claim_outcomes import (
     Answered,
     InProgress,
@@ -11,6 +10,7 @@
     KeyGranted,
     account_key,
 )
+from trefoilpaddle.coordination.claims.claim_registry import FORMER_LIST_RETENTION_S
 from trefoilpaddle.protocol.errors import NotRun, Unknown
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.claim_table import (
@@ -160,7 +160,7 @@
         await fleet.members["g1"].claimer.settle(first, is_run=True, result=b"whole")
         for name in sorted(fleet.members):
             if name[0] == "s":
-                await fleet.restart(name).syncs.learn()
+                await fleet.restart(name).syncs.fetch_once()
         outcome = await fleet.members["g2"].claim("k")
         assert outcome == Answered(request_id=first.request_id, result=b"whole")
         for number in range(20):
@@ -173,7 +173,7 @@
         fleet.relist(fleet.without(*fleet.pair("k")))
         fleet.tell(*fleet.members)
         for name in fleet.pair("k"):
-            await fleet.restart(name).syncs.learn()
+            await fleet.restart(name).syncs.fetch_once()
         outcome = await fleet.members["g2"].claim("k")
         assert isinstance(outcome, InProgress)
         assert outcome.request_id == first.request_id
@@ -264,7 +264,7 @@
         home, old_second = fleet.pair("k")
         fleet.relist(fleet.without(home, old_second))
         fleet.tell("g2", old_second, *fleet.pair("k"))
-        fleet.age(10 * FORMER_LISTS_S)
+        fleet.age(10 * FORMER_LIST_RETENTION_S)
         await granted(fleet, "g2", "k")
         assert isinstance(await fleet.members["g1"].claim("k"), Unknown)
 
@@ -294,8 +294,8 @@
 class TestMintedId:
     async def test_retry_at_another_gateway(self) -> None:
         fleet = Fleet()
-        minted = fleet.members["g1"].minted.mint()
-        key = Key(text=str(minted), minted=minted)
+        generated = fleet.members["g1"].generated_ids.generate()
+        key = Key(text=str(generated), generated_id=generated)
         first = await granted(fleet, "g1", key)
         assert isinstance(await fleet.members["g2"].claim(key), InProgress)
         await fleet.members["g1"].claimer.settle(first, is_run=True, result=b"w")
@@ -304,15 +304,15 @@
 
     async def test_minting_gateway_restarted(self) -> None:
         fleet = Fleet()
-        minted = fleet.members["g1"].minted.mint()
+        generated = fleet.members["g1"].generated_ids.generate()
         fleet.restart("g1")
-        key = Key(text=str(minted), minted=minted)
+        key = Key(text=str(generated), generated_id=generated)
         assert isinstance(await fleet.members["g2"].claim(key), Unknown)
 
     async def test_never_again_after_it_is_forgotten(self) -> None:
         fleet = Fleet()
-        minted = fleet.members["g1"].minted.mint()
-        key = Key(text=str(minted), minted=minted)
+        generated = fleet.members["g1"].generated_ids.generate()
+        key = Key(text=str(generated), generated_id=generated)
         first = await granted(fleet, "g2", key)
         await fleet.members["g2"].claimer.settle(first, is_run=True)
         fleet.age(10 * WINDOW_S)
--- a/tests/test_claims_gateways.py
+++ b/tests/test_claims_gateways.py
@@ -12,8 +12,8 @@
 from tests.fake_sidecar import Call, FakeSidecar
 from tests.gateway_bench import catalogue, heard, plain_stage, settings
 from tests.waiting import until
-from trefoilpaddle.coordination.claims.claim_book import ClaimBook
 from trefoilpaddle.coordination.claims.claim_home import ClaimHome
+from trefoilpaddle.coordination.claims.claim_registry import ClaimRegistry
 from trefoilpaddle.coordination.members.directory import PublishedDirectory
 from trefoilpaddle.protocol.gen.stage.ttypes import Heartbeat
 from trefoilpaddle.roles.gateway import Gateway, claimed_keys, new_process
@@ -112,7 +112,7 @@
     published = Published()
     published.set_hosts(listed)
     process_id = f"{sidecar.name}-sidecar"
-    book = ClaimBook(
+    registry = ClaimRegistry(
         process_id=process_id,
         published=published,
         table=ClaimTable(window_s=30.0, clock=made.clock),
@@ -125,7 +125,7 @@
     )
     journal = Journal(process_id=process_id, n_records=100, format=LogFormat.KEY_VALUE)
     async with peers.open():
-        ClaimHome(book=book, asker=peers, journal=journal).mount(sidecar.server)
+        ClaimHome(registry=registry, asker=peers, journal=journal).mount(sidecar.server)
         yield
 
 
--- a/tests/test_claims_schedules.py
+++ b/tests/test_claims_schedules.py
@@ -81,7 +81,7 @@
                 fleet.net.paused.discard(fleet.address(sidecar))
                 syncs = fleet.restart(sidecar).syncs
                 if n % 3:
-                    await syncs.learn()
+                    await syncs.fetch_once()
             case "drop" if len(fleet.hosts) > 5:
                 fleet.relist(fleet.without(sidecar))
             case "add" if self.n_added < 3:
--- a/tests/test_limits_gateways.py
+++ b/tests/test_limits_gateways.py
@@ -95,7 +95,7 @@
     async with process.peers.open(), limiter.running(), made.serving():
         process.published.set_hosts(listed)
         process.published.set_catalogue(catalogued)
-        await until(lambda: any(c.is_heard for c in limiter.contacts.values()))
+        await until(lambda: any(c.is_responsive for c in limiter.contacts.values()))
         yield made
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,8 +11,8 @@
 from result import Ok
 
 from trefoilpaddle.coordination.placing.orders import (
-    MAX_AGE_S,
-    NO_MODEL,
+    MAX_DECISION_AGE_S,
+    PROBE_MODEL,
     Busy,
     NotSent,
     Order,
@@ -59,7 +59,7 @@
     def sent(self) -> list[str]:
         """Names of the models that orders named, probes left out."""
         orders = self.engine.record.orders
-        return [order.name for order in orders if order.name != NO_MODEL]
+        return [order.name for order in orders if order.name != PROBE_MODEL]
 
 
 @contextlib.asynccontextmanager
@@ -187,7 +187,7 @@
         """A sidecar decides, stands still for 10 s and would then send."""
         async with site(is_fenced=False) as s:
             decided_s = s.now_s
-            s.now_s += MAX_AGE_S + 8.0
+            s.now_s += MAX_DECISION_AGE_S + 8.0
             late = await s.sidecar().send(LOAD, decided_s=decided_s)
             assert isinstance(late.unwrap_err(), NotSent)
             assert s.engine.record.orders == []
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -174,7 +174,7 @@
         before = len(fleet.holders("m4"))
         for _ in range(60):
             for placement in fleet.placements.values():
-                placement.note_work("m4", 5.0)
+                placement.record_demand("m4", 5.0)
             await fleet.rounds(1)
             assert all(fleet.holders(model) for model in MODELS)
             n_loaded = [len(p.loaded) for p in fleet.placements.values()]
