--- a/src/trefoilpaddle/coordination/claims/__init__.py
+++ b/src/trefoilpaddle/coordination/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Request keys: which gateway runs a key, and what became of it."""
+"""Request keys: which gateway runs the request of a key, and its outcome."""
--- a/src/trefoilpaddle/coordination/claims/claim_home.py
+++ b/src/trefoilpaddle/coordination/claims/claim_home.py
@@ -1,9 +1,9 @@
-"""The first place of a request key: grants it to one try, tells the others.
+"""Primary of a request key: grants the key to one try.
 
-A non-idempotent key is granted only when both of its places, under the list of
-the first, have recorded the claim. So either place alone can tell that a key
-was never granted under that list, and a stale first place cannot grant without
-the second, which refuses when it knows a newer list with other places.
+A non-idempotent key is granted only after both of its replicas, under the host
+list of the primary, have recorded the claim. So either replica alone can tell that
+a key was never granted under that list. A stale primary cannot grant without its
+backup, which refuses if it knows a newer list with other replicas.
 """
 
 from typing import Final
@@ -32,25 +32,25 @@
 from .claim_replica import ClaimReplica
 
 REPLICA_TIMEOUT_S: Final = 0.4
-"""Wait for another place; shorter than the gateway's wait for this one."""
+"""Longest wait for another replica; shorter than the gateway's wait for this one."""
 
 ReplicaPair = tuple[Place, ...]
 
 
 class ClaimHome:
-    """Decides about the keys whose first place this process is.
+    """Decides about the keys that have their primary in this process.
 
     Parameters
     ----------
     registry : ClaimRegistry
-        What this process knows.
+        Claims that this process knows.
     asker : Asker
-        Reaches the other places.
+        Sends messages to the other replicas.
     journal : Journal
-        Takes each decision.
+        Records each decision.
     """
 
-    __slots__ = ("_asker", "_copies", "_journal", "_registry")
+    __slots__ = ("_asker", "_journal", "_registry", "_replica")
 
     def __init__(
         self, *, registry: ClaimRegistry, asker: Asker, journal: Journal
@@ -58,7 +58,7 @@
         self._registry = registry
         self._asker = asker
         self._journal = journal
-        self._copies = ClaimReplica(registry=registry)
+        self._replica = ClaimReplica(registry=registry)
 
     def mount(self, server: PeerServer) -> None:
         """Answer claims, copies and settlements that arrive at `server`."""
@@ -67,8 +67,8 @@
         server.answer(Settle, self.answer_settle)
 
     async def answer_copy(self, copy: ClaimCopy, peer: Hello) -> CopyAnswer:
-        """Answer as second place or place of a former list."""
-        return await self._copies.answer(copy, peer)
+        """Answer as the backup or as a replica of a former list."""
+        return await self._replica.answer(copy, peer)
 
     async def answer_claim(self, claim: Claim, _peer: Hello) -> ClaimAnswer:
         """Return whether the try that `claim` describes may run."""
@@ -88,10 +88,10 @@
         return answer
 
     async def _decide(self, claim: Claim) -> ClaimAnswer:
-        present = self._registry.active_list
-        if claim.hosts_revision > present.revision:
+        active = self._registry.active_list
+        if claim.hosts_revision > active.revision:
             return self._registry.not_mine("this place has an older host list")
-        pair = present.pair(claim.key)
+        pair = active.pair(claim.key)
         if not pair or pair[0].process_id != self._registry.process_id:
             return self._registry.not_mine("another place decides about this key")
         record = self._registry.table.get(claim.key)
@@ -105,44 +105,46 @@
         if claim.idempotent:
             record.stage = ClaimStage.RUNNING
             return answer_for(record, ClaimState.NEW)
-        return await self._ask_others(record, claim, pair)
+        return await self._confirm_grant(record, claim, pair)
 
-    async def _ask_others(
+    async def _confirm_grant(
         self, record: ClaimRecord, claim: Claim, pair: ReplicaPair
     ) -> ClaimAnswer:
-        """Grant a pending claim if no other place objects, else withdraw it."""
-        passed_on = _passed_on(
+        """Grant a pending claim if no other replica objects, else withdraw it."""
+        forwarded = _forwarded(
             claim, hosts_revision=self._registry.active_list.revision
         )
-        answer = await self._objection(passed_on, pair)
+        answer = await self._grant_objection(forwarded, pair)
         is_ours = self._registry.table.get(claim.key) is record
         if answer is None and is_ours and record.stage is ClaimStage.PENDING:
             record.stage = ClaimStage.RUNNING
             return answer_for(record, ClaimState.NEW)
-        await self._withdraw(pair[1:], passed_on)
+        await self._withdraw(pair[1:], forwarded)
         if is_ours and record.stage is ClaimStage.PENDING:
             self._registry.table.remove(claim.key)
         return answer or self._registry.not_mine("the key was taken over meanwhile")
 
-    async def _objection(self, claim: Claim, pair: ReplicaPair) -> ClaimAnswer | None:
-        """Return what speaks against granting, or None.
+    async def _grant_objection(
+        self, claim: Claim, pair: ReplicaPair
+    ) -> ClaimAnswer | None:
+        """Return the answer that prevents the grant, or None if there is none.
 
-        One place of each pair, present and former, must vouch that it never
-        recorded the key: it holds no record, and cannot lack one.
+        One replica of each pair, active and former, must confirm that it never
+        recorded the key: it has no record of it and cannot have lost one.
         """
         confirmations = AbsenceConfirmations()
         confirmations.add_own(self._registry)
         revision = claim.hosts_revision
         former = list(self._registry.pairs_of_other_lists(claim.key, revision=revision))
-        for second in pair[1:]:
-            copied = await self._ask_place(second, claim, CopyKind.COPY)
+        for backup in pair[1:]:
+            copied = await self._query_replica(backup, claim, CopyKind.COPY)
             if copied is None or copied.answer is None:
-                detail = f"the second place {second.process_id} did not answer"
+                detail = f"the second place {backup.process_id} did not answer"
                 return self._registry.unknown_outcome(detail)
             if copied.answer.state != ClaimState.NEW:
                 return copied.answer
-            former += [replicas_of(places) for places in copied.former]
-            confirmations.add(second, copied)
+            former += [replicas_of(replicas) for replicas in copied.former]
+            confirmations.add(backup, copied)
         if not confirmations.covers(pair):
             return self._registry.unknown_outcome(
                 "the places of this key have started lately"
@@ -166,28 +168,28 @@
     async def _pair_objection(
         self, claim: Claim, pair: ReplicaPair, confirmations: AbsenceConfirmations
     ) -> ClaimAnswer | None:
-        """Return what a former pair objects, or None once one of it vouches."""
-        for place in pair:
-            if place.process_id == self._registry.process_id:
+        """Return the objection of a former pair, or None if one replica confirms."""
+        for replica in pair:
+            if replica.process_id == self._registry.process_id:
                 continue
-            moved = await self._ask_place(place, claim, CopyKind.MOVE)
+            moved = await self._query_replica(replica, claim, CopyKind.MOVE)
             if moved is None or moved.answer is None:
                 continue
             if moved.answer.state != ClaimState.NEW:
                 return moved.answer
-            confirmations.add(place, moved)
+            confirmations.add(replica, moved)
             if confirmations.covers(pair):
                 return None
         return self._registry.unknown_outcome(
             "no earlier place of this key could vouch for it"
         )
 
-    async def _ask_place(
-        self, place: Place, claim: Claim, kind: int
+    async def _query_replica(
+        self, replica: Place, claim: Claim, kind: int
     ) -> CopyAnswer | None:
-        question = ClaimCopy(kind=kind, claim=claim)
+        query = ClaimCopy(kind=kind, claim=claim)
         reply = await ask_at(
-            self._asker, place.address, question, timeout_s=REPLICA_TIMEOUT_S
+            self._asker, replica.address, query, timeout_s=REPLICA_TIMEOUT_S
         )
         match reply:
             case Ok(CopyAnswer() as answer):
@@ -195,16 +197,16 @@
             case _:
                 return None
 
-    async def _withdraw(self, places: ReplicaPair, claim: Claim) -> None:
-        """Free the key at a second place that recorded a claim never granted."""
+    async def _withdraw(self, replicas: ReplicaPair, claim: Claim) -> None:
+        """Free the key at replicas that recorded a claim that was not granted."""
         settle = Settle(key=claim.key, request_id=claim.request_id, grant=claim.grant)
-        for place in places:
+        for replica in replicas:
             await ask_at(
-                self._asker, place.address, settle, timeout_s=REPLICA_TIMEOUT_S
+                self._asker, replica.address, settle, timeout_s=REPLICA_TIMEOUT_S
             )
 
     async def answer_settle(self, settle: Settle, _peer: Hello) -> SettleAnswer:
-        """Note the end of a request, here and at the key's second place."""
+        """Record the outcome of a request, here and at the backup of the key."""
         is_known = self._settle(settle)
         pair = self._registry.active_list.pair(settle.key)
         if len(pair) > 1 and pair[0].process_id == self._registry.process_id:
@@ -217,8 +219,8 @@
         record = self._registry.table.get(settle.key)
         if record is None or record.request_id != settle.request_id:
             return False
-        # A withdrawal that was delayed must not free the key after the same
-        # try was copied here once more and granted.
+        # A delayed withdrawal must not free the key after the same try was
+        # copied here again and granted.
         if settle.grant and settle.grant != record.grant:
             return False
         if settle.run:
@@ -229,8 +231,8 @@
         return True
 
 
-def _passed_on(claim: Claim, *, hosts_revision: int) -> Claim:
-    """Return `claim` as the first place passes it on, under its own list."""
+def _forwarded(claim: Claim, *, hosts_revision: int) -> Claim:
+    """Return `claim` as the primary forwards it, under its own host list."""
     return Claim(
         key=claim.key,
         request_id=claim.request_id,
--- a/src/trefoilpaddle/coordination/claims/claim_outcomes.py
+++ b/src/trefoilpaddle/coordination/claims/claim_outcomes.py
@@ -1,4 +1,4 @@
-"""What a gateway claims, and what it is told."""
+"""Keys that a gateway claims, and the outcomes of a claim."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Key:
-    """A request key as a caller gave it.
+    """A request key as the caller sent it.
 
     Parameters
     ----------
     text : str
-        Client account and its own key, or the minted id.
+        Client account and the account's own key, or the generated request id.
     generated_id : RequestId, optional
-        Set where the key is an id from ``POST /v1/requests``.
+        Set if the key is an id from ``POST /v1/requests``.
     """
 
     text: str
@@ -23,22 +23,23 @@
 
 
 def account_key(account: str, key: str) -> Key:
-    """Return the key that `account` gave as ``Idempotency-Key``."""
+    """Return the key that `account` sent as ``Idempotency-Key``."""
     return Key(text=f"{account}/{key}")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeyGranted:
-    """This try runs the request; settle it when the request has ended.
+    """This try runs the request; settle it when the request has an outcome.
 
     Parameters
     ----------
     key : Key
-        What was claimed.
+        The claimed key.
     request_id : str
-        The try.
+        Id of the try.
     addresses : tuple of str
-        Peers that know the claim; empty where it is known to nobody, or here.
+        Peers that know the claim; empty if only this process knows it or none
+        does.
     """
 
     key: Key
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answered:
-    """An earlier try was answered; its answer is `result`, None when too large."""
+    """An earlier try has ended; `result` is None if it was too large to keep."""
 
     request_id: str
     result: bytes | None
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InProgress:
-    """An earlier try still runs, at `gateway`."""
+    """An earlier try still runs at `gateway`."""
 
     request_id: str
     gateway: str
--- a/src/trefoilpaddle/coordination/claims/claim_registry.py
+++ b/src/trefoilpaddle/coordination/claims/claim_registry.py
@@ -1,4 +1,8 @@
-"""What one process knows of request keys and of the lists that place them."""
+"""Claims on request keys that one process knows, and the replicas of each key.
+
+A try is one submission of a request by its caller. The replicas of a key are its
+primary and its backup, two sidecars that the host list determines.
+"""
 
 import secrets
 import time
@@ -11,16 +15,19 @@
 from ...state.published import Published
 
 FORMER_LIST_RETENTION_S: Final = 300.0
-"""How long a replaced list is asked about; a partition of minutes fits in."""
+"""How long replicas of a replaced list are queried; longer than most partitions.
+
+It covers a partition of a few minutes.
+"""
 
 MIN_RETRY_AFTER_S: Final = 1.0
-"""Shortest wait that a caller is told where nobody is sure."""
+"""Shortest retry-after time for a caller when the outcome is unknown."""
 
 TRY_BYTES: Final = 6
-"""Random bytes in the id of a try."""
+"""Number of random bytes in the id of a try."""
 
 TRY_SEPARATOR: Final = "~"
-"""Between a request id and what tells one try of the request from another."""
+"""Separates the request id from the random part of the id of a try."""
 
 IncarnationOf = Callable[[str], int | None]
 
@@ -30,28 +37,29 @@
 
 
 class ClaimRegistry:
-    """Claims known to this process, and how far it can vouch for others.
+    """Claims known to this process, and whether it can lack any claim.
 
     Parameters
     ----------
     process_id : str
-        This process.
+        Id of this process.
     published : Published
-        Host list and catalogue in force.
+        Active host list and catalogue.
     table : ClaimTable
         The claims; its window is the retry window.
     incarnation_of : callable
-        Returns the incarnation with which a process is connected now, or None.
+        Returns the incarnation with which a process is currently connected, or
+        None.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = (
-        "_born_s",
         "_clock",
         "_incarnation_of",
-        "_longest_s",
+        "_max_deadline_s",
         "_published",
+        "_start_s",
         "history",
         "learned_from",
         "process_id",
@@ -73,73 +81,79 @@
         self._published = published
         self._incarnation_of = incarnation_of
         self._clock = clock
-        self._born_s = clock()
-        self._longest_s = 0.0
+        self._start_s = clock()
+        self._max_deadline_s = 0.0
         self.history = PlaceHistory(keep_s=FORMER_LIST_RETENTION_S, clock=clock)
         published.subscribe(self._on_published)
         self._on_published()
 
     def now_s(self) -> float:
-        """Return this process's monotonic clock."""
+        """Return the current time on this process's monotonic clock, in seconds."""
         return self._clock()
 
     def _on_published(self) -> None:
         self.history.set_hosts(self._published.hosts)
         entries = self._published.catalogue.entries.values()
-        self._longest_s = max([self._longest_s, *(e.deadline_s for e in entries)])
+        self._max_deadline_s = max(
+            [self._max_deadline_s, *(e.deadline_s for e in entries)]
+        )
 
     @property
     def active_list(self) -> PlaceList:
-        """The list in force."""
+        """The replicas of the active host list."""
         return self.history.present
 
     @property
     def retention_s(self) -> float:
-        """Longest time for which any claim must be remembered."""
-        return self.table.window_s + self._longest_s
+        """Longest time for which any claim must be kept, in seconds."""
+        return self.table.window_s + self._max_deadline_s
 
     def time_to_complete_s(self) -> float:
-        """Return for how long this process may still lack an earlier claim.
+        """Return for how many seconds this process may still lack a claim.
 
-        A restarted process has forgotten the claims that it held. Until every
-        request granted before its start has ended and its retry window is
-        over, it cannot vouch that a key is new.
+        A process loses its claims when it restarts. Until every request granted
+        before its start has ended and its retry window is over, it cannot
+        confirm that a key is new.
         """
-        known_since_s = max(self._born_s, self.history.cut_s)
+        known_since_s = max(self._start_s, self.history.cut_s)
         return max(0.0, known_since_s + self.retention_s - self._clock())
 
     def is_complete(self) -> bool:
-        """Return True if no claim recorded here can have been forgotten."""
+        """Return True if this process still knows every claim recorded here."""
         return self.time_to_complete_s() == 0.0
 
     def is_complete_with(self, partner: str) -> bool:
-        """Return True if no claim on keys decided with `partner` can be missing.
+        """Return True if no claim on a key shared with `partner` can be missing.
 
-        Either nothing can have been forgotten here, or `partner` has handed over
-        all that it knew: each such claim was recorded at both places.
+        Either this process still knows every claim, or `partner` has handed over
+        all of its claims. Each claim on such a key is recorded at both replicas.
         """
         return self.is_complete() or partner in self.learned_from
 
     def pairs_of_other_lists(
         self, key: str, *, revision: int
     ) -> Iterator[tuple[Place, ...]]:
-        """Yield the distinct places of `key` under known lists but `revision`.
+        """Yield the distinct replica pairs of `key`, except under list `revision`.
 
-        These are the lists replaced lately, and the present one where the asker
-        decides under a newer: others may still decide under either.
+        These are the pairs under the recently replaced lists, and under the
+        active list if the sender decides under a newer one. Other processes may
+        still decide under any of them.
         """
         seen: set[tuple[str, ...]] = set()
-        for places in (self.active_list, *self.history.former()):
-            if places.revision == revision:
+        for replicas in (self.active_list, *self.history.former()):
+            if replicas.revision == revision:
                 continue
-            pair = places.pair(key)
-            names = tuple(place.process_id for place in pair)
+            pair = replicas.pair(key)
+            names = tuple(replica.process_id for replica in pair)
             if names and names not in seen:
                 seen.add(names)
                 yield pair
 
     def evaluate(self, record: ClaimRecord, claim: Claim) -> ClaimAnswer:
-        """Return what `record` means for the try that `claim` describes."""
+        """Return the answer to the try in `claim`, given the `record` of its key.
+
+        An idempotent request whose gateway was lost is taken over by the try.
+        """
         if record.stage is ClaimStage.MOVED:
             return self.not_mine("this key has moved to another place")
         if record.fingerprint != claim.fingerprint:
@@ -149,7 +163,7 @@
             return answer_for(record, ClaimState.DONE)
         if is_same_try(record, claim) and record.stage is ClaimStage.RUNNING:
             return answer_for(record, ClaimState.NEW)
-        if not self._is_holder_gone(record):
+        if not self._is_holder_lost(record):
             return answer_for(record, ClaimState.IN_PROGRESS)
         if not record.is_idempotent:
             detail = f"{record.gateway} was lost while it ran the request"
@@ -157,7 +171,7 @@
         self._take_over(record, claim)
         return answer_for(record, ClaimState.NEW)
 
-    def _is_holder_gone(self, record: ClaimRecord) -> bool:
+    def _is_holder_lost(self, record: ClaimRecord) -> bool:
         if self._clock() > record.overdue_s:
             return True
         incarnation = self._incarnation_of(record.gateway)
@@ -170,13 +184,13 @@
         record.overdue_s = self._clock() + claim.budget_ms / 1000
 
     def record_claim(self, claim: Claim, *, stage: ClaimStage) -> ClaimRecord | None:
-        """Record a claim on an unknown key; return None if the table is full."""
+        """Record a claim on a new key; return None if the table is full."""
         record = record_of(claim, stage=stage)
         is_kept = self.table.add(record, budget_s=claim.budget_ms / 1000)
         return record if is_kept else None
 
     def not_mine(self, detail: str) -> ClaimAnswer:
-        """Return the answer of a process that does not decide about the key."""
+        """Return the answer of a process that is not the home of the key."""
         return ClaimAnswer(
             state=ClaimState.NOT_MINE,
             hosts_revision=self.active_list.revision,
@@ -184,7 +198,7 @@
         )
 
     def unknown_outcome(self, detail: str) -> ClaimAnswer:
-        """Return the answer when nobody can tell whether an earlier try ran."""
+        """Return the answer when it is unknown whether an earlier try ran."""
         wait_s = max(MIN_RETRY_AFTER_S, self.time_to_complete_s())
         return ClaimAnswer(
             state=ClaimState.UNKNOWN, detail=detail, retry_after_ms=int(1000 * wait_s)
@@ -194,7 +208,7 @@
 def record_of(
     claim: Claim, *, stage: ClaimStage, result: bytes | None = None
 ) -> ClaimRecord:
-    """Return the record of a claim that a message carries."""
+    """Return the record of a claim from a message."""
     return ClaimRecord(
         key=claim.key,
         request_id=claim.request_id,
@@ -209,7 +223,7 @@
 
 
 def answer_for(record: ClaimRecord, state: int, *, detail: str = "") -> ClaimAnswer:
-    """Return the answer `state` with what `record` holds."""
+    """Return an answer with `state` and the data of `record`."""
     return ClaimAnswer(
         state=state,
         request_id=record.request_id,
@@ -221,7 +235,7 @@
 
 
 def is_same_try(record: ClaimRecord, claim: Claim) -> bool:
-    """Return True if `claim` comes from the very try that `record` holds."""
+    """Return True if `claim` is from the same try as `record`."""
     return (
         record.request_id == claim.request_id
         and record.gateway == claim.gateway
@@ -230,25 +244,25 @@
 
 
 def new_try_id(request_id: str) -> str:
-    """Return an id of one try alone; a retry can carry the same request id."""
+    """Return a unique id for one try; a retry can carry the same request id."""
     return f"{request_id}{TRY_SEPARATOR}{secrets.token_hex(TRY_BYTES)}"
 
 
 def request_id_of(try_id: str) -> str:
-    """Return the request id in the id of a try."""
+    """Return the request id that the id of a try contains."""
     return try_id.partition(TRY_SEPARATOR)[0]
 
 
 def replicas_message(pair: tuple[Place, ...]) -> Places:
-    """Return `pair` as it travels."""
+    """Return the message for the replicas in `pair`."""
     return Places(
-        process_ids=[place.process_id for place in pair],
-        addresses=[place.address for place in pair],
+        process_ids=[replica.process_id for replica in pair],
+        addresses=[replica.address for replica in pair],
     )
 
 
 def replicas_of(message: Places) -> tuple[Place, ...]:
-    """Return the pair that `message` carries; domains do not travel."""
+    """Return the replicas in `message`, which carries no failure domains."""
     named = zip(message.process_ids, message.addresses, strict=False)
     return tuple(
         Place(process_id=name, failure_domain="", address=address)
--- a/src/trefoilpaddle/coordination/claims/claim_replica.py
+++ b/src/trefoilpaddle/coordination/claims/claim_replica.py
@@ -1,4 +1,4 @@
-"""A place of a key as others ask it: second place, or place of a former list."""
+"""Replica of a key that is not its primary: backup, or replica of a former list."""
 
 from ...protocol.gen.claims.ttypes import (
     Claim,
@@ -14,7 +14,11 @@
 
 
 class ClaimReplica:
-    """Answers copies, moves and peeks from what this process knows."""
+    """Answers copy, move and peek messages from the claims known here.
+
+    A copy records a claim of the primary at its backup. A move ends the right of
+    a former replica to grant the key. A peek reads what the backup knows.
+    """
 
     __slots__ = ("_registry",)
 
@@ -22,7 +26,7 @@
         self._registry = registry
 
     async def answer(self, copy: ClaimCopy, peer: Hello) -> CopyAnswer:
-        """Return what is known of a key here, having done what `copy` asks."""
+        """Apply `copy` and return what this process knows of the key."""
         claim = copy.claim or Claim()
         match copy.kind:
             case CopyKind.COPY:
@@ -44,9 +48,9 @@
         )
 
     def _learned_from(self, claim: Claim) -> list[str]:
-        """Return the partners in this key that have handed over what they knew."""
+        """Return the other replicas of the key that have handed over their claims."""
         pairs = self._registry.pairs_of_other_lists(claim.key, revision=0)
-        partners = {place.process_id for pair in pairs for place in pair}
+        partners = {replica.process_id for pair in pairs for replica in pair}
         return sorted(partners & self._registry.learned_from)
 
     def _copy(self, claim: Claim) -> ClaimAnswer:
@@ -55,7 +59,7 @@
         record = self._registry.table.get(claim.key)
         if record is None:
             record = self._registry.record_claim(claim, stage=ClaimStage.RUNNING)
-            return _none(claim) if record else self._full()
+            return _no_claim(claim) if record else self._full()
         answer = self._registry.evaluate(record, claim)
         if answer.state == ClaimState.NEW:
             record.grant = claim.grant
@@ -73,7 +77,7 @@
         record.gateway = peer.process_id
         record.gateway_incarnation = peer.incarnation
         self._registry.table.keep_until(record, for_s=self._registry.retention_s)
-        return _none(claim)
+        return _no_claim(claim)
 
     def _peek(self, claim: Claim) -> ClaimAnswer:
         record = self._registry.table.get(claim.key)
@@ -84,31 +88,32 @@
         answer = self._registry.evaluate(record, claim)
         if answer.state != ClaimState.NEW:
             return answer
-        # The first place copied this very try here and may have granted it;
-        # the gateway asks because that answer did not arrive.
+        # The primary copied this try here and may have granted it. The gateway
+        # sends the peek because it did not receive that answer.
         return self._registry.unknown_outcome("the first place did not answer in time")
 
     def _full(self) -> ClaimAnswer:
         return self._registry.unknown_outcome("a place of this key keeps no more keys")
 
     def _is_stale(self, claim: Claim) -> bool:
-        """Return True if the asker decides under a list that is replaced.
+        """Return True if the sender decides under a replaced host list.
 
-        Guards against two homes believed at once: the former one, cut off from
-        the platform or just woken, still grants under its old list; its second
-        place knows a newer one, in which it is not second, and stops it.
+        Guards against two homes that act at the same time. A former home that is
+        partitioned from the platform or has just resumed still grants under its
+        old list. Its former backup knows a newer list in which it is not the
+        backup, and rejects the copy.
         """
-        present = self._registry.active_list
-        if claim.hosts_revision >= present.revision:
+        active = self._registry.active_list
+        if claim.hosts_revision >= active.revision:
             return False
-        pair = present.pair(claim.key)
+        pair = active.pair(claim.key)
         return len(pair) < 2 or pair[1].process_id != self._registry.process_id
 
 
 def _may_move(record: ClaimRecord, peer: Hello) -> bool:
-    """Return True if the same incarnation of the same place asked before.
+    """Return True if the same incarnation of the same replica sent a move before.
 
-    Had it granted the key, it would still know and not ask again.
+    If it had granted the key, it would still know that and send no other move.
     """
     return (
         record.stage is ClaimStage.MOVED
@@ -117,5 +122,5 @@
     )
 
 
-def _none(claim: Claim) -> ClaimAnswer:
+def _no_claim(claim: Claim) -> ClaimAnswer:
     return ClaimAnswer(state=ClaimState.NEW, request_id=claim.request_id)
--- a/src/trefoilpaddle/coordination/claims/claim_setup.py
+++ b/src/trefoilpaddle/coordination/claims/claim_setup.py
@@ -1,4 +1,4 @@
-"""Builds what a sidecar needs for request keys, and what both roles share."""
+"""Builds the request key services of a sidecar, and parts that gateways share."""
 
 from ...state.claim_table import ClaimTable
 from ...state.journal import Journal
@@ -11,13 +11,18 @@
 
 
 def connected_incarnations(server: PeerServer) -> IncarnationOf:
-    """Return what tells the incarnation last heard from a process at `server`."""
+    """Return a function that looks up the incarnation of a process at `server`.
+
+    It is the incarnation on the connection that received a message last.
+    """
 
     def incarnation_of(process_id: str) -> int | None:
-        heard = [c for c in server.connections if c.peer.process_id == process_id]
-        if not heard:
+        connections = [c for c in server.connections if c.peer.process_id == process_id]
+        if not connections:
             return None
-        return max(heard, key=lambda connection: connection.heard_s).peer.incarnation
+        return max(
+            connections, key=lambda connection: connection.heard_s
+        ).peer.incarnation
 
     return incarnation_of
 
@@ -31,7 +36,7 @@
     journal: Journal,
     window_s: float,
 ) -> ClaimSynchroniser:
-    """Answer for request keys at `server`; return what must run after a start."""
+    """Serve request keys at `server`; return the synchroniser to run after a start."""
     registry = ClaimRegistry(
         process_id=process_id,
         published=published,
--- a/src/trefoilpaddle/coordination/claims/claim_sync.py
+++ b/src/trefoilpaddle/coordination/claims/claim_sync.py
@@ -1,7 +1,7 @@
-"""Hands the claims that two places share to the one that has started anew.
+"""Transfers the claims that two replicas share to the one that has restarted.
 
-Without it, replacing one host after the other would leave keys whose two places
-were both replaced within a retry window, and nobody could vouch for them.
+Without it, replacing one host after the other could replace both replicas of a key
+within one retry window, and no process could confirm that the key is new.
 """
 
 import asyncio
@@ -28,38 +28,41 @@
 MAX_PAGE_BYTES: Final = 512 * 1024
 """Size at which a page ends; the claim that exceeds it is still sent.
 
-With the largest result it stays below ``MAX_FRAME_BYTES``.
+Even with the largest result, a page stays below ``MAX_FRAME_BYTES``.
 """
 
 MAX_LISTS_BYTES: Final = 1024 * 1024
-"""A place whose lists are larger, many changes in a large fleet, hands over none;
-the other one then waits until it is old enough to vouch."""
+"""A replica whose lists are larger hands over no claims.
+
+This takes many list changes in a large fleet. The restarted process then waits
+until it can no longer lack a claim.
+"""
 
 REPLICA_BYTES: Final = 100
-"""Taken as the size of a place in a list."""
+"""Assumed size of one replica in a list."""
 
 CLAIM_BYTES: Final = 512
-"""Taken as the size of a claim besides its result."""
+"""Assumed size of a claim without its result."""
 
 MAX_PAGES: Final = 1000
-"""Pages taken from one place; bounds one that never comes to its end."""
+"""Most pages read from one replica; bounds a transfer that never completes."""
 
 SYNC_TIMEOUT_S: Final = 1.0
 """Longest wait for one page."""
 
 RETRY_S: Final = 0.5
-"""Pause before the places that have not handed over are asked again."""
+"""Pause before replicas that have not handed over their claims are queried again."""
 
 
 class ClaimSynchroniser:
-    """Asks other places for shared claims after a start, and answers them.
+    """Fetches shared claims from other replicas after a start, and serves them.
 
     Parameters
     ----------
     registry : ClaimRegistry
-        What this process knows.
+        Claims that this process knows.
     asker : Asker
-        Reaches the other places.
+        Sends messages to the other replicas.
     """
 
     __slots__ = ("_asker", "_registry")
@@ -69,48 +72,51 @@
         self._asker = asker
 
     def mount(self, server: PeerServer) -> None:
-        """Answer places that ask at `server`."""
+        """Answer the replicas that query `server`."""
         server.answer(ClaimSync, self.answer)
 
     async def run(self) -> None:
-        """Learn from every place of the list, until nothing can be missing."""
+        """Fetch claims from every replica in the list until none can be missing."""
         while not self._registry.is_complete():
             await self.fetch_once()
             await asyncio.sleep(RETRY_S)
 
     async def fetch_once(self) -> None:
-        """Ask each place that has not handed over yet, once."""
-        for place in self._registry.active_list.places:
-            is_own = place.process_id == self._registry.process_id
-            if not is_own and place.process_id not in self._registry.learned_from:
-                await self._learn_from(place)
+        """Query each replica that has not handed over its claims yet, once."""
+        for replica in self._registry.active_list.places:
+            is_own = replica.process_id == self._registry.process_id
+            if not is_own and replica.process_id not in self._registry.learned_from:
+                await self._fetch_from(replica)
 
-    async def _learn_from(self, place: Place) -> None:
+    async def _fetch_from(self, replica: Place) -> None:
         after_key, is_complete = "", True
         for _ in range(MAX_PAGES):
-            question = ClaimSync(after_key=after_key)
+            query = ClaimSync(after_key=after_key)
             reply = await ask_at(
-                self._asker, place.address, question, timeout_s=SYNC_TIMEOUT_S
+                self._asker, replica.address, query, timeout_s=SYNC_TIMEOUT_S
             )
             match reply:
                 case Ok(SyncAnswer() as page):
                     pass
                 case _:
                     return
-            is_complete = is_complete and page.complete and self._keep(page.claims)
+            is_complete = (
+                is_complete and page.complete and self._record_claims(page.claims)
+            )
             for known in page.lists:
                 self._registry.history.learn(
-                    _list_of(known), replaced_ago_s=known.replaced_ago_ms / MS_PER_S
+                    _replica_list(known),
+                    replaced_ago_s=known.replaced_ago_ms / MS_PER_S,
                 )
             if not page.more or not page.claims:
                 if is_complete:
-                    self._registry.learned_from.add(place.process_id)
+                    self._registry.learned_from.add(replica.process_id)
                 return
             last = page.claims[-1].claim
             after_key = last.key if last is not None else ""
 
-    def _keep(self, claims: list[KnownClaim]) -> bool:
-        """Record what is not known here; return False if there is no room."""
+    def _record_claims(self, claims: list[KnownClaim]) -> bool:
+        """Record the claims that are new here; return False if the table is full."""
         for known in claims:
             claim = known.claim
             if claim is None or self._registry.table.get(claim.key) is not None:
@@ -129,7 +135,7 @@
         return True
 
     async def answer(self, sync: ClaimSync, peer: Hello) -> SyncAnswer:
-        """Return a page of the claims on keys that `peer` decides too."""
+        """Return a page of the claims on keys of which `peer` is a replica too."""
         answer = SyncAnswer(
             claims=[], complete=self._registry.is_complete_with(peer.process_id)
         )
@@ -141,22 +147,22 @@
             n_bytes = REPLICA_BYTES * sum(len(k.process_ids) for k in answer.lists)
         if n_bytes > MAX_LISTS_BYTES:
             return SyncAnswer(complete=False)
-        for record in self._shared(sync.after_key, peer.process_id):
+        for record in self._shared_with(sync.after_key, peer.process_id):
             if n_bytes > MAX_PAGE_BYTES:
                 answer.more = True
                 break
-            answer.claims.append(_known(record, now_s=self._registry.now_s()))
+            answer.claims.append(_known_claim(record, now_s=self._registry.now_s()))
             n_bytes += CLAIM_BYTES + len(record.result or b"")
         return answer
 
-    def _shared(self, after_key: str, partner: str) -> Iterator[ClaimRecord]:
+    def _shared_with(self, after_key: str, partner: str) -> Iterator[ClaimRecord]:
         for record in self._registry.table.after(after_key):
             pairs = self._registry.pairs_of_other_lists(record.key, revision=0)
-            if any(partner == place.process_id for pair in pairs for place in pair):
+            if any(partner == replica.process_id for pair in pairs for replica in pair):
                 yield record
 
 
-def _known(record: ClaimRecord, *, now_s: float) -> KnownClaim:
+def _known_claim(record: ClaimRecord, *, now_s: float) -> KnownClaim:
     return KnownClaim(
         claim=Claim(
             key=record.key,
@@ -182,17 +188,17 @@
     return ClaimStage.DONE if known.done else ClaimStage.RUNNING
 
 
-def _known_list(replaced_ago_s: float, places: PlaceList) -> KnownList:
+def _known_list(replaced_ago_s: float, replicas: PlaceList) -> KnownList:
     return KnownList(
-        hosts_revision=places.revision,
-        process_ids=[place.process_id for place in places.places],
-        addresses=[place.address for place in places.places],
-        failure_domains=[place.failure_domain for place in places.places],
+        hosts_revision=replicas.revision,
+        process_ids=[replica.process_id for replica in replicas.places],
+        addresses=[replica.address for replica in replicas.places],
+        failure_domains=[replica.failure_domain for replica in replicas.places],
         replaced_ago_ms=int(MS_PER_S * replaced_ago_s),
     )
 
 
-def _list_of(known: KnownList) -> PlaceList:
+def _replica_list(known: KnownList) -> PlaceList:
     columns = zip(
         known.process_ids, known.addresses, known.failure_domains, strict=False
     )
--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -1,4 +1,4 @@
-"""A gateway's side of request keys: claims a key before it runs a request."""
+"""Claims the key of a request for a gateway before the request runs."""
 
 import asyncio
 import time
@@ -32,30 +32,33 @@
 from .generated_ids import GeneratedIdClaims
 
 CLAIM_TIMEOUT_S: Final = 1.5
-"""Wait for the first place, which itself may wait for three others."""
+"""Longest wait for the primary, which may itself wait for three other replicas."""
 
 PEEK_TIMEOUT_S: Final = 0.5
-"""Longest wait for the second place, asked where the first is silent."""
+"""Longest wait for the backup, which is queried if the primary is unresponsive."""
 
 POLL_MIN_S: Final = 0.05
-"""First pause before a place is asked again; doubled each time."""
+"""First pause before a claim is sent again; doubled each time."""
 
 POLL_MAX_S: Final = 0.5
-"""Longest pause before a place is asked again."""
+"""Longest pause before a claim is sent again."""
 
 LIST_SKEW_S: Final = 3.0
-"""How long gateway and place may differ about the list; it is read each second."""
+"""How long a gateway and a replica may have different lists.
+
+The list is read every second.
+"""
 
 STEP: Final = "claim"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Home:
-    """Where a key is decided now; no address means in this process."""
+    """The home of a key now; it is in this process if `address` is empty."""
 
     process_id: str
     address: str
-    second_address: str
+    backup_address: str
     hosts_revision: int
     incarnation: int = 0
 
@@ -66,28 +69,28 @@
     Parameters
     ----------
     hello : callable
-        Returns what this process says of itself.
+        Returns the identity of this process.
     published : Published
-        The host list on which places are chosen.
+        The host list that determines the replicas.
     directory : Directory
-        Finds the gateway that minted an id.
+        Finds the gateway that generated an id.
     asker : Asker
-        Reaches the places.
+        Sends messages to the replicas.
     generated_ids : GeneratedIdClaims
         Decides about the ids of this gateway.
     clock, sleep : callable
-        Monotonic seconds, and a wait of seconds.
+        Return monotonic seconds, and wait for a number of seconds.
     """
 
     __slots__ = (
         "_asker",
         "_clock",
         "_directory",
-        "_drops",
         "_generated_ids",
         "_hello",
         "_published",
         "_sleep",
+        "_withdrawals",
     )
 
     def __init__(
@@ -108,7 +111,7 @@
         self._generated_ids = generated_ids
         self._clock = clock
         self._sleep = sleep
-        self._drops: set[asyncio.Task[bool]] = set()
+        self._withdrawals: set[asyncio.Task[bool]] = set()
 
     async def claim(
         self,
@@ -120,23 +123,23 @@
         budget_s: float,
         wait_s: float = 0.0,
     ) -> ClaimOutcome:
-        """Return whether this try may run the request, or what became of another.
+        """Return whether this try may run the request, or the outcome of another.
 
         Parameters
         ----------
         key : Key
-            What the caller gave.
+            Key that the caller sent.
         request_id : str
-            This try; unique, never used for a second claim.
+            Id of this try; unique, never used for a second claim.
         fingerprint : int
-            Signed 64 bits over pipeline and body.
+            Signed 64-bit hash of pipeline and body.
         is_idempotent : bool
             True if every stage may run more than once.
         budget_s : float
-            Seconds that the request has.
+            Time budget of the request, in seconds.
         wait_s : float
-            Seconds to wait for an earlier try that still runs, to hand its
-            answer to this caller too.
+            Longest wait for an earlier try that still runs, in seconds, so that
+            this caller receives its answer too.
         """
         own = self._hello()
         claim = Claim(
@@ -151,8 +154,8 @@
         try:
             return await self._claim(key, claim, budget_s=budget_s, wait_s=wait_s)
         except asyncio.CancelledError:
-            # The caller left; a place may have granted what nobody will run.
-            self._drop(key, claim, self._home(key))
+            # The caller left; a replica may have granted a try that never runs.
+            self._withdraw(key, claim, self._home(key))
             raise
 
     async def _claim(
@@ -162,11 +165,11 @@
         pause_s = POLL_MIN_S
         while True:
             home = self._home(key)
-            answer = await self._ask(home, claim) if home else None
-            passed_s = self._clock() - begin_s
-            if not _is_worth_asking_again(answer, passed_s=passed_s, wait_s=wait_s):
+            answer = await self._send_claim(home, claim) if home else None
+            elapsed_s = self._clock() - begin_s
+            if not _is_retryable(answer, elapsed_s=elapsed_s, wait_s=wait_s):
                 break
-            await self._sleep(min(pause_s, max(0.0, budget_s - passed_s)))
+            await self._sleep(min(pause_s, max(0.0, budget_s - elapsed_s)))
             if self._clock() - begin_s >= budget_s:
                 break
             pause_s = min(POLL_MAX_S, 2 * pause_s)
@@ -174,7 +177,7 @@
 
     def _home(self, key: Key) -> _Home | None:
         if key.generated_id is not None:
-            return self._generating_home(key.generated_id)
+            return self._home_of_generated_id(key.generated_id)
         hosts = self._published.hosts
         pair = place_list(hosts).pair(key.text)
         if not pair:
@@ -182,11 +185,11 @@
         return _Home(
             process_id=pair[0].process_id,
             address=pair[0].address,
-            second_address=pair[1].address if len(pair) > 1 else "",
+            backup_address=pair[1].address if len(pair) > 1 else "",
             hosts_revision=hosts.revision,
         )
 
-    def _generating_home(self, generated: RequestId) -> _Home | None:
+    def _home_of_generated_id(self, generated: RequestId) -> _Home | None:
         address = ""
         if generated.process_id != self._hello().process_id:
             host = self._directory.host(generated.process_id)
@@ -196,12 +199,12 @@
         return _Home(
             process_id=generated.process_id,
             address=address,
-            second_address="",
+            backup_address="",
             hosts_revision=0,
             incarnation=generated.incarnation,
         )
 
-    async def _ask(self, home: _Home, claim: Claim) -> ClaimAnswer | None:
+    async def _send_claim(self, home: _Home, claim: Claim) -> ClaimAnswer | None:
         claim.hosts_revision = home.hosts_revision
         claim.home_incarnation = home.incarnation
         if not home.address:
@@ -219,12 +222,12 @@
                 return await self._peek(home, claim)
 
     async def _peek(self, home: _Home, claim: Claim) -> ClaimAnswer | None:
-        """Ask the second place what the silent first one may have granted."""
-        if not home.second_address:
+        """Query the backup for what the unresponsive primary may have granted."""
+        if not home.backup_address:
             return None
-        question = ClaimCopy(kind=CopyKind.PEEK, claim=claim)
+        query = ClaimCopy(kind=CopyKind.PEEK, claim=claim)
         reply = await ask_at(
-            self._asker, home.second_address, question, timeout_s=PEEK_TIMEOUT_S
+            self._asker, home.backup_address, query, timeout_s=PEEK_TIMEOUT_S
         )
         match reply:
             case Ok(CopyAnswer(answer=ClaimAnswer() as answer)):
@@ -249,49 +252,49 @@
                 return NotRun(
                     reason=Reason.KEY_REUSED,
                     step=STEP,
-                    peer=_peer_of(home),
+                    peer=_home_id(home),
                     detail=f"{answer.detail}; choose another key",
                 )
         if claim.idempotent:
-            # Running it twice does no harm; refusing it would.
+            # An idempotent request may run twice, so it is not refused.
             return KeyGranted(key=key, request_id=claim.request_id)
-        self._drop(key, claim, home)
+        self._withdraw(key, claim, home)
         return Unknown(
             reason=Reason.HOME_GONE,
             step=STEP,
-            peer=_peer_of(home),
+            peer=_home_id(home),
             detail=f"this try was not run; of earlier ones: {answer.detail}",
             retry_after_s=max(1.0, answer.retry_after_ms / 1000),
         )
 
     def _granted(self, key: Key, claim: Claim, home: _Home | None) -> KeyGranted:
-        addresses = (home.address, home.second_address) if home else ()
+        addresses = (home.address, home.backup_address) if home else ()
         return KeyGranted(
             key=key,
             request_id=claim.request_id,
             addresses=tuple(address for address in addresses if address),
         )
 
-    def _drop(self, key: Key, claim: Claim, home: _Home | None) -> None:
-        """Tell the places that this try never runs; the caller need not wait."""
+    def _withdraw(self, key: Key, claim: Claim, home: _Home | None) -> None:
+        """Notify the replicas in the background that this try never runs."""
         granted = self._granted(key, claim, home)
         task = asyncio.create_task(self.settle(granted, is_run=False))
-        self._drops.add(task)
-        task.add_done_callback(self._drops.discard)
+        self._withdrawals.add(task)
+        task.add_done_callback(self._withdrawals.discard)
 
     async def settle(
         self, granted: KeyGranted, *, is_run: bool, result: bytes | None = None
     ) -> bool:
-        """Report the end of a claimed request; return True if a place noted it.
+        """Report the outcome of a claimed request; return True if it was recorded.
 
         Parameters
         ----------
         granted : KeyGranted
-            What `claim` returned.
+            Grant that `claim` returned.
         is_run : bool
-            False if nothing of the request was run, so that the key is free.
+            False if no part of the request ran, which frees the key.
         result : bytes, optional
-            The answer to hand to retries; left out when it is too large.
+            Answer for retries; omitted from the message if it is too large.
         """
         kept = result if result is None or len(result) <= MAX_RESULT_BYTES else None
         settle = Settle(
@@ -302,18 +305,20 @@
             has_result=kept is not None,
         )
         if granted.key.generated_id is not None and not granted.addresses:
-            noted = await self._generated_ids.answer_settle(settle, self._hello())
-            return noted.known
+            settled = await self._generated_ids.answer_settle(settle, self._hello())
+            return settled.known
         for address in granted.addresses:
-            if _is_noted(await self._send(address, settle)):
+            if _is_recorded(await self._send_settle(address, settle)):
                 return True
         return False
 
-    async def _send(self, address: str, settle: Settle) -> Result[Message, PeerError]:
+    async def _send_settle(
+        self, address: str, settle: Settle
+    ) -> Result[Message, PeerError]:
         return await ask_at(self._asker, address, settle, timeout_s=CLAIM_TIMEOUT_S)
 
 
-def _is_noted(reply: Result[Message, PeerError]) -> bool:
+def _is_recorded(reply: Result[Message, PeerError]) -> bool:
     match reply:
         case Ok(SettleAnswer(known=known)):
             return bool(known)
@@ -321,15 +326,15 @@
             return False
 
 
-def _is_worth_asking_again(
-    answer: ClaimAnswer | None, *, passed_s: float, wait_s: float
+def _is_retryable(
+    answer: ClaimAnswer | None, *, elapsed_s: float, wait_s: float
 ) -> bool:
     if answer is None:
         return False
     if answer.state == ClaimState.NOT_MINE:
-        return passed_s < LIST_SKEW_S
-    return answer.state == ClaimState.IN_PROGRESS and passed_s < wait_s
+        return elapsed_s < LIST_SKEW_S
+    return answer.state == ClaimState.IN_PROGRESS and elapsed_s < wait_s
 
 
-def _peer_of(home: _Home | None) -> str:
+def _home_id(home: _Home | None) -> str:
     return home.process_id if home else ""
--- a/src/trefoilpaddle/coordination/claims/generated_ids.py
+++ b/src/trefoilpaddle/coordination/claims/generated_ids.py
@@ -1,8 +1,8 @@
-"""Request ids that this gateway mints and serialises itself.
+"""Request ids that this gateway generates and decides about itself.
 
-The id names the gateway and its incarnation, so every other gateway sends a
-retry of it here. The table knows each id since it was minted; an id that is
-not in it was used and forgotten, or is no id of this incarnation.
+An id names the gateway and its incarnation, so every other gateway sends the claim
+of a retry here. The table keeps each id from its generation. An id that is not in
+it was used and has expired, or is not an id of this incarnation.
 """
 
 import time
@@ -25,22 +25,22 @@
 """How long an unused id stays valid."""
 
 MAX_UNUSED_IDS: Final = 100_000
-"""Unused ids remembered; beyond it the oldest one ends."""
+"""Most unused ids that are kept; beyond it the oldest one becomes invalid."""
 
 
 class GeneratedIdClaims:
-    """Mints ids and decides about them.
+    """Generates request ids and decides about claims on them.
 
     Parameters
     ----------
     registry : ClaimRegistry
         Claims known to this gateway.
     process_id : str
-        This gateway.
+        Id of this gateway.
     incarnation : int
-        Its incarnation.
+        Incarnation of this gateway.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = ("_clock", "_incarnation", "_process_id", "_registry", "_unused")
@@ -60,24 +60,27 @@
         self._unused: dict[str, float] = {}
 
     def mount(self, server: PeerServer) -> None:
-        """Answer claims on minted ids and their settlements at `server`."""
+        """Answer claims on generated ids and their settlements at `server`."""
         server.answer(Claim, self.answer_claim)
         server.answer(Settle, self.answer_settle)
 
     def generate(self) -> RequestId:
-        """Return a fresh id; beyond ``MAX_UNUSED_IDS`` the oldest unused one ends."""
-        self._drop_old()
+        """Return a new id.
+
+        Beyond ``MAX_UNUSED_IDS`` ids, the oldest unused one becomes invalid.
+        """
+        self._drop_expired()
         generated = RequestId.mint(
             process_id=self._process_id, incarnation=self._incarnation
         )
         self._unused[str(generated)] = self._clock() + UNUSED_ID_TTL_S
         return generated
 
-    def _drop_old(self) -> None:
+    def _drop_expired(self) -> None:
         while self._unused:
             oldest = next(iter(self._unused))
-            is_over = self._unused[oldest] < self._clock()
-            if not is_over and len(self._unused) < MAX_UNUSED_IDS:
+            is_expired = self._unused[oldest] < self._clock()
+            if not is_expired and len(self._unused) < MAX_UNUSED_IDS:
                 return
             del self._unused[oldest]
 
@@ -90,7 +93,7 @@
         record = self._registry.table.get(claim.key)
         if record is not None:
             return self._registry.evaluate(record, claim)
-        self._drop_old()
+        self._drop_expired()
         if claim.key not in self._unused:
             return self._registry.unknown_outcome(
                 "this id was used before, or is too old"
@@ -102,7 +105,7 @@
         return self._registry.evaluate(record, claim)
 
     async def answer_settle(self, settle: Settle, _peer: Hello) -> SettleAnswer:
-        """Note the end of a request."""
+        """Record the outcome of a request."""
         record = self._registry.table.get(settle.key)
         if record is None or record.request_id != settle.request_id:
             return SettleAnswer(known=False)
--- a/src/trefoilpaddle/coordination/claims/key_claims.py
+++ b/src/trefoilpaddle/coordination/claims/key_claims.py
@@ -1,4 +1,4 @@
-"""Request keys of callers, claimed before a request runs and settled after."""
+"""Key guard that claims a request key before the run and settles it after."""
 
 import asyncio
 import time
@@ -26,16 +26,18 @@
 STEP: Final = "claim"
 
 RETRY_AFTER_S: Final = 1.0
-"""Wait that a caller is told while its earlier try still runs."""
+"""Retry-after time for a caller whose earlier try still runs."""
 
 
 class KeyClaims:
-    """Key guard that asks the places of the keys; no key asks nobody.
+    """Key guard that queries the replicas of a key.
+
+    A request without a key runs without a claim.
 
     Parameters
     ----------
     claimer : Claimer
-        Asks the places.
+        Sends the claims to the replicas.
     """
 
     __slots__ = ("_claimer", "_granted", "_settling")
@@ -46,10 +48,11 @@
         self._settling: set[asyncio.Task[bool]] = set()
 
     async def claim(self, request: Request) -> Result[KeyState, StageError]:
-        """Return whether the request may run, or how an earlier try ended.
+        """Return whether the request may run, or the outcome of an earlier try.
 
-        While an earlier try runs this one waits for its end, since that answer
-        is the caller's; it is told "in progress" when its own time is over.
+        While an earlier try runs, this one waits for its outcome, because the
+        caller receives the same answer. It fails with "in progress" when its own
+        deadline passes first.
         """
         if not request.key:
             return Ok(RunsHere())
@@ -60,8 +63,8 @@
             request_id=request.try_id,
             fingerprint=request.fingerprint,
             is_idempotent=is_idempotent,
-            # The place counts a claim as lost when its budget is over; a call
-            # that must run once is followed on beyond its deadline.
+            # A replica treats a claim as lost when its budget has expired. The
+            # gateway follows a call that must run once beyond its deadline.
             budget_s=left_s if is_idempotent else left_s + FOLLOW_LATE_S,
             wait_s=left_s,
         )
@@ -70,7 +73,7 @@
                 self._granted[request.try_id] = outcome
                 return Ok(RunsHere())
             case Answered():
-                return Ok(_ended(outcome))
+                return Ok(_ended_before(outcome))
             case InProgress():
                 return Err(_in_progress(outcome))
             case NotRun() | Unknown():
@@ -79,7 +82,7 @@
     def settle(
         self, request: Request, outcome: Result[Answer, Refusal] | None, *, is_run: bool
     ) -> None:
-        """Report the end of a claimed request, without waiting for the place."""
+        """Report the outcome of a claimed request in the background."""
         granted = self._granted.pop(request.try_id, None)
         if granted is None:
             return
@@ -91,7 +94,7 @@
         task.add_done_callback(self._settling.discard)
 
     async def flush(self) -> None:
-        """Wait until all ends that were reported have arrived or failed to."""
+        """Wait until every reported outcome has been delivered or has failed."""
         if self._settling:
             await asyncio.wait(self._settling)
 
@@ -131,7 +134,7 @@
             return None
 
 
-def _ended(answered: Answered) -> EndedBefore:
+def _ended_before(answered: Answered) -> EndedBefore:
     first_id = request_id_of(answered.request_id)
     record = read_record(answered.result) if answered.result else Err("")
     match record:
@@ -148,7 +151,7 @@
                 is_retry_safe=False,
             )
         case _:
-            refusal = Refusal(error=_not_kept(), stage="", is_retry_safe=False)
+            refusal = Refusal(error=_result_gone(), stage="", is_retry_safe=False)
     return EndedBefore(request_id=first_id, outcome=Err(refusal))
 
 
@@ -162,7 +165,7 @@
     )
 
 
-def _not_kept() -> Unknown:
+def _result_gone() -> Unknown:
     return Unknown(
         reason=Reason.RESULT_GONE,
         step=STEP,
--- a/src/trefoilpaddle/coordination/claims/request_usage.py
+++ b/src/trefoilpaddle/coordination/claims/request_usage.py
@@ -1,4 +1,4 @@
-"""What a request has used up so far, over all its attempts."""
+"""Usage of one request over all its attempts."""
 
 import asyncio
 
@@ -7,22 +7,22 @@
 
 
 class RequestUsage:
-    """Attempts and cost of one request, kept up to date while they run.
+    """Attempts, tokens and cost of one request, updated while attempts run.
 
-    An attempt counts as started from the moment that it may have left this
-    process until a target's word, or a failed send, says that it was not.
+    An attempt counts as started as soon as it may have left this process, until
+    a reply of the target or a failed send shows that it did not start.
 
     Attributes
     ----------
     early_refusal : asyncio.Future of Refusal
-        Set when the caller is to be answered although the request goes on.
+        Set when the caller gets its answer although the request still runs.
     """
 
     __slots__ = (
         "_has_run",
         "_has_run_once_only",
-        "_n_in_doubt",
-        "_n_once_only_in_doubt",
+        "_n_once_only_unconfirmed",
+        "_n_unconfirmed",
         "cost_s",
         "early_refusal",
         "n_attempts",
@@ -32,8 +32,8 @@
     def __init__(self) -> None:
         self._has_run = False
         self._has_run_once_only = False
-        self._n_in_doubt = 0
-        self._n_once_only_in_doubt = 0
+        self._n_unconfirmed = 0
+        self._n_once_only_unconfirmed = 0
         self.cost_s = 0.0
         loop = asyncio.get_running_loop()
         self.early_refusal: asyncio.Future[Refusal] = loop.create_future()
@@ -42,29 +42,29 @@
 
     @property
     def has_started(self) -> bool:
-        """Return True if any stage may have been started at a target."""
-        return self._has_run or self._n_in_doubt > 0
+        """Return True if any stage may have started at a target."""
+        return self._has_run or self._n_unconfirmed > 0
 
     @property
     def has_started_once_only(self) -> bool:
         """Return True if a stage that must run at most once may have started."""
-        return self._has_run_once_only or self._n_once_only_in_doubt > 0
+        return self._has_run_once_only or self._n_once_only_unconfirmed > 0
 
     def answer_early(self, refusal: Refusal) -> None:
-        """Have the caller answered now; the request goes on for a retry of it."""
+        """Answer the caller now; the request continues, for a later retry of it."""
         if not self.early_refusal.done():
             self.early_refusal.set_result(refusal)
 
     def begin(self, work: StageWork) -> None:
         """Count an attempt that is about to be sent."""
         self.n_attempts += 1
-        self._n_in_doubt += 1
-        self._n_once_only_in_doubt += not work.stage.idempotent
+        self._n_unconfirmed += 1
+        self._n_once_only_unconfirmed += not work.stage.idempotent
 
     def end(self, work: StageWork, *, has_started: bool, cost_s: float = 0.0) -> None:
-        """Settle an attempt that was begun."""
-        self._n_in_doubt -= 1
-        self._n_once_only_in_doubt -= not work.stage.idempotent
+        """Count the outcome of an attempt that was begun."""
+        self._n_unconfirmed -= 1
+        self._n_once_only_unconfirmed -= not work.stage.idempotent
         self._has_run |= has_started
         self._has_run_once_only |= has_started and not work.stage.idempotent
         self.cost_s += cost_s
--- a/src/trefoilpaddle/coordination/limits/__init__.py
+++ b/src/trefoilpaddle/coordination/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of entries, leased from their homes."""
+"""Limits of entries, which gateways lease from the home processes."""
--- a/src/trefoilpaddle/coordination/limits/admission.py
+++ b/src/trefoilpaddle/coordination/limits/admission.py
@@ -1,4 +1,4 @@
-"""What a start message must satisfy before it is taken in."""
+"""Checks that a start message must pass before its attempt is admitted."""
 
 from typing import Final
 
@@ -26,32 +26,32 @@
     now_ns: int,
     peer: str,
 ) -> Result[Attempt, StageError]:
-    """Return the attempt that `start` asks for, or why it is refused.
+    """Return the attempt that `start` requests, or why it is refused.
 
-    All times are of this process's own monotonic clock: the gateway returns a
-    stamp that it got from here and adds the spans that it measured, so no two
-    hosts' clocks are ever compared.
+    All times are on this process's own monotonic clock: the gateway returns a
+    timestamp that it received from this process and adds the durations that it
+    measured, so the clocks of two hosts are never compared.
 
     Parameters
     ----------
     start : Start
-        The message.
+        The start message.
     connection : Connection
-        Where it came from.
+        Connection on which the message arrived.
     incarnation : int
         This process's incarnation.
     table : AttemptTable
-        Knows the ids that must never start.
+        Holds the ids of attempts that must never start.
     now_ns : int
-        Now.
+        Current time on this process's monotonic clock, in nanoseconds.
     peer : str
-        This process's id, for errors.
+        Id of this process, reported in errors.
     """
     refuse = _Refusal(peer=peer)
     if len(start.attempt_id) != ATTEMPT_ID_BYTES:
         return refuse(Reason.BAD_REQUEST, "the attempt id has a wrong length")
-    # A message meant for a former incarnation carries a stamp of another clock,
-    # and that incarnation may have run the attempt already.
+    # A message for an earlier incarnation carries a timestamp of another clock,
+    # and that incarnation may already have run the attempt.
     if start.incarnation != incarnation or not 0 < start.stamp_ns <= now_ns:
         return refuse(Reason.WRONG_INCARNATION, "the stamp is not of this start")
     if start.elapsed_ns < 0:
@@ -61,9 +61,11 @@
         case Spent.NEVER_STARTED:
             return refuse(Reason.BARRED, "the attempt was barred or refused before")
         case Spent.RAN:
-            return _gone("the attempt has run; its answer is no longer held", peer)
+            return _result_gone(
+                "the attempt has run; its answer is no longer held", peer
+            )
     if table.spent.is_before_horizon(sent_ns):
-        return _gone("the message is older than what is remembered", peer)
+        return _result_gone("the message is older than what is remembered", peer)
     if start.body_bytes > MAX_BODY_BYTES:
         return refuse(Reason.TOO_LARGE, f"a body may have {MAX_BODY_BYTES} bytes")
     deadline_ns = sent_ns + start.budget_ns
@@ -83,20 +85,20 @@
 
 
 def is_body_intact(attempt: Attempt) -> bool:
-    """Return True if the body has the length and checksum that were announced."""
+    """Return True if the body has the announced length and checksum."""
     start = attempt.start
     if len(attempt.body) != start.body_bytes:
         return False
     return checksum(attempt.body) == start.body_checksum
 
 
-def _gone(detail: str, peer: str) -> Err[StageError]:
+def _result_gone(detail: str, peer: str) -> Err[StageError]:
     error = Unknown(reason=Reason.RESULT_GONE, step="admit", peer=peer, detail=detail)
     return Err(error)
 
 
 class _Refusal:
-    """Builds the errors of one admission."""
+    """Builds the errors of one admission, with the id of this process."""
 
     __slots__ = ("_peer",)
 
--- a/src/trefoilpaddle/coordination/limits/entry_allowances.py
+++ b/src/trefoilpaddle/coordination/limits/entry_allowances.py
@@ -1,4 +1,7 @@
-"""A gateway's allowances of one entry's limits, taken together or not at all."""
+"""Allowances of one gateway for the limits of one entry.
+
+A request takes from all limits of its entry or from none.
+"""
 
 import sys
 from collections.abc import Iterator
@@ -17,29 +20,29 @@
 STEP: Final = "limit"
 
 MIN_RETRY_S: Final = 0.2
-"""Shortest wait that a refused caller is told."""
+"""Shortest retry-after time that a refused caller receives."""
 
 RECENT_USE_S: Final = 10.0
-"""An entry used within this time is expected to be used again."""
+"""An entry that was used within this time is expected to be used again."""
 
 MIN_REQUESTS_TO_PREFETCH: Final = 4
-"""A share that serves so many requests at once can spare one in advance."""
+"""Smallest share, in requests at once, from which one request is prefetched."""
 
 IDLE_S: Final = 30.0
-"""After this long without a request, an entry's allowances are dropped."""
+"""The allowances of an entry are dropped after this long without a request."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionTimes:
-    """What holds for one entry at one times.
+    """Times that decide which budget of an entry may be used.
 
     Parameters
     ----------
     now_s : float
-        Own monotonic clock.
+        Current time on this gateway's monotonic clock.
     own_share_from_s : float
-        Own clock, from which on no home counts on this gateway, so that its own
-        share of a rate refills here.
+        Time on the same clock from which no home leases out this gateway's
+        share, so that this gateway refills its own share of a rate limit.
     """
 
     now_s: float
@@ -47,26 +50,26 @@
 
 
 class EntryAllowances:
-    """Budget of one entry at one gateway.
+    """Budget of one entry at one gateway, for all limits of the entry.
 
     Parameters
     ----------
     name, entry : str, Entry
-        The entry as in force.
+        Name of the entry, and the entry of the active catalogue.
     gateway : str
-        This gateway's process id.
+        Process id of this gateway.
     shares : GatewayShares
-        How limits divide over the gateways.
+        How limits are divided among the gateways.
     now_s : float
-        Own monotonic clock.
+        Current time on this gateway's monotonic clock.
     asked_s : float
-        When the entry's home was last asked for anything.
+        When the last lease request was sent to the home of the entry.
     """
 
     __slots__ = (
-        "_alone",
         "_gateway",
         "_n_tokens",
+        "_own_gateway",
         "_rate",
         "_shares",
         "_slots",
@@ -91,7 +94,7 @@
         self.entry = entry
         self.bucket = bucket_of(name)
         self._gateway = gateway
-        self._alone = frozenset({gateway})
+        self._own_gateway = frozenset({gateway})
         self._n_tokens = 0.0
         self._used_s = now_s
         self._shares = shares
@@ -100,19 +103,19 @@
         self._tokens = RateAllowance(now_s=now_s)
 
     def take(self, times: AdmissionTimes, n_tokens: int) -> Result[int, NotRun]:
-        """Use up what one request needs, or say which limit lacks it.
+        """Take the budget of one request, or return the refusal of a limit.
 
         Returns
         -------
         Result[int, NotRun]
-            The tokens taken, 0 where no limit binds them.
+            The tokens taken; 0 if the entry has no token limit.
         """
         limits, now_s = self.entry.limits, times.now_s
         self._used_s = now_s
         self._n_tokens = float(n_tokens)
-        lacking = list(self._lacking(times, float(n_tokens)))
-        if lacking:
-            return Err(lacking[0])
+        refusals = list(self._refusals(times, float(n_tokens)))
+        if refusals:
+            return Err(refusals[0])
         self._slots.take()
         if limits.rate_per_s is not None:
             self._rate.take(now_s, 1.0)
@@ -121,35 +124,35 @@
         self._tokens.take(now_s, float(n_tokens))
         return Ok(n_tokens)
 
-    def _lacking(self, times: AdmissionTimes, n_tokens: float) -> Iterator[NotRun]:
-        """Yield a refusal for each limit that lacks budget, and note the need."""
+    def _refusals(self, times: AdmissionTimes, n_tokens: float) -> Iterator[NotRun]:
+        """Yield a refusal for each limit without budget, and record the need."""
         limits, now_s = self.entry.limits, times.now_s
         if not self._slots.has(self._n_slots(now_s)):
             wait_s = self._slots.refused_until_s - now_s
             yield self._refusal(Reason.LIMIT_CONCURRENCY, wait_s)
         if limits.rate_per_s is not None:
-            self._use_share(self._rate, limits.rate_per_s, times, 1.0)
+            self._refill_from_share(self._rate, limits.rate_per_s, times, 1.0)
             if not self._rate.has(now_s, 1.0):
                 wait_s = self._rate.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_RATE, wait_s)
         if limits.tokens_per_s is not None:
-            self._use_share(self._tokens, limits.tokens_per_s, times, n_tokens)
+            self._refill_from_share(self._tokens, limits.tokens_per_s, times, n_tokens)
             if not self._tokens.has(now_s, n_tokens):
                 wait_s = self._tokens.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_TOKENS, wait_s)
 
     def release(self, *, n_unused_tokens: int) -> None:
-        """Free the place of an ended request and give back unused tokens."""
+        """Free the slot of a finished request and return its unused tokens."""
         self._slots.release()
         if n_unused_tokens > 0:
             self._tokens.give_back(float(n_unused_tokens))
 
     def is_idle(self, now_s: float) -> bool:
-        """Return True if nothing of the entry was asked for lately or runs."""
+        """Return True if no request runs and none arrived within ``IDLE_S``."""
         return self._slots.n_used == 0 and now_s > self._used_s + IDLE_S
 
     def is_backing_off(self, now_s: float) -> bool:
-        """Return True if the home has lately said to come back later."""
+        """Return True while the retry-after time of a refusal by the home runs."""
         limits = self.entry.limits
         return (
             (limits.rate_per_s is not None and now_s < self._rate.refused_until_s)
@@ -160,11 +163,15 @@
         )
 
     def is_low(self) -> bool:
-        """Return True if budget should be asked for before a request waits."""
+        """Return True if budget should be leased before a request has to wait."""
         return self._rate.is_low() or self._tokens.is_low()
 
     def is_urgent(self) -> bool:
-        """Return True if a request waits for budget, or places are to be freed."""
+        """Return True if the next lease request must carry this entry.
+
+        That is if a request lacks budget or soon will, or if another gateway
+        waits for slots.
+        """
         return (
             self._slots.is_missed()
             or self._slots.is_contended
@@ -174,17 +181,17 @@
         )
 
     def is_contended(self) -> bool:
-        """Return True if another gateway waits for places that are free here."""
+        """Return True if another gateway waits for slots of this entry."""
         return self._slots.is_contended
 
     def report_wants(self, now_s: float, *, period_s: float) -> list[LeaseWant]:
-        """Return what to tell the home, and count it as told."""
+        """Return what to report to the home, and record it as reported."""
         limits = self.entry.limits
-        told: list[LeaseWant] = []
+        wants: list[LeaseWant] = []
         if limits.rate_per_s is not None:
             n_spare = self._n_spare(now_s, limits.rate_per_s, 1.0)
             want = self._rate.report(now_s, period_s=period_s, n_spare=n_spare)
-            told.append(self._wire(LimitKind.REQUEST_RATE, want))
+            wants.append(self._want_message(LimitKind.REQUEST_RATE, want))
         if limits.n_concurrent is not None:
             share = self._slot_share()
             want = self._slots.report(
@@ -195,20 +202,21 @@
                     self._is_recent(now_s) and share >= MIN_REQUESTS_TO_PREFETCH
                 ),
             )
-            told.append(self._wire(LimitKind.CONCURRENCY, want))
+            wants.append(self._want_message(LimitKind.CONCURRENCY, want))
         if limits.tokens_per_s is not None:
             n_spare = self._n_spare(now_s, limits.tokens_per_s, self._n_tokens)
             want = self._tokens.report(now_s, period_s=period_s, n_spare=n_spare)
-            told.append(self._wire(LimitKind.TOKEN_RATE, want))
-        return told
+            wants.append(self._want_message(LimitKind.TOKEN_RATE, want))
+        return wants
 
     def _n_spare(self, now_s: float, limit: float, n_each: float) -> float:
-        """Return units for one more request, where the limit leaves plenty.
+        """Return the units to hold in advance for one more request.
 
-        Without them, the next request of an entry that is used now and then
-        waits for an answer of the home. Of a scarce limit none is kept back.
+        Without them, the next request of an entry that is used occasionally
+        waits for a response of the home. No units of a scarce limit are held in
+        advance.
         """
-        share = limit * self._shares.fraction(self._alone)
+        share = limit * self._shares.fraction(self._own_gateway)
         is_plenty = (
             share * self.entry.limits.burst_s >= MIN_REQUESTS_TO_PREFETCH * n_each
         )
@@ -218,7 +226,7 @@
         return now_s < self._used_s + RECENT_USE_S
 
     def apply_grant(self, grant: LeaseGrant, *, sent_s: float, now_s: float) -> None:
-        """Take what the ask sent at `sent_s` brought."""
+        """Apply a grant from the response to the lease request sent at `sent_s`."""
         wait_s = grant.retry_after_ms / 1000
         match grant.kind:
             case LimitKind.CONCURRENCY:
@@ -249,12 +257,12 @@
             now_s, share=self._slot_share(), deadline_s=self.entry.deadline_s
         )
 
-    def _use_share(
+    def _refill_from_share(
         self, allowance: RateAllowance, limit: float, times: AdmissionTimes, need: float
     ) -> None:
         allowance.use_share(
             times.now_s,
-            rate_per_s=limit * self._shares.fraction(self._alone),
+            rate_per_s=limit * self._shares.fraction(self._own_gateway),
             from_s=times.own_share_from_s,
             burst_s=self.entry.limits.burst_s,
             need=need,
@@ -269,7 +277,7 @@
             retry_after_s=max(wait_s, MIN_RETRY_S),
         )
 
-    def _wire(self, kind: int, want: Want) -> LeaseWant:
+    def _want_message(self, kind: int, want: Want) -> LeaseWant:
         return LeaseWant(
             entry=self.name,
             kind=kind,
--- a/src/trefoilpaddle/coordination/limits/lease_contact.py
+++ b/src/trefoilpaddle/coordination/limits/lease_contact.py
@@ -1,4 +1,7 @@
-"""A gateway's contact with one home of limits: probes, asks, notices its loss."""
+"""Contact of a gateway with one home of limits.
+
+It probes the home, sends lease requests and detects that the home is lost.
+"""
 
 import asyncio
 import contextlib
@@ -14,53 +17,56 @@
 from ..requests.asker import Asker, ask_at
 
 LEASE_REQUEST_TIMEOUT_S: Final = 0.4
-"""Longest wait for the home, and the pause after it was not heard."""
+"""Longest wait for a response, and the pause after a request without one."""
 
 PERIOD_S: Final = 0.6
-"""Time between asks when no request waits; several fit into one lease."""
+"""Time between lease requests when no caller waits; several fit into a lease."""
 
 IDLE_PERIOD_S: Final = 1.5
-"""The same while no entry of the home is in use; shorter than a lease."""
+"""Time between lease requests while no entry of the home is in use.
+
+It is shorter than a lease.
+"""
 
 MIN_PERIOD_S: Final = 0.01
-"""Least time between two asks to one home, however many requests wait."""
+"""Shortest time between two lease requests to one home, even under load."""
 
 
 class LeaseHolder(Protocol):
-    """What a contact asks for and where answers go; `Limiter` is one."""
+    """Builds lease requests and applies the responses; `Limiter` implements it."""
 
     def next_lease_request(
         self, home: Place, incarnation: int, now_s: float
     ) -> LeaseAsk:
-        """Return what to ask of `home` now; counted as sent."""
+        """Return the lease request to send to `home` now, recorded as sent."""
         ...
 
     def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
-        """Take the answer to the ask sent at `sent_s`."""
+        """Apply the response to the lease request sent at `sent_s`."""
         ...
 
     def record_home_lost(self, home: Place) -> None:
-        """Note that `home` answers no more."""
+        """Record that `home` does not respond any more."""
         ...
 
 
 class HomeContact:
-    """Keeps in touch with one home; one task, ended with the contact.
+    """Sends lease requests to one home from one task, which ends with the contact.
 
-    A home that was silent is first probed by an ask that commits to nothing: a
-    real one would let it count on this gateway's share, and a home that stands
-    still would hold that share for as long as it is asked.
+    A home that was unresponsive is first probed by an empty lease request. A real
+    one would delegate this gateway's share to the home, and a home that is
+    paused would keep that share for as long as lease requests are sent to it.
 
     Parameters
     ----------
     home : Place
-        The sidecar asked.
+        The sidecar that is the home.
     asker : Asker
-        Reaches it.
+        Sends messages to the home.
     holder : LeaseHolder
-        What to ask, and who takes the answers.
+        Builds the lease requests and applies the responses.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = (
@@ -68,13 +74,13 @@
         "_clock",
         "_holder",
         "_incarnation",
+        "_is_exchanging",
         "_period_s",
         "_round",
+        "_round_done",
         "_stamp_ns",
         "_stamped_s",
         "_triggered",
-        "_turned",
-        "_turning",
         "home",
     )
 
@@ -96,28 +102,28 @@
         self._triggered = asyncio.Event()
         self._period_s = PERIOD_S
         self._round = 0
-        self._turning = False
-        self._turned = asyncio.Condition()
+        self._is_exchanging = False
+        self._round_done = asyncio.Condition()
 
     @property
     def is_responsive(self) -> bool:
-        """Return True if the home answered the last ask."""
+        """Return True if the home responded to the last lease request."""
         return self._incarnation != 0
 
     def trigger(self) -> None:
-        """Ask soon."""
+        """Send a lease request soon."""
         self._triggered.set()
 
     async def refresh(self, *, timeout_s: float) -> None:
-        """Wait for the answer to an ask that is sent from now on."""
-        wanted = self._round + 2 if self._turning else self._round + 1
+        """Wait for the response to a lease request that is sent after this call."""
+        target_round = self._round + 2 if self._is_exchanging else self._round + 1
         self._triggered.set()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(timeout_s), self._turned:
-                await self._turned.wait_for(lambda: self._round >= wanted)
+            async with asyncio.timeout(timeout_s), self._round_done:
+                await self._round_done.wait_for(lambda: self._round >= target_round)
 
     async def run(self) -> None:
-        """Ask again and again until cancelled."""
+        """Send lease requests until cancelled."""
         while True:
             await self.exchange_once()
             await asyncio.sleep(
@@ -128,41 +134,41 @@
                     await self._triggered.wait()
 
     async def exchange_once(self) -> None:
-        """Probe the home if it was silent, then ask it once."""
+        """Probe the home if it was unresponsive, then send one lease request."""
         self._triggered.clear()
-        self._turning = True
+        self._is_exchanging = True
         if not self.is_responsive:
             await self._probe()
         if self.is_responsive:
-            await self._ask()
-        self._turning = False
-        async with self._turned:
+            await self._request_leases()
+        self._is_exchanging = False
+        async with self._round_done:
             self._round += 1
-            self._turned.notify_all()
+            self._round_done.notify_all()
 
     async def _probe(self) -> None:
         answer = await self._send(LeaseAsk())
         if answer is not None:
-            self._note_stamp(answer)
+            self._record_stamp(answer)
 
-    async def _ask(self) -> None:
+    async def _request_leases(self) -> None:
         sent_s = self._clock()
-        ask = self._holder.next_lease_request(self.home, self._incarnation, sent_s)
-        self._period_s = PERIOD_S if ask.wants else IDLE_PERIOD_S
-        ask.home_incarnation = self._incarnation
-        ask.stamp_ns = self._stamp_ns
-        ask.elapsed_ns = int((sent_s - self._stamped_s) * NS_PER_S)
-        answer = await self._send(ask)
+        request = self._holder.next_lease_request(self.home, self._incarnation, sent_s)
+        self._period_s = PERIOD_S if request.wants else IDLE_PERIOD_S
+        request.home_incarnation = self._incarnation
+        request.stamp_ns = self._stamp_ns
+        request.elapsed_ns = int((sent_s - self._stamped_s) * NS_PER_S)
+        answer = await self._send(request)
         if answer is None or not answer.mine:
             self._incarnation = 0
             self._holder.record_home_lost(self.home)
             return
-        self._note_stamp(answer)
+        self._record_stamp(answer)
         self._holder.apply_answer(self.home, answer, sent_s=sent_s)
 
-    async def _send(self, ask: LeaseAsk) -> LeaseAnswer | None:
+    async def _send(self, request: LeaseAsk) -> LeaseAnswer | None:
         reply = await ask_at(
-            self._asker, self.home.address, ask, timeout_s=LEASE_REQUEST_TIMEOUT_S
+            self._asker, self.home.address, request, timeout_s=LEASE_REQUEST_TIMEOUT_S
         )
         match reply:
             case Ok(LeaseAnswer() as answer):
@@ -170,7 +176,7 @@
             case _:
                 return None
 
-    def _note_stamp(self, answer: LeaseAnswer) -> None:
+    def _record_stamp(self, answer: LeaseAnswer) -> None:
         self._incarnation = answer.incarnation
         self._stamp_ns = answer.stamp_ns
         self._stamped_s = self._clock()
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -1,4 +1,7 @@
-"""Limits of entries over all gateways: admits from budget leased from homes."""
+"""Limits of entries over all gateways.
+
+A gateway admits requests from budget that it leases from the homes of the limits.
+"""
 
 import asyncio
 import contextlib
@@ -25,7 +28,7 @@
 from .permits import HeldPermit
 
 LEASE_WAIT_S: Final = 0.25
-"""Longest wait of a request for budget that is not in hand."""
+"""Longest wait of a request for budget that this gateway does not hold."""
 
 MAX_LEASE_ROUNDS: Final = 2
 NO_LIMITS: Final = Limits()
@@ -33,16 +36,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShareDelegation:
-    """The home that may count on this gateway's share of a bucket, and why.
+    """The home that may lease out this gateway's share of a bucket.
 
     Parameters
     ----------
     home : str
-        Process id.
+        Process id of the home.
     incarnation : int
-        Of that home; another one knows nothing of it.
+        Incarnation of the home; another one has no record of the delegation.
     sent_s : float
-        Own clock, when it was last asked.
+        Time of the last lease request to it, on this gateway's monotonic clock.
     """
 
     home: str
@@ -56,33 +59,33 @@
     Parameters
     ----------
     gateway : str
-        This gateway's process id.
+        Process id of this gateway.
     incarnation : int
-        Its incarnation.
+        Incarnation of this gateway.
     published : Published
-        Host list and catalogue in force.
+        Active host list and catalogue.
     asker : Asker
-        Reaches the homes.
+        Sends messages to the homes.
     journal : Journal
-        Takes refusals and lost leases.
+        Records refusals and lost leases.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = (
         "_allowances",
         "_asker",
         "_clock",
+        "_delegations",
         "_gateway",
         "_holds_s",
         "_homes",
         "_incarnation",
         "_journal",
         "_published",
-        "_reliances",
+        "_reported_s",
         "_start_s",
         "_tasks",
-        "_told_s",
         "contacts",
         "is_leaving",
         "shares",
@@ -108,8 +111,8 @@
         self._allowances: dict[str, EntryAllowances] = {}
         self._homes: dict[int, Place] = {}
         self._holds_s: dict[int, float] = {}
-        self._reliances: dict[int, ShareDelegation] = {}
-        self._told_s: dict[str, float] = {}
+        self._delegations: dict[int, ShareDelegation] = {}
+        self._reported_s: dict[str, float] = {}
         self._tasks: dict[str, asyncio.Task[None]] | None = None
         self.contacts: dict[str, HomeContact] = {}
         self.shares = GatewayShares(clock=clock)
@@ -122,10 +125,11 @@
     async def admit(
         self, entry_name: str, entry: Entry, n_tokens: int
     ) -> Result[Permit, NotRun]:
-        """Return leave to run, or which limit refuses and for how long.
+        """Return a permit to run, or the limit that refuses and for how long.
 
-        Waits only when the budget in hand is not enough and the home has not
-        lately said to come back later; then ``LEASE_WAIT_S`` at most.
+        Waits only if this gateway holds too little budget and no retry-after
+        time of an earlier refusal by the home is running, for at most
+        ``LEASE_WAIT_S`` in each of ``MAX_LEASE_ROUNDS`` rounds.
         """
         if entry.limits == NO_LIMITS:
             return Ok(FREE)
@@ -177,9 +181,9 @@
         )
 
     def _asked_s(self, bucket: int) -> float:
-        """Return when a home could last begin to count on this gateway's share."""
-        reliance = self._reliances.get(bucket)
-        return reliance.sent_s if reliance is not None else self._start_s
+        """Return when this gateway last delegated its share, or its start time."""
+        delegation = self._delegations.get(bucket)
+        return delegation.sent_s if delegation is not None else self._start_s
 
     def _contact_of(self, bucket: int) -> HomeContact | None:
         home = self._homes.get(bucket)
@@ -210,10 +214,16 @@
 
     def _on_published(self) -> None:
         self.shares.set_hosts(self._published.hosts)
-        places = place_list(self._published.hosts)
+        replicas = place_list(self._published.hosts)
         entries = self._published.catalogue.entries
-        bound = {bucket_of(n) for n, e in entries.items() if e.limits != NO_LIMITS}
-        pairs = {b: places.pair(bucket_key(b)) for b in range(N_BUCKETS) if b in bound}
+        limited_buckets = {
+            bucket_of(n) for n, e in entries.items() if e.limits != NO_LIMITS
+        }
+        pairs = {
+            b: replicas.pair(bucket_key(b))
+            for b in range(N_BUCKETS)
+            if b in limited_buckets
+        }
         self._homes = {bucket: pair[0] for bucket, pair in pairs.items() if pair}
         self._holds_s = _holds_s(entries)
         for name in [name for name in self._allowances if name not in entries]:
@@ -221,7 +231,11 @@
         self._open_contacts()
 
     def _open_contacts(self) -> None:
-        """Keep a contact with each home, and with former ones until they let go."""
+        """Keep a contact with each home, and with each former one while it is needed.
+
+        A former home is needed until it has released this gateway's share or can
+        no longer hold it.
+        """
         now_s = self._clock()
         wanted = {home.process_id: home for home in self._homes.values()}
         for name, home in wanted.items():
@@ -233,9 +247,9 @@
                 )
             self._start_contact(name)
         held = {
-            reliance.home
-            for bucket, reliance in self._reliances.items()
-            if now_s < reliance.sent_s + self._hold_s(bucket)
+            delegation.home
+            for bucket, delegation in self._delegations.items()
+            if now_s < delegation.sent_s + self._hold_s(bucket)
         }
         for name in [n for n in self.contacts if n not in wanted and n not in held]:
             self._close_contact(name)
@@ -253,7 +267,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["Limiter"]:
-        """Keep contact with the homes while the context is open."""
+        """Exchange lease requests with the homes while the context is open."""
         self._tasks = {}
         self._open_contacts()
         try:
@@ -265,84 +279,91 @@
             await asyncio.gather(*tasks.values(), return_exceptions=True)
 
     async def leave(self) -> None:
-        """Tell every home in touch that this gateway uses its shares no more."""
+        """Notify every responsive home that this gateway stops using its shares."""
         self.is_leaving = True
-        heard = [contact for contact in self.contacts.values() if contact.is_responsive]
-        await asyncio.gather(*(contact.exchange_once() for contact in heard))
+        responsive = [
+            contact for contact in self.contacts.values() if contact.is_responsive
+        ]
+        await asyncio.gather(*(contact.exchange_once() for contact in responsive))
 
-    # What contacts ask
+    # Lease requests
 
     def next_lease_request(
         self, home: Place, incarnation: int, now_s: float
     ) -> LeaseAsk:
-        """Return what to ask of `home` now; counted as sent."""
-        here = [b for b, place in self._homes.items() if place == home]
-        buckets = [b for b in here if self._may_rely(b, home, incarnation, now_s)]
+        """Return the lease request to send to `home` now, recorded as sent."""
+        home_buckets = [
+            b for b, bucket_home in self._homes.items() if bucket_home == home
+        ]
+        buckets = [
+            b for b in home_buckets if self._may_delegate(b, home, incarnation, now_s)
+        ]
         for bucket in buckets:
-            self._reliances[bucket] = ShareDelegation(
+            self._delegations[bucket] = ShareDelegation(
                 home=home.process_id, incarnation=incarnation, sent_s=now_s
             )
-        relied = frozenset(buckets)
-        allowances = [h for h in self._allowances.values() if h.bucket in relied]
-        if now_s < self._told_s.get(home.process_id, -math.inf) + PERIOD_S:
-            allowances = [h for h in allowances if h.is_urgent()]
+        delegated = frozenset(buckets)
+        allowances = [a for a in self._allowances.values() if a.bucket in delegated]
+        if now_s < self._reported_s.get(home.process_id, -math.inf) + PERIOD_S:
+            allowances = [a for a in allowances if a.is_urgent()]
         else:
-            self._told_s[home.process_id] = now_s
-        wants = [h.report_wants(now_s, period_s=PERIOD_S) for h in allowances]
-        for idle in [h.name for h in allowances if h.is_idle(now_s)]:
+            self._reported_s[home.process_id] = now_s
+        wants = [a.report_wants(now_s, period_s=PERIOD_S) for a in allowances]
+        for idle in [a.name for a in allowances if a.is_idle(now_s)]:
             del self._allowances[idle]
         return LeaseAsk(
             gateway=self._gateway,
             incarnation=self._incarnation,
             config_revision=self._published.catalogue.revision,
             hosts_revision=self._published.hosts.revision,
-            wants=[want for told in wants for want in told],
+            wants=[want for entry_wants in wants for want in entry_wants],
             buckets=buckets,
-            releases=list(self._releases(home, frozenset(here))),
+            releases=list(self._releases(home, frozenset(home_buckets))),
             leaving=self.is_leaving,
         )
 
-    def _may_rely(
+    def _may_delegate(
         self, bucket: int, home: Place, incarnation: int, now_s: float
     ) -> bool:
-        """Return True if no other home can count on this gateway's share.
+        """Return True if no other home can still lease out this gateway's share.
 
-        Guards against two homes believed at once, and against a home that was
-        restarted: the former one may have lent the share to somebody.
+        Guards against two homes that act at the same time, and against a home
+        that was restarted: its former incarnation may have leased the share to
+        another gateway.
         """
-        reliance = self._reliances.get(bucket)
-        if reliance is None:
+        delegation = self._delegations.get(bucket)
+        if delegation is None:
             return True
-        if (reliance.home, reliance.incarnation) == (home.process_id, incarnation):
+        if (delegation.home, delegation.incarnation) == (home.process_id, incarnation):
             return True
-        return now_s >= reliance.sent_s + self._hold_s(bucket)
+        return now_s >= delegation.sent_s + self._hold_s(bucket)
 
     def _hold_s(self, bucket: int) -> float:
         return self._holds_s.get(bucket, HOLD_S)
 
-    def _releases(self, home: Place, here: frozenset[int]) -> list[int]:
+    def _releases(self, home: Place, home_buckets: frozenset[int]) -> list[int]:
         return [
             bucket
-            for bucket, reliance in self._reliances.items()
-            if reliance.home == home.process_id and bucket not in here
+            for bucket, delegation in self._delegations.items()
+            if delegation.home == home.process_id and bucket not in home_buckets
         ]
 
     def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
-        """Take the answer to the ask sent at `sent_s`."""
+        """Apply the response to the lease request sent at `sent_s`."""
         now_s = self._clock()
         for bucket in answer.released:
-            reliance = self._reliances.get(bucket)
-            if reliance is not None and reliance.home == home.process_id:
-                del self._reliances[bucket]
+            delegation = self._delegations.get(bucket)
+            if delegation is not None and delegation.home == home.process_id:
+                del self._delegations[bucket]
         for grant in answer.grants:
             allowances = self._allowances.get(grant.entry)
             if allowances is not None:
                 allowances.apply_grant(grant, sent_s=sent_s, now_s=now_s)
-        if self.contacts.keys() - {place.process_id for place in self._homes.values()}:
+        if self.contacts.keys() - {home.process_id for home in self._homes.values()}:
             self._open_contacts()
 
     def record_home_lost(self, home: Place) -> None:
-        """Note that `home` answers no more."""
+        """Record that `home` does not respond any more."""
         self._journal.record(
             Decision(
                 event=Event.LEASE_LOST,
@@ -353,9 +374,9 @@
 
 
 def _holds_s(entries: Mapping[str, Entry]) -> dict[int, float]:
-    """Return for each bucket how long a home may count on a share of it.
+    """Return for each bucket how long a home may hold a delegated share of it.
 
-    Longer than ``HOLD_S`` where an entry binds concurrency.
+    It is longer than ``HOLD_S`` for buckets with a concurrency limit.
     """
     holds_s: dict[int, float] = {}
     for name, entry in entries.items():
--- a/src/trefoilpaddle/coordination/limits/permits.py
+++ b/src/trefoilpaddle/coordination/limits/permits.py
@@ -1,4 +1,4 @@
-"""Leave to run one request within the limits that bind its entry."""
+"""Permits to run one request within the limits of its entry."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,17 @@
 
 
 class HeldPermit:
-    """Leave to run that holds a place and tokens of an entry.
+    """Permit that holds a slot and tokens of an entry until it is released.
 
     Parameters
     ----------
     allowances : EntryAllowances
-        Where place and tokens go back to.
+        Receives the slot and unused tokens on release.
     n_tokens : int
-        Tokens taken.
+        Tokens that the request took.
     trigger_lease_request : callable
-        Asks the home soon; called when another gateway waits for the place.
+        Causes a lease request to the home soon; called when another gateway
+        waits for the slot.
     """
 
     __slots__ = ("_allowances", "_n_tokens", "_trigger_lease_request")
@@ -32,7 +33,11 @@
         self._trigger_lease_request = trigger_lease_request
 
     def release(self, *, n_tokens: int | None = None) -> None:
-        """Give back the place, and the tokens taken beyond `n_tokens`."""
+        """Return the slot, and the tokens that were taken beyond `n_tokens`.
+
+        If `n_tokens` is None, all tokens count as used. Further calls have no
+        effect.
+        """
         if self._allowances is None:
             return
         n_used = self._n_tokens if n_tokens is None else n_tokens
--- a/src/trefoilpaddle/coordination/placing/__init__.py
+++ b/src/trefoilpaddle/coordination/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Models on targets: what each should hold, and the orders for it."""
+"""Placement of models: which models a target should hold, and orders to load them."""
--- a/src/trefoilpaddle/coordination/placing/orders.py
+++ b/src/trefoilpaddle/coordination/placing/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the one target, sent by its own sidecar alone and fenced."""
+"""Orders to a target, which only its own sidecar sends, with a fencing number."""
 
 import asyncio
 import secrets
@@ -19,16 +19,16 @@
 
 PATH: Final = "/v1/orders"
 ORDER_TIMEOUT_S: Final = 120.0
-"""Longest that loading a model may take."""
+"""Longest time for one order, which may include loading a model."""
 
 MAX_DECISION_AGE_S: Final = 2.0
-"""An order decided longer ago than this is not sent."""
+"""An order is not sent if its decision is older than this."""
 
 FENCE_STEP_BITS: Final = 32
-"""A sidecar takes a fencing number this far, at random, above the highest."""
+"""Size in bits of the random step from the highest fencing number to the next."""
 
 PROBE_MODEL: Final = "trefoilpaddle.none"
-"""A model that is never loaded; unloading it tells the highest fencing number."""
+"""A model that is never loaded; an order to unload it reads the fencing number."""
 
 HTTP_OK: Final = 200
 HTTP_CONFLICT: Final = 409
@@ -37,7 +37,7 @@
 
 @unique
 class OrderKind(StrEnum):
-    """What a target is told to do."""
+    """What an order requests from a target."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """One order.
+    """One order to a target.
 
     Parameters
     ----------
     kind : OrderKind
-        What to do.
+        What the target must do.
     name, version : str
-        Of the model or adapter, or the role.
+        Name and version of the model or adapter, or the role.
     """
 
     kind: OrderKind
@@ -64,28 +64,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotSent:
-    """Nothing left this process: no lock, superseded, or decided too long ago."""
+    """Nothing was sent: no lock, superseded, or the decision is too old."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Superseded:
-    """A newer sidecar has given orders; this one never will again."""
+    """A newer sidecar has sent orders; this one must send no more."""
 
     highest: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Busy:
-    """The target or the weight store asks to come back later."""
+    """The target or the weight store is busy; the order may be retried later."""
 
     retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderFailed:
-    """The order failed, or its outcome is not known; repeating it is harmless."""
+    """The order failed or its outcome is unknown; it is safe to send it again."""
 
     detail: str
 
@@ -101,22 +101,22 @@
 
 
 class TargetOrders:
-    """Sends orders to a target, one at a time.
+    """Sends orders to one target, one at a time.
 
     Parameters
     ----------
     http : TargetHttp
-        Reaches the target.
+        HTTP client of the target.
     target : str
-        Its name.
+        Name of the target.
     fencing : Fencing
         Whether the target refuses orders with an old fencing number.
     has_lock : callable
         Returns True while this process holds the target's port lock.
     journal : Journal
-        Takes each order sent or refused.
+        Records each order that is sent or refused.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = (
@@ -125,7 +125,7 @@
         "_has_lock",
         "_http",
         "_journal",
-        "_one_at_a_time",
+        "_send_lock",
         "_target",
         "fence",
         "is_superseded",
@@ -147,24 +147,24 @@
         self._has_lock = has_lock
         self._journal = journal
         self._clock = clock
-        self._one_at_a_time = asyncio.Lock()
+        self._send_lock = asyncio.Lock()
         self.fence = 0
         self.is_superseded = False
 
     async def send(
         self, order: Order, *, decided_s: float | None = None
     ) -> Result[None, OrderError]:
-        """Give `order` to the target and wait until it has obeyed.
+        """Send `order` to the target and wait until it is carried out.
 
         Parameters
         ----------
         order : Order
-            What to do.
+            The order.
         decided_s : float, optional
-            When it was decided, on `clock`; now if left out.
+            Time of the decision on `clock`; the current time if omitted.
         """
         begin_s = self._clock() if decided_s is None else decided_s
-        async with self._one_at_a_time:
+        async with self._send_lock:
             outcome = await self._send(order, begin_s)
         self._record(order, outcome)
         return outcome
@@ -177,13 +177,14 @@
         return await self._post_fenced(order, begin_s)
 
     async def _take_fence(self, begin_s: float) -> Result[None, OrderError]:
-        """Take a fencing number above every earlier one, known to the target.
-
-        The number must rise over restarts, and nothing here lasts: the target
-        alone remembers. A harmless order with number 0 brings the highest in
-        its refusal; another with the number taken makes it the highest, so that
-        orders of a former sidecar, still on their way, come too late. The step
-        is random: two sidecars that ask at the same time take different ones.
+        """Take a fencing number above every earlier one and register it.
+
+        The number must rise across restarts, but a sidecar stores nothing, so only
+        the target keeps it. The refusal of a harmless order with number 0 contains
+        the highest number. Another such order with the new number makes that the
+        highest, so that the target rejects orders of an earlier sidecar that are
+        still in transit. The step is random so that two sidecars that do this at
+        the same time take different numbers.
         """
         probe = Order(kind=OrderKind.UNLOAD_MODEL, name=PROBE_MODEL)
         match await self._post(probe, fence=0, begin_s=begin_s):
@@ -204,14 +205,14 @@
             case Err(error):
                 return Err(error)
             case Ok(_Reply(status=status) as reply):
-                return self._judge(status, reply)
+                return self._outcome_of(status, reply)
 
-    def _judge(self, status: int, reply: _Reply) -> Result[None, OrderError]:
+    def _outcome_of(self, status: int, reply: _Reply) -> Result[None, OrderError]:
         if status == HTTP_OK:
             return Ok(None)
         if status == HTTP_CONFLICT:
-            # Never take a higher number now: only a sidecar that started later
-            # can have raised it, and a paused one that wakes must yield.
+            # Take no higher number: only a sidecar that started later can have
+            # raised it, and a sidecar that resumes after a pause must yield to it.
             self.is_superseded = True
             return Err(Superseded(highest=reply.highest))
         if status in BUSY_STATUSES:
@@ -227,7 +228,7 @@
             "name": order.name,
             "version": order.version,
         }
-        guard = SendGuard(may_send=lambda: not self._obstacle(begin_s))
+        guard = SendGuard(may_send=lambda: not self._refusal(begin_s))
         try:
             async with (
                 asyncio.timeout(ORDER_TIMEOUT_S),
@@ -237,17 +238,17 @@
             ):
                 return Ok(await _reply_of(response))
         except SendRefusedError:
-            return Err(NotSent(detail=self._obstacle(begin_s)))
+            return Err(NotSent(detail=self._refusal(begin_s)))
         except (ClientError, OSError, TimeoutError) as error:
             if guard.is_refused:
-                return Err(NotSent(detail=self._obstacle(begin_s)))
+                return Err(NotSent(detail=self._refusal(begin_s)))
             return Err(OrderFailed(detail=repr(error)))
 
-    def _obstacle(self, begin_s: float) -> str:
-        """Return why no order may leave now, empty if it may.
+    def _refusal(self, begin_s: float) -> str:
+        """Return why no order may be sent now, or an empty text if one may.
 
-        Read right before the bytes leave, so that a pause between decision and
-        sending does not put an old belief into effect.
+        It is checked right before the bytes are sent, so that an outdated decision
+        has no effect after a pause between decision and sending.
         """
         if not self._has_lock():
             return "this process does not hold the target's lock"
--- a/src/trefoilpaddle/coordination/placing/placement.py
+++ b/src/trefoilpaddle/coordination/placing/placement.py
@@ -1,4 +1,4 @@
-"""A sidecar's placement: loads and unloads models of its own target alone."""
+"""Model placement by a sidecar, which loads and unloads models of its own target."""
 
 import asyncio
 import random
@@ -23,27 +23,27 @@
 from .orders import Busy, Order, OrderKind, TargetOrders
 
 ROUND_S: Final = 2.0
-"""Time between two exchanges with peers of the service."""
+"""Time between two exchanges with the peers of the service."""
 
 REPORT_TTL_S: Final = 3 * ROUND_S
-"""A report older than this tells nothing of what a target holds."""
+"""A report that is older than this is ignored."""
 
 MAX_PEERS_PER_ROUND: Final = 16
-"""Peers of the service asked in one round, at most."""
+"""Most peers of the service that are queried in one round."""
 
 EXCHANGE_TIMEOUT_S: Final = 0.5
-"""Longest wait for what a peer holds."""
+"""Longest wait for the holdings of a peer."""
 
 DEMAND_HALF_LIFE_S: Final = 20.0
-"""Time in which demand of the past loses half its weight."""
+"""Time after which past demand has half its weight."""
 
 MAX_BACKOFF_S: Final = 60.0
-"""Longest wait after an order that found its store busy."""
+"""Longest wait after an order failed because the target or store was busy."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerReport:
-    """What a peer said of its target, and when by this process's clock."""
+    """Holdings that a peer reported, and when they were received on this clock."""
 
     holder: Holder
     demand: dict[str, float]
@@ -51,26 +51,28 @@
 
 
 class Placement:
-    """Decides what the own target holds, from the catalogue and what is heard.
+    """Decides which models the own target holds.
+
+    The decision follows from the catalogue and the reports of peers.
 
     Parameters
     ----------
     process_id, service : str
-        This sidecar and its target's service.
+        Id of this sidecar, and the service of its target.
     published : Published
-        Catalogue and host list in force.
+        Active catalogue and host list.
     asker : Asker
-        Reaches the other sidecars of the service.
+        Sends messages to the other sidecars of the service.
     orders : TargetOrders
-        Takes the orders.
+        Sends the orders to the target.
     journal : Journal
-        Takes each decision.
+        Records each decision.
     loaded : frozenset of str
-        What the target holds already.
+        Models that the target already holds.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     seed : int
-        Of the jitter of its waits.
+        Seed of the jitter of its waits.
     """
 
     __slots__ = (
@@ -117,32 +119,32 @@
         self.loaded = loaded
 
     def mount(self, server: PeerServer) -> None:
-        """Exchange holdings with sidecars that ask at `server`."""
+        """Answer sidecars that send their holdings to `server`."""
         server.answer(Holdings, self.answer)
 
     def record_demand(self, model: str, work_s: float) -> None:
-        """Count target-seconds asked of this target for `model`."""
+        """Add `work_s` target-seconds to the demand for `model` at this target."""
         self._demand[model] = self._demand.get(model, 0.0) + work_s
 
     def on_message(self, _connection: Connection, message: Message) -> None:
-        """Count the work that a gateway asks for."""
+        """Record the demand of a start message from a gateway."""
         if isinstance(message, Start) and message.model:
             self.record_demand(message.model, message.predicted_s)
 
     async def run(self) -> None:
-        """Exchange and decide, round after round, until cancelled."""
+        """Exchange holdings and decide in rounds until cancelled."""
         while True:
             await asyncio.sleep(ROUND_S * self._random.uniform(0.8, 1.2))
             await self.exchange()
             await self.decide()
 
     async def answer(self, holdings: Holdings, _peer: Hello) -> Holdings:
-        """Take a peer's holdings and return the own ones."""
-        self._take(holdings)
+        """Record the holdings of a peer and return the own holdings."""
+        self._record_report(holdings)
         return self.holdings()
 
     def holdings(self) -> Holdings:
-        """Return what this target holds and was asked for."""
+        """Return the models that this target holds and the demand at it."""
         names = sorted(self.loaded | self._demand.keys())
         models = [
             ModelUse(
@@ -157,12 +159,14 @@
         )
 
     async def exchange(self) -> None:
-        """Swap holdings with peers of the service, and let old demand fade."""
+        """Exchange holdings with peers of the service, and decay past demand."""
         keep = 0.5 ** (ROUND_S / DEMAND_HALF_LIFE_S)
         self._demand = {name: keep * s for name, s in self._demand.items()}
-        await asyncio.gather(*(self._swap(peer) for peer in self._asked()))
+        await asyncio.gather(
+            *(self._exchange_with(peer) for peer in self._chosen_peers())
+        )
 
-    def _asked(self) -> list[Host]:
+    def _chosen_peers(self) -> list[Host]:
         peers = {host.process_id: host for host in self._peers()}
         chosen = highest(self._process_id, peers, n=MAX_PEERS_PER_ROUND)
         return [peers[name] for name in chosen]
@@ -172,7 +176,7 @@
             if host.process_id != self._process_id:
                 yield host
 
-    async def _swap(self, peer: Host) -> None:
+    async def _exchange_with(self, peer: Host) -> None:
         reply = await ask_at(
             self._asker,
             peer.peer_address,
@@ -181,9 +185,9 @@
         )
         match reply:
             case Ok(Holdings() as holdings):
-                self._take(holdings)
+                self._record_report(holdings)
 
-    def _take(self, holdings: Holdings) -> None:
+    def _record_report(self, holdings: Holdings) -> None:
         if holdings.service_name != self._service:
             return
         loaded = frozenset(use.name for use in holdings.models if use.loaded)
@@ -194,53 +198,55 @@
         )
 
     async def decide(self) -> None:
-        """Give the target at most one order, if several rounds agree on it.
+        """Send at most one order to the target, if several rounds agree on it.
 
-        A full target unloads first. One whose models are all last copies takes
-        one model more than planned, or two such targets would wait for each
-        other for ever.
+        A full target first unloads a model. A target that holds only last copies
+        loads one model more than planned, because two such targets would otherwise
+        wait for each other forever.
         """
-        reports = self._fresh()
+        reports = self._fresh_reports()
         models = self._models()
         targets = [self._process_id, *(r.holder.process_id for r in reports)]
         plan = planned(models, self._total_demand(reports), targets)
-        mine = frozenset(m for m, places in plan.items() if self._process_id in places)
+        own_models = frozenset(
+            m for m, holders in plan.items() if self._process_id in holders
+        )
         others = [report.holder for report in reports]
         extra = [
             model
-            for model in self.loaded - mine
+            for model in self.loaded - own_models
             if models and may_unload(model, me=self._process_id, others=others)
         ]
-        changes = self._steadied.agreed([*(mine - self.loaded), *extra])
+        changes = self._steadied.agreed([*(own_models - self.loaded), *extra])
         if not changes or self._clock() < self._not_before_s:
             return
-        loads = [model for model in changes if model in mine]
-        unloads = [model for model in changes if model not in mine]
+        loads = [model for model in changes if model in own_models]
+        unloads = [model for model in changes if model not in own_models]
         is_full = len(self.loaded) >= MODELS_PER_TARGET
         if loads and not (is_full and unloads):
             await self._change(loads[0], is_load=True)
         else:
             await self._change(unloads[0], is_load=False)
 
-    def _fresh(self) -> list[PeerReport]:
+    def _fresh_reports(self) -> list[PeerReport]:
         oldest_s = self._clock() - REPORT_TTL_S
         return [
             report for report in self._reports.values() if report.received_s > oldest_s
         ]
 
     def _models(self) -> frozenset[str]:
-        """Return the models to keep: those listed, and those that stages name."""
+        """Return the models that the service lists and those that its stages name."""
         catalogue = self._published.catalogue
         service = catalogue.services.get(self._service)
         if service is None or not service.models:
             return frozenset()
-        named = {
+        stage_models = {
             stage.model
             for pipeline in catalogue.pipelines.values()
             for stage in pipeline.stages
             if stage.service == self._service and stage.model
         }
-        return frozenset(service.models) | named
+        return frozenset(service.models) | stage_models
 
     def _total_demand(self, reports: list[PeerReport]) -> dict[str, float]:
         total = {m: s / DEMAND_HALF_LIFE_S for m, s in self._demand.items()}
@@ -260,15 +266,15 @@
             )
         )
         if not is_load:
-            # Said to be gone before it is: a peer must not count on it.
+            # Reported as unloaded before it is, so that no peer relies on it.
             self.loaded -= {model}
         match await self._orders.send(Order(kind=kind, name=model)):
             case Ok(_):
                 self.loaded = self.loaded | {model} if is_load else self.loaded
                 self._not_before_s = 0.0
             case Err(Busy(retry_after_s=wait_s)):
-                # Many targets may want the same store; each comes back at a
-                # moment of its own.
+                # Many targets may load from the same store, so retries are spread
+                # by jitter.
                 wait_s = min(MAX_BACKOFF_S, wait_s * self._random.uniform(1.0, 2.0))
                 self._not_before_s = self._clock() + wait_s
             case Err(_):
--- a/src/trefoilpaddle/coordination/placing/target_models.py
+++ b/src/trefoilpaddle/coordination/placing/target_models.py
@@ -1,4 +1,4 @@
-"""Which models the target holds, as far as it tells."""
+"""Reads which models a target reports as loaded."""
 
 import asyncio
 from typing import Final
@@ -11,13 +11,13 @@
 PATH: Final = "/v1/models"
 
 TIMEOUT_S: Final = 2.0
-"""Longest wait for a target's list of models."""
+"""Longest wait for the list of models of a target."""
 
 
 async def read_loaded(http: TargetHttp) -> frozenset[str]:
-    """Return the models that the target says it holds; none if it tells nothing.
+    """Return the models that the target reports as loaded; none if it reports none.
 
-    A model that is held and not told of is ordered once more, which is harmless.
+    A loaded model that is not reported is ordered again, which is harmless.
     """
     try:
         async with asyncio.timeout(TIMEOUT_S), http.get(PATH) as response:
