--- a/src/trefoilpaddle/coordination/claims/claim_registry.py
+++ b/src/trefoilpaddle/coordination/claims/claim_registry.py
@@ -15,9 +15,9 @@
 from ...state.published import Published
 
 FORMER_LIST_RETENTION_S: Final = 300.0
-"""How long replicas of a replaced list are queried; longer than most partitions.
+"""How long replicas of a replaced list are queried.
 
-It covers a partition of a few minutes.
+It is long enough for a partition of a few minutes.
 """
 
 MIN_RETRY_AFTER_S: Final = 1.0
--- a/src/trefoilpaddle/coordination/claims/claim_setup.py
+++ b/src/trefoilpaddle/coordination/claims/claim_setup.py
@@ -17,12 +17,10 @@
     """
 
     def incarnation_of(process_id: str) -> int | None:
-        connections = [c for c in server.connections if c.peer.process_id == process_id]
-        if not connections:
+        known = [c for c in server.connections if c.peer.process_id == process_id]
+        if not known:
             return None
-        return max(
-            connections, key=lambda connection: connection.heard_s
-        ).peer.incarnation
+        return max(known, key=lambda connection: connection.heard_s).peer.incarnation
 
     return incarnation_of
 
--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -79,7 +79,7 @@
     generated_ids : GeneratedIdClaims
         Decides about the ids of this gateway.
     clock, sleep : callable
-        Return monotonic seconds, and wait for a number of seconds.
+        `clock` returns monotonic seconds; `sleep` waits for the given seconds.
     """
 
     __slots__ = (
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -292,9 +292,7 @@
         self, home: Place, incarnation: int, now_s: float
     ) -> LeaseAsk:
         """Return the lease request to send to `home` now, recorded as sent."""
-        home_buckets = [
-            b for b, bucket_home in self._homes.items() if bucket_home == home
-        ]
+        home_buckets = [b for b, place in self._homes.items() if place == home]
         buckets = [
             b for b in home_buckets if self._may_delegate(b, home, incarnation, now_s)
         ]
@@ -359,7 +357,7 @@
             allowances = self._allowances.get(grant.entry)
             if allowances is not None:
                 allowances.apply_grant(grant, sent_s=sent_s, now_s=now_s)
-        if self.contacts.keys() - {home.process_id for home in self._homes.values()}:
+        if self.contacts.keys() - {place.process_id for place in self._homes.values()}:
             self._open_contacts()
 
     def record_home_lost(self, home: Place) -> None:
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -1,4 +1,4 @@
-"""A few claim homes and claimers joined by a fake network with injected clocks."""
+"""Claim homes and claimers on a fake network, with an injected clock."""
 
 import asyncio
 import random
@@ -40,10 +40,10 @@
 from trefoilpaddle.transport.connection import Address
 
 WINDOW_S = 30.0
-Answerer = Callable[[Message, Hello], Coroutine[Any, Any, Message]]
+Handler = Callable[[Message, Hello], Coroutine[Any, Any, Message]]
 
 
-class Clock:
+class FakeClock:
     def __init__(self) -> None:
         self.now_s = 1000.0
 
@@ -67,54 +67,56 @@
     )
 
 
-class Net:
-    """Delivers questions; a paused process takes them when it wakes."""
+class FakeNetwork:
+    """Delivers messages; a paused process receives them when it resumes."""
 
     def __init__(self, seed: int = 0) -> None:
-        self.answerers: dict[str, Answerer] = {}
+        self.handlers: dict[str, Handler] = {}
         self.paused: set[str] = set()
-        self.cut: set[frozenset[str]] = set()
-        self.waiting: list[tuple[str, Message, Hello]] = []
-        self.lose_reply_share = 0.0
+        self.partitioned: set[frozenset[str]] = set()
+        self.delayed: list[tuple[str, Message, Hello]] = []
+        self.reply_loss_share = 0.0
         self._random = random.Random(seed)
 
-    async def carry(
+    async def deliver(
         self, sender: Hello, sender_address: str, address: str, message: Message
     ) -> Result[Message, PeerError]:
         for _ in range(self._random.randrange(4)):
             await asyncio.sleep(0)
-        if frozenset({sender_address, address}) in self.cut:
+        if frozenset({sender_address, address}) in self.partitioned:
             return _lost(address)
         if address in self.paused:
-            self.waiting.append((address, message, sender))
+            self.delayed.append((address, message, sender))
             return _lost(address)
-        if address not in self.answerers:
+        if address not in self.handlers:
             return _lost(address)
-        reply = await self.answerers[address](message, sender)
+        reply = await self.handlers[address](message, sender)
         for _ in range(self._random.randrange(4)):
             await asyncio.sleep(0)
-        if self._random.random() < self.lose_reply_share:
+        if self._random.random() < self.reply_loss_share:
             return _lost(address)
         return Ok(reply)
 
-    async def wake(self, address: str) -> None:
-        """Let the process go on with what arrived while it stood still."""
+    async def resume(self, address: str) -> None:
+        """Resume a process and deliver the messages that arrived while it paused."""
         self.paused.discard(address)
-        late = [item for item in self.waiting if item[0] == address]
-        self.waiting = [item for item in self.waiting if item[0] != address]
-        for _, message, sender in late:
-            if address in self.answerers:
-                await self.answerers[address](message, sender)
+        delayed = [item for item in self.delayed if item[0] == address]
+        self.delayed = [item for item in self.delayed if item[0] != address]
+        for _, message, sender in delayed:
+            if address in self.handlers:
+                await self.handlers[address](message, sender)
 
 
 def _lost(address: str) -> Err[PeerError]:
     return Err(PeerError(step="wait", peer=address, detail="no reply", is_sent=True))
 
 
-class Line:
-    """One process's way into the net."""
+class FakeAsker:
+    """Sends the messages of one process over the fake network."""
 
-    def __init__(self, net: Net, address: str, hello: Callable[[], Hello]) -> None:
+    def __init__(
+        self, net: FakeNetwork, address: str, hello: Callable[[], Hello]
+    ) -> None:
         self._net = net
         self._address = address
         self._hello = hello
@@ -122,20 +124,20 @@
     async def ask(
         self, address: Address, message: Message, *, timeout_s: float
     ) -> Result[Message, PeerError]:
-        return await self._net.carry(
+        return await self._net.deliver(
             self._hello(), self._address, str(address), message
         )
 
 
-class Member:
-    """A gateway or a sidecar of the fake fleet."""
+class FleetProcess:
+    """A gateway or a sidecar of the simulated fleet."""
 
     def __init__(self, fleet: "Fleet", listed: Host, incarnation: int) -> None:
         self.host = listed
         self.incarnation = incarnation
         self.published = Published()
         self.table = ClaimTable(window_s=WINDOW_S, clock=fleet.clock)
-        line = Line(fleet.net, listed.peer_address, self.hello)
+        asker = FakeAsker(fleet.net, listed.peer_address, self.hello)
         self.registry = ClaimRegistry(
             process_id=listed.process_id,
             published=self.published,
@@ -146,8 +148,8 @@
         journal = Journal(
             process_id=listed.process_id, n_records=100, format=LogFormat.KEY_VALUE
         )
-        self.home = ClaimHome(registry=self.registry, asker=line, journal=journal)
-        self.syncs = ClaimSynchroniser(registry=self.registry, asker=line)
+        self.home = ClaimHome(registry=self.registry, asker=asker, journal=journal)
+        self.syncs = ClaimSynchroniser(registry=self.registry, asker=asker)
         self.generated_ids = GeneratedIdClaims(
             registry=self.registry,
             process_id=listed.process_id,
@@ -158,7 +160,7 @@
             hello=self.hello,
             published=self.published,
             directory=PublishedDirectory(published=self.published),
-            asker=line,
+            asker=asker,
             generated_ids=self.generated_ids,
             clock=fleet.clock,
             sleep=fleet.clock.sleep,
@@ -172,8 +174,8 @@
         is_gateway = self.host.role == "gateway"
         match message:
             case Claim():
-                answerer = self.generated_ids if is_gateway else self.home
-                answer: ClaimAnswer = await answerer.answer_claim(message, sender)
+                handler = self.generated_ids if is_gateway else self.home
+                answer: ClaimAnswer = await handler.answer_claim(message, sender)
                 return answer
             case ClaimCopy():
                 copied: CopyAnswer = await self.home.answer_copy(message, sender)
@@ -210,64 +212,68 @@
     """Gateways g1, g2 and sidecars in three failure domains."""
 
     def __init__(self, *, n_sidecars: int = 5, seed: int = 0) -> None:
-        self.clock = Clock()
-        self.net = Net(seed)
+        self.clock = FakeClock()
+        self.net = FakeNetwork(seed)
         self.revision = 1
         self.hosts = [host(f"g{i}", domain=f"d{i}", role="gateway") for i in (1, 2)] + [
             host(f"s{i}", domain=f"d{i % 3}") for i in range(n_sidecars)
         ]
-        self.members: dict[str, Member] = {}
+        self.processes: dict[str, FleetProcess] = {}
         for listed in self.hosts:
             self.start(listed)
-        self.age(10 * WINDOW_S)
+        self.advance_time(10 * WINDOW_S)
 
-    def start(self, listed: Host) -> Member:
-        member = Member(self, listed, incarnation=len(self.net.answerers) + self.salt())
-        self.members[listed.name] = member
-        self.net.answerers[listed.peer_address] = member.answer
-        self.tell(listed.name)
-        return member
+    def start(self, listed: Host) -> FleetProcess:
+        process = FleetProcess(
+            self,
+            listed,
+            incarnation=len(self.net.handlers) + self.next_incarnation_base(),
+        )
+        self.processes[listed.name] = process
+        self.net.handlers[listed.peer_address] = process.answer
+        self.deliver_list(listed.name)
+        return process
 
-    def salt(self) -> int:
+    def next_incarnation_base(self) -> int:
         self._n_started = getattr(self, "_n_started", 0) + 100
         return self._n_started
 
-    def restart(self, name: str) -> Member:
-        return self.start(self.members[name].host)
+    def restart(self, name: str) -> FleetProcess:
+        return self.start(self.processes[name].host)
 
     def kill(self, name: str) -> None:
-        self.net.answerers.pop(self.members[name].host.peer_address, None)
+        self.net.handlers.pop(self.processes[name].host.peer_address, None)
 
-    def tell(self, *names: str) -> None:
-        """Let the named processes learn of the present list."""
+    def deliver_list(self, *names: str) -> None:
+        """Deliver the current host list to the named processes."""
         for name in names:
             hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
-            self.members[name].published.set_hosts(hosts)
+            self.processes[name].published.set_hosts(hosts)
 
-    def relist(self, hosts: list[Host]) -> None:
+    def replace_hosts(self, hosts: list[Host]) -> None:
         self.hosts = hosts
         self.revision += 1
 
-    def age(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.clock.now_s += seconds
 
     def incarnation_of(self, process_id: str) -> int | None:
-        for member in self.members.values():
-            if member.host.process_id == process_id:
-                return member.incarnation
+        for process in self.processes.values():
+            if process.host.process_id == process_id:
+                return process.incarnation
         return None
 
-    def pair(self, key: str) -> tuple[str, ...]:
-        """Names of the places of a key of bank-a under the present list."""
+    def replica_names(self, key: str) -> tuple[str, ...]:
+        """Names of the replicas of a key of bank-a under the current list."""
         hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
         pair = place_list(hosts).pair(account_key("bank-a", key).text)
-        return tuple(place.process_id.removesuffix("-sidecar") for place in pair)
+        return tuple(replica.process_id.removesuffix("-sidecar") for replica in pair)
 
-    def without(self, *names: str) -> list[Host]:
+    def hosts_without(self, *names: str) -> list[Host]:
         return [listed for listed in self.hosts if listed.name not in names]
 
     def address(self, name: str) -> str:
-        return self.members[name].host.peer_address
+        return self.processes[name].host.peer_address
 
 
 def is_granted(outcome: ClaimOutcome) -> bool:
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -1,11 +1,11 @@
-"""Limiters and homes joined by a fake network, each with a clock of its own."""
+"""Limiters and limit homes on a fake network, each with its own clock."""
 
 import asyncio
 from dataclasses import dataclass
 
 from result import Err, Ok, Result
 
-from tests.claims_fleet import Clock, Line, Net, host
+from tests.claims_fleet import FakeAsker, FakeClock, FakeNetwork, host
 from trefoilpaddle.coordination.limits.lease_home import LeaseHome
 from trefoilpaddle.coordination.limits.limits import Limiter
 from trefoilpaddle.coordination.requests.request_guards import Permit
@@ -27,9 +27,9 @@
 
 @dataclass
 class SkewedClock:
-    """A host's clock: same seconds, slightly fast or slow, from another zero."""
+    """Clock of one host, slightly fast or slow, with its own zero."""
 
-    base: Clock
+    base: FakeClock
     rate: float
     zero_s: float
 
@@ -49,20 +49,20 @@
 
 
 @dataclass
-class Running:
-    """A request that was admitted and has not ended."""
+class RunningRequest:
+    """An admitted request that has not finished."""
 
     gateway: str
     permit: Permit
-    ends_s: float
+    finish_s: float
 
 
 class LimitsFleet:
     def __init__(
         self, limits: Limits, *, n_gateways: int = 2, n_sidecars: int = 4, seed: int = 0
     ) -> None:
-        self.clock = Clock()
-        self.net = Net(seed)
+        self.clock = FakeClock()
+        self.net = FakeNetwork(seed)
         self.entry = entry_of(limits)
         self.revision = 1
         self.hosts = [
@@ -70,7 +70,7 @@
         ] + [host(f"s{i}", domain=f"d{i % 3}") for i in range(n_sidecars)]
         self.published: dict[str, Published] = {}
         self.limiters: dict[str, Limiter] = {}
-        self.running: list[Running] = []
+        self.running: list[RunningRequest] = []
         self.admitted_s: list[float] = []
         self._n_started = 0
         for listed in self.hosts:
@@ -92,7 +92,7 @@
                 gateway=listed.process_id,
                 incarnation=incarnation,
                 published=published,
-                asker=Line(self.net, listed.peer_address, lambda: hello),
+                asker=FakeAsker(self.net, listed.peer_address, lambda: hello),
                 journal=journal,
                 clock=clock,
             )
@@ -109,27 +109,27 @@
                 assert isinstance(message, LeaseAsk)
                 return await home.answer(message, sender)
 
-            self.net.answerers[listed.peer_address] = answer
+            self.net.handlers[listed.peer_address] = answer
         published.set_catalogue(Catalogue(revision=1, entries={ENTRY: self.entry}))
-        self.tell(listed.name)
+        self.deliver_list(listed.name)
 
-    def tell(self, *names: str) -> None:
+    def deliver_list(self, *names: str) -> None:
         for name in names:
             hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
             self.published[name].set_hosts(hosts)
 
-    def relist(self, hosts: list[Host]) -> None:
+    def replace_hosts(self, hosts: list[Host]) -> None:
         self.hosts = hosts
         self.revision += 1
 
-    def without(self, *names: str) -> list[Host]:
+    def hosts_without(self, *names: str) -> list[Host]:
         return [listed for listed in self.hosts if listed.name not in names]
 
     def host_of(self, name: str) -> Host:
         return next(listed for listed in self.hosts if listed.name == name)
 
-    def home(self) -> str:
-        """Name of the entry's home under the present list."""
+    def home_name(self) -> str:
+        """Name of the home of the entry under the current list."""
         hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
         pair = place_list(hosts).pair(bucket_key(bucket_of(ENTRY)))
         return pair[0].process_id.removesuffix("-sidecar")
@@ -137,8 +137,8 @@
     def address(self, name: str) -> str:
         return f"127.0.0.1:{int.from_bytes(name.encode()[:2])}"
 
-    async def turn(self, *names: str) -> None:
-        """Let the named gateways, or all, ask each of their homes once."""
+    async def exchange(self, *names: str) -> None:
+        """Make the named gateways, or all, exchange once with each of their homes."""
         for name in names or sorted(self.limiters):
             for contact in list(self.limiters[name].contacts.values()):
                 await contact.exchange_once()
@@ -146,50 +146,52 @@
     async def request(
         self, name: str, *, lasts_s: float = DEADLINE_S, n_tokens: int = 0
     ) -> Result[Permit, NotRun]:
-        """Ask for admission; the gateway asks its homes while it waits."""
+        """Request admission; the gateway exchanges with its homes while it waits."""
         limiter = self.limiters[name]
         task = asyncio.create_task(limiter.admit(ENTRY, self.entry, n_tokens))
         await asyncio.sleep(0)
         while not task.done():
-            await self.turn(name)
+            await self.exchange(name)
             await asyncio.sleep(0)
         outcome = await task
         match outcome:
             case Ok(permit):
-                ends_s = self.clock() + lasts_s
-                self.running.append(Running(gateway=name, permit=permit, ends_s=ends_s))
+                finish_s = self.clock() + lasts_s
+                self.running.append(
+                    RunningRequest(gateway=name, permit=permit, finish_s=finish_s)
+                )
                 self.admitted_s.append(self.clock())
         return outcome
 
-    async def n_admitted(self, name: str, n: int, **how: float) -> int:
-        """Return how many of `n` requests at once are admitted."""
-        outcomes = [await self.request(name, **how) for _ in range(n)]  # type: ignore[arg-type]
+    async def n_admitted(self, name: str, n: int, **options: float) -> int:
+        """Return how many of `n` simultaneous requests are admitted."""
+        outcomes = [await self.request(name, **options) for _ in range(n)]  # type: ignore[arg-type]
         return sum(isinstance(outcome, Ok) for outcome in outcomes)
 
-    def age(self, seconds: float) -> None:
-        """Let time pass; requests that reach their end give their place back."""
+    def advance_time(self, seconds: float) -> None:
+        """Advance the time and finish the requests whose duration is over."""
         self.clock.now_s += seconds
-        for running in [r for r in self.running if r.ends_s <= self.clock()]:
-            self.end(running)
+        for running in [r for r in self.running if r.finish_s <= self.clock()]:
+            self.finish(running)
 
-    def end(self, running: Running) -> None:
+    def finish(self, running: RunningRequest) -> None:
         self.running.remove(running)
         running.permit.release()
 
-    async def live(self, seconds: float, *names: str, step_s: float = 0.5) -> None:
-        """Let time pass while the named gateways, or all, keep contact."""
+    async def run_for(self, seconds: float, *names: str, step_s: float = 0.5) -> None:
+        """Advance the time while the named gateways, or all, exchange with homes."""
         left_s = seconds
         while left_s > 1e-9:
-            self.age(min(step_s, left_s))
+            self.advance_time(min(step_s, left_s))
             left_s -= step_s
-            await self.turn(*names)
+            await self.exchange(*names)
 
-    def cut(self, gateway: str) -> None:
-        """Cut a gateway off from every sidecar."""
+    def partition(self, gateway: str) -> None:
+        """Partition a gateway from every sidecar."""
         for name in self.published:
             if name[0] != "g":
                 pair = {self.address(gateway), self.address(name)}
-                self.net.cut.add(frozenset(pair))
+                self.net.partitioned.add(frozenset(pair))
 
 
 def refusal(outcome: Result[Permit, NotRun]) -> NotRun:
--- a/tests/test_claims_gateways.py
+++ b/tests/test_claims_gateways.py
@@ -1,4 +1,4 @@
-"""Request keys end to end: two gateways, retries by HTTP, runs counted."""
+"""Request keys end to end: retries over HTTP at two gateways, with runs counted."""
 
 import asyncio
 import contextlib
@@ -24,12 +24,12 @@
 from trefoilpaddle.state.settings import LogFormat
 from trefoilpaddle.transport.peers import Peers
 
-LONG_S = 1000.0
+AFTER_RETENTION_S = 1000.0
 ONCE = catalogue(plain_stage(idempotent=False))
 
 
 class Fleet:
-    """Two gateways before fake sidecars that are the places of keys."""
+    """Two gateways, and fake sidecars that are the replicas of keys."""
 
     def __init__(self, client: aiohttp.ClientSession) -> None:
         self.client = client
@@ -46,12 +46,12 @@
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
         return self.client.post(url, json={"hold": 12}, headers=sent)
 
-    async def mint(self, number: int) -> str:
+    async def generate_id(self, number: int) -> str:
         url = f"http://{self.gateways[number].server.address}/v1/requests"
         headers = {"X-Client-Account": "club"}
         async with self.client.post(url, headers=headers) as answer:
-            minted: str = (await answer.json())["request_id"]
-            return minted
+            generated: str = (await answer.json())["request_id"]
+            return generated
 
     @property
     def n_runs(self) -> int:
@@ -62,24 +62,24 @@
 async def fleet(*sidecars: FakeSidecar) -> AsyncIterator[Fleet]:
     async with contextlib.AsyncExitStack() as stack:
         client = await stack.enter_async_context(aiohttp.ClientSession())
-        made = Fleet(client)
-        made.sidecars = sidecars
+        built = Fleet(client)
+        built.sidecars = sidecars
         for sidecar in sidecars:
             await stack.enter_async_context(sidecar.running())
         for name in ("g1", "g2"):
-            made.gateways.append(await stack.enter_async_context(gateway(name)))
+            built.gateways.append(await stack.enter_async_context(gateway(name)))
         hosts = [sidecar.host() for sidecar in sidecars]
-        hosts += [gateway_host(each) for each in made.gateways]
+        hosts += [gateway_host(each) for each in built.gateways]
         listed = HostList(revision=1, hosts=tuple(hosts))
         for sidecar in sidecars:
-            await stack.enter_async_context(place(made, sidecar, listed))
-        for each in made.gateways:
+            await stack.enter_async_context(replica(built, sidecar, listed))
+        for each in built.gateways:
             each.process.published.set_hosts(listed)
             each.process.published.set_catalogue(ONCE)
-        made.age_s = LONG_S
-        for each in made.gateways:
+        built.age_s = AFTER_RETENTION_S
+        for each in built.gateways:
             await until(lambda each=each: all(heard(each, s) for s in sidecars))  # type: ignore[misc]
-        yield made
+        yield built
 
 
 @contextlib.asynccontextmanager
@@ -91,23 +91,23 @@
     process.server.address = dataclasses.replace(process.server.address, port=0)
     directory = PublishedDirectory(published=process.published)
     keys = claimed_keys(settings=checked, process=process, directory=directory)
-    made = Gateway(settings=checked, process=process, directory=directory, keys=keys)
-    async with process.server.listening(), process.peers.open(), made.serving():
-        yield made
+    built = Gateway(settings=checked, process=process, directory=directory, keys=keys)
+    async with process.server.listening(), process.peers.open(), built.serving():
+        yield built
 
 
-def gateway_host(made: Gateway) -> Host:
+def gateway_host(built: Gateway) -> Host:
     return Host(
-        name=made.process.identity.process_id.removesuffix("-gateway"),
+        name=built.process.identity.process_id.removesuffix("-gateway"),
         failure_domain="fd1",
         role="gateway",
-        peer_address=str(made.process.server.address),
+        peer_address=str(built.process.server.address),
     )
 
 
 @contextlib.asynccontextmanager
-async def place(
-    made: Fleet, sidecar: FakeSidecar, listed: HostList
+async def replica(
+    built: Fleet, sidecar: FakeSidecar, listed: HostList
 ) -> AsyncIterator[None]:
     published = Published()
     published.set_hosts(listed)
@@ -115,8 +115,8 @@
     registry = ClaimRegistry(
         process_id=process_id,
         published=published,
-        table=ClaimTable(window_s=30.0, clock=made.clock),
-        clock=made.clock,
+        table=ClaimTable(window_s=30.0, clock=built.clock),
+        clock=built.clock,
     )
     peers = Peers(
         own_hello=sidecar.hello,
@@ -129,33 +129,35 @@
         yield
 
 
-class TestRetriesByHttp:
-    async def test_while_the_first_try_works(self) -> None:
-        """A secretary's browser gives up and asks the other gateway.
+class TestRetriesOverHttp:
+    async def test_first_try_still_runs(self) -> None:
+        """A caller times out and retries at the other gateway.
 
-        The stock-hold still runs at the first. The retry waits, gets the same
-        answer, and the target has run it once.
+        The request still runs at the first gateway. The retry waits and receives
+        the same answer, and the target has run the request once.
         """
-        begun, go_on = asyncio.Event(), asyncio.Event()
+        started, release = asyncio.Event(), asyncio.Event()
 
-        async def held(call: Call) -> None:
-            begun.set()
-            await go_on.wait()
+        async def blocked(call: Call) -> None:
+            started.set()
+            await release.wait()
             call.answer(b'{"held": 12}')
 
-        sidecars = [FakeSidecar(service="s", name=f"t{i}", script=held) for i in (1, 2)]
+        sidecars = [
+            FakeSidecar(service="s", name=f"t{i}", script=blocked) for i in (1, 2)
+        ]
         async with fleet(*sidecars) as f:
             first = asyncio.create_task(read(f.post(0, Idempotency_Key="k")))
-            await begun.wait()
+            await started.wait()
             late = await read(f.post(1, Idempotency_Key="k", X_Deadline_S="0.6"))
             assert late[0] == 409
             assert late[1]["error"]["reason"] == "in_progress"
             retry = asyncio.create_task(read(f.post(1, Idempotency_Key="k")))
-            go_on.set()
+            release.set()
             assert await first == await retry == (200, {"held": 12})
             assert f.n_runs == 1
 
-    async def test_after_it_finished(self) -> None:
+    async def test_first_try_has_finished(self) -> None:
         sidecars = [FakeSidecar(service="s", name=f"t{i}") for i in (1, 2)]
         async with fleet(*sidecars) as f:
             first = await read(f.post(0, Idempotency_Key="k"))
@@ -163,7 +165,7 @@
             assert await read(f.post(1, Idempotency_Key="k")) == first
             assert f.n_runs == 1
 
-    async def test_key_of_another_body(self) -> None:
+    async def test_key_reused_with_another_body(self) -> None:
         sidecars = [FakeSidecar(service="s", name=f"t{i}") for i in (1, 2)]
         async with fleet(*sidecars) as f:
             assert (await read(f.post(0, Idempotency_Key="k")))[0] == 200
@@ -175,18 +177,18 @@
             assert body["error"]["reason"] == "key_reused"
             assert f.n_runs == 1
 
-    async def test_minted_id_at_every_gateway(self) -> None:
+    async def test_generated_id_at_every_gateway(self) -> None:
         sidecars = [FakeSidecar(service="s", name=f"t{i}") for i in (1, 2)]
         async with fleet(*sidecars) as f:
-            minted = await f.mint(0)
-            first = await read(f.post(1, X_Request_Id=minted))
+            generated = await f.generate_id(0)
+            first = await read(f.post(1, X_Request_Id=generated))
             assert first[0] == 200
-            assert await read(f.post(0, X_Request_Id=minted)) == first
-            assert await read(f.post(1, X_Request_Id=minted)) == first
+            assert await read(f.post(0, X_Request_Id=generated)) == first
+            assert await read(f.post(1, X_Request_Id=generated)) == first
             assert f.n_runs == 1
 
-    async def test_places_gone(self) -> None:
-        """Both places of the key die; whether an earlier try ran is unknown."""
+    async def test_both_replicas_lost(self) -> None:
+        """Both replicas of the key crash; whether an earlier try ran is unknown."""
         sidecars = [FakeSidecar(service="s", name=f"t{i}") for i in (1, 2)]
         async with fleet(*sidecars) as f:
             assert (await read(f.post(0, Idempotency_Key="k")))[0] == 200
--- a/tests/test_claims_schedules.py
+++ b/tests/test_claims_schedules.py
@@ -1,4 +1,4 @@
-"""Request keys under any order of tries, losses and ends: one try runs."""
+"""Request keys under any order of tries, losses and outcomes: only one try runs."""
 
 import asyncio
 import itertools
@@ -38,7 +38,7 @@
 
 
 class Schedule:
-    """Plays random steps and counts the grants of one non-idempotent key."""
+    """Runs random steps and records the grants of one non-idempotent key."""
 
     def __init__(self, seed: int) -> None:
         self.fleet = Fleet(n_sidecars=5, seed=seed)
@@ -46,16 +46,16 @@
         self.n_added = 0
 
     def sidecars(self) -> list[str]:
-        return sorted(n for n in self.fleet.members if n[0] != "g")
+        return sorted(n for n in self.fleet.processes if n[0] != "g")
 
-    def note(self, name: str, outcome: object) -> None:
+    def record(self, name: str, outcome: object) -> None:
         if isinstance(outcome, KeyGranted):
             self.grants.append((self.fleet.clock(), name, outcome))
 
     async def claim(self, name: str) -> None:
-        self.note(name, await self.fleet.members[name].claim("k"))
+        self.record(name, await self.fleet.processes[name].claim("k"))
 
-    async def play(self, step: str, n: int) -> None:
+    async def run_step(self, step: str, n: int) -> None:
         fleet = self.fleet
         sidecar = self.sidecars()[n % len(self.sidecars())]
         gateway = ("g1", "g2")[n % 2]
@@ -66,36 +66,38 @@
                 await asyncio.gather(self.claim("g1"), self.claim("g2"))
             case "settle" if self.grants:
                 _, name, outcome = self.grants[-1]
-                await fleet.members[name].claimer.settle(outcome, is_run=True)
+                await fleet.processes[name].claimer.settle(outcome, is_run=True)
             case "pause":
                 fleet.net.paused.add(fleet.address(sidecar))
             case "wake":
                 for address in sorted(fleet.net.paused):
-                    await fleet.net.wake(address)
+                    await fleet.net.resume(address)
             case "cut":
                 pair = {fleet.address(sidecar), fleet.address(gateway)}
-                fleet.net.cut.add(frozenset(pair))
+                fleet.net.partitioned.add(frozenset(pair))
             case "heal":
-                fleet.net.cut.clear()
+                fleet.net.partitioned.clear()
             case "restart":
                 fleet.net.paused.discard(fleet.address(sidecar))
                 syncs = fleet.restart(sidecar).syncs
                 if n % 3:
                     await syncs.fetch_once()
             case "drop" if len(fleet.hosts) > 5:
-                fleet.relist(fleet.without(sidecar))
+                fleet.replace_hosts(fleet.hosts_without(sidecar))
             case "add" if self.n_added < 3:
                 self.n_added += 1
                 new = host(f"t{self.n_added}", domain=f"d{n % 3}")
-                fleet.relist([*fleet.hosts, new])
+                fleet.replace_hosts([*fleet.hosts, new])
                 fleet.start(new)
             case "tell":
-                names = sorted(fleet.members)
-                fleet.tell(*(name for i, name in enumerate(names) if i % 3 != n % 3))
+                names = sorted(fleet.processes)
+                fleet.deliver_list(
+                    *(name for i, name in enumerate(names) if i % 3 != n % 3)
+                )
             case "age":
-                fleet.age(float(n))
+                fleet.advance_time(float(n))
             case "lossy":
-                fleet.net.lose_reply_share = n / 30
+                fleet.net.reply_loss_share = n / 30
 
 
 class TestSchedules:
@@ -103,19 +105,19 @@
     def test_no_two_grants_of_a_key(
         self, steps: list[tuple[str, int]], seed: int
     ) -> None:
-        """Random claims, races, pauses, cuts, restarts and list changes.
+        """Random claims, races, pauses, partitions, restarts and list changes.
 
-        Tries of one key within its retry window must never both run, whichever
-        gateways and lists they come by.
+        Two tries of one key within its retry window must never both run, whichever
+        gateways and host lists they use.
         """
 
-        async def play() -> None:
+        async def run() -> None:
             schedule = Schedule(seed)
             for step, n in steps:
-                await schedule.play(step, n)
+                await schedule.run_step(step, n)
                 await asyncio.sleep(0)
             times = [at_s for at_s, _, _ in schedule.grants]
             for earlier, later in itertools.pairwise(times):
                 assert later - earlier > WINDOW_S, schedule.grants
 
-        asyncio.run(play())
+        asyncio.run(run())
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -1,4 +1,4 @@
-"""Retries of one request at a gateway: at most once, and the same end."""
+"""Retries of one request at a gateway: it runs at most once, with one outcome."""
 
 import asyncio
 
@@ -13,21 +13,21 @@
 ONCE = plain_stage(idempotent=False)
 
 
-async def minted(b: Bench) -> str:
+async def generated_id(b: Bench) -> str:
     headers = {"X-Client-Account": "club"}
     async with b.client.post(f"{b.url}/v1/requests", headers=headers) as answer:
         request_id: str = (await answer.json())["request_id"]
         return request_id
 
 
-class TestRetriesOfAMintedId:
-    async def test_a_retry_after_the_end_gets_the_first_tries_answer(self) -> None:
-        """A caller loses its answer and sends the request again under the same
-        id. The target must not run it twice, and the answer is the same.
+class TestRetriesOfAGeneratedId:
+    async def test_retry_after_completion_gets_the_first_answer(self) -> None:
+        """A caller does not receive its answer and sends the request again under
+        the same id. The target must not run it twice, and the answer is the same.
         """
         s = FakeSidecar(service="s", name="t1")
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             answers = []
             for _ in range(3):
                 async with b.post(json={"n": 1}, X_Request_Id=request_id) as answer:
@@ -36,8 +36,8 @@
             assert len(set(answers)) == 1
             assert len(s.runs) == 1
 
-    async def test_a_retry_during_the_run_waits_for_its_end(self) -> None:
-        """The same, but the first try still runs when the second comes."""
+    async def test_retry_during_the_run_waits_for_its_outcome(self) -> None:
+        """The first try still runs when the retries arrive."""
         release = asyncio.Event()
 
         async def script(call: Call) -> None:
@@ -46,26 +46,26 @@
 
         s = FakeSidecar(service="s", name="t1", script=script)
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
 
-            async def ask() -> object:
+            async def send() -> object:
                 async with b.post(json={}, X_Request_Id=request_id) as answer:
                     return await answer.json()
 
-            tries = [asyncio.create_task(ask()) for _ in range(3)]
+            tries = [asyncio.create_task(send()) for _ in range(3)]
             await until(lambda: bool(s.calls))
             release.set()
             answers = await asyncio.gather(*tries)
             assert answers[0] == answers[1] == answers[2]
             assert len(s.runs) == 1
 
-    async def test_a_retry_whose_time_is_over_is_told_in_progress(self) -> None:
+    async def test_retry_with_expired_deadline_gets_in_progress(self) -> None:
         async def never(call: Call) -> None:
             call.started()
 
         s = FakeSidecar(service="s", name="t1", script=never)
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             first = asyncio.create_task(
                 b.post(json={}, X_Request_Id=request_id, X_Deadline_S="2").__aenter__()
             )
@@ -80,10 +80,10 @@
             assert (await first).status == 504
             assert len(s.runs) == 1
 
-    async def test_a_retry_gets_the_answer_that_came_after_the_deadline(self) -> None:
-        """A call that must run once is still at its target when the deadline
-        passes. The caller is told "unknown" at once. The call ends after that,
-        and the caller asks again: it gets the answer, and nothing runs twice.
+    async def test_retry_gets_the_answer_that_came_after_the_deadline(self) -> None:
+        """A call that must run once still runs at its target when the deadline
+        passes. The caller receives "unknown" at once. The call completes later,
+        and a retry receives its answer; nothing runs twice.
         """
         release = asyncio.Event()
 
@@ -95,7 +95,7 @@
 
         s = FakeSidecar(service="s", name="t1", script=script)
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             async with b.post(
                 json={}, X_Request_Id=request_id, X_Deadline_S="0.3"
             ) as answer:
@@ -106,25 +106,25 @@
                 assert await answer.json() == "issued"
             assert len(s.runs) == 1
 
-    async def test_a_retry_of_what_failed_is_told_that_it_failed(self) -> None:
+    async def test_retry_of_a_failed_request_gets_the_failure(self) -> None:
         s = FakeSidecar(
             service="s",
             name="t1",
             script=refuse(Reason.TARGET_FAILED, Outcome.FAILED),
         )
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             for _ in range(2):
                 async with b.post(json={}, X_Request_Id=request_id) as answer:
                     assert answer.status == 502
                     assert (await answer.json())["error"]["reason"] == "target_failed"
             assert len(s.runs) == 1
 
-    async def test_a_retry_of_what_was_not_run_runs_it(self) -> None:
-        """The first try was refused as not run; its id is good for another."""
+    async def test_retry_of_a_request_not_run_runs_it(self) -> None:
+        """The first try was refused as not run, so a retry may use its id."""
         s = FakeSidecar(service="s", name="t1", script=refuse(Reason.QUEUE_FULL))
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             async with b.post(json={}, X_Request_Id=request_id) as answer:
                 assert (await answer.json())["error"]["outcome"] == "not run"
             s.script = echo
@@ -135,16 +135,16 @@
     async def test_another_body_under_the_same_id_is_refused(self) -> None:
         s = FakeSidecar(service="s", name="t1")
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             async with b.post(json={"n": 1}, X_Request_Id=request_id) as answer:
                 assert answer.status == 200
             async with b.post(json={"n": 2}, X_Request_Id=request_id) as answer:
                 assert answer.status == 409
                 assert (await answer.json())["error"]["reason"] == "key_reused"
 
-    async def test_an_id_of_a_gateway_that_is_gone_is_never_run(self) -> None:
-        """The id names a gateway that nobody can reach. Whether an earlier try
-        ran cannot be known, so this one is not run.
+    async def test_id_of_an_unavailable_gateway_is_never_run(self) -> None:
+        """The id names a gateway that is unavailable. Whether an earlier try ran
+        is unknown, so this one is not run.
         """
         s = FakeSidecar(service="s", name="t1")
         async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
@@ -158,7 +158,7 @@
     async def test_a_joined_answer_can_be_streamed(self) -> None:
         s = FakeSidecar(service="gen", name="t1", script=three_tokens)
         async with bench(s, published=catalogue(engine_stage()), has_keys=True) as b:
-            request_id = await minted(b)
+            request_id = await generated_id(b)
             async with b.post(data="x", X_Request_Id=request_id) as answer:
                 text = (await answer.json())["text"]
             async with b.post(
--- a/tests/test_limits_gateways.py
+++ b/tests/test_limits_gateways.py
@@ -1,4 +1,4 @@
-"""Limits end to end: two gateways by HTTP, budget leased over real connections."""
+"""Limits end to end: two gateways over HTTP that lease budget over real connections."""
 
 import asyncio
 import contextlib
@@ -61,10 +61,12 @@
     )
 
 
-def mount_home(sidecar: FakeSidecar, listed: HostList, catalogued: Catalogue) -> None:
+def mount_home(
+    sidecar: FakeSidecar, listed: HostList, active_catalogue: Catalogue
+) -> None:
     published = Published()
     published.set_hosts(listed)
-    published.set_catalogue(catalogued)
+    published.set_catalogue(active_catalogue)
     process_id = f"{sidecar.name}-sidecar"
     LeaseHome(
         process_id=process_id,
@@ -78,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def gateway(
-    name: str, listed: HostList, catalogued: Catalogue
+    name: str, listed: HostList, active_catalogue: Catalogue
 ) -> AsyncIterator[Gateway]:
     base = settings()
     own = dataclasses.replace(base.process, host=name)
@@ -91,44 +93,46 @@
         asker=process.peers,
         journal=process.journal,
     )
-    made = Gateway(settings=checked, process=process, limiter=limiter)
-    async with process.peers.open(), limiter.running(), made.serving():
+    built = Gateway(settings=checked, process=process, limiter=limiter)
+    async with process.peers.open(), limiter.running(), built.serving():
         process.published.set_hosts(listed)
-        process.published.set_catalogue(catalogued)
+        process.published.set_catalogue(active_catalogue)
         await until(lambda: any(c.is_responsive for c in limiter.contacts.values()))
-        yield made
+        yield built
 
 
-class TestLimitsByHttp:
-    async def test_one_place_for_two_gateways(self) -> None:
-        """An entry allows one request at a time; both gateways are asked at once.
+class TestLimitsOverHttp:
+    async def test_one_slot_for_two_gateways(self) -> None:
+        """An entry allows one request at a time; both gateways receive one.
 
-        The second caller is told at once that nothing ran and when to come
-        back; later, the place is found at the other gateway.
+        The second caller is refused at once as not run, with a retry-after time.
+        After the first request has finished, the slot moves to the other gateway.
         """
-        begun, go_on = asyncio.Event(), asyncio.Event()
+        started, release = asyncio.Event(), asyncio.Event()
 
-        async def held(call: Call) -> None:
-            begun.set()
-            await go_on.wait()
+        async def blocked(call: Call) -> None:
+            started.set()
+            await release.wait()
             call.answer(b"{}")
 
-        sidecars = [FakeSidecar(service="s", name=f"t{i}", script=held) for i in (1, 2)]
+        sidecars = [
+            FakeSidecar(service="s", name=f"t{i}", script=blocked) for i in (1, 2)
+        ]
         async with site(Limits(n_concurrent=1), *sidecars) as s:
             first = asyncio.create_task(s.post(0))
-            await begun.wait()
+            await started.wait()
             status, body, wait = await s.post(1)
             assert status == 429
             assert body["error"]["reason"] == "limit_concurrency"
             assert body["error"]["outcome"] == "not run"
             assert int(wait) >= 1
-            go_on.set()
+            release.set()
             assert (await first)[0] == 200
             async with asyncio.timeout(20.0):
                 while (await s.post(1))[0] != 200:  # noqa: ASYNC110
                     await asyncio.sleep(0.05)
 
-    async def test_rate_over_two_gateways(self) -> None:
+    async def test_rate_limit_over_two_gateways(self) -> None:
         sidecars = [FakeSidecar(service="s", name=f"t{i}") for i in (1, 2)]
         async with site(Limits(rate_per_s=0.1, burst_s=10.0), *sidecars) as s:
             statuses = [(await s.post(n % 2))[0] for n in range(12)]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to a target: fenced where it checks, bound to the port lock elsewhere."""
+"""Orders to a target: guarded by fencing numbers or by the port lock alone."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class Site:
-    """A stand-in engine and the sidecars that give it orders."""
+    """A stand-in engine and the sidecars that send it orders."""
 
     def __init__(self, engine: Engine, http: TargetHttp, fencing: Fencing) -> None:
         self.engine = engine
@@ -57,7 +57,7 @@
         )
 
     def sent(self) -> list[str]:
-        """Names of the models that orders named, probes left out."""
+        """Names of the models in the orders received, without probes."""
         orders = self.engine.record.orders
         return [order.name for order in orders if order.name != PROBE_MODEL]
 
@@ -75,7 +75,7 @@
             yield Site(engine, http, fencing)
 
 
-class TestEngineThatChecks:
+class TestFencedEngine:
     async def test_an_order_takes_effect(self) -> None:
         async with site() as s:
             assert await s.sidecar().send(LOAD) == Ok(None)
@@ -90,11 +90,11 @@
                 fences.append(sidecar.fence)
             assert fences == sorted(set(fences))
 
-    async def test_woken_sidecar_yields_to_its_successor(self) -> None:
-        """A sidecar stands still; its successor takes over; the old one wakes.
+    async def test_resumed_sidecar_yields_to_its_successor(self) -> None:
+        """A sidecar is paused, its successor takes over, and the old one resumes.
 
-        Its order must not take effect, and it must not take a higher number
-        either, or the two would fight for the target.
+        The order of the old one must have no effect. It must not take a higher
+        fencing number either, or the two would displace each other repeatedly.
         """
         async with site() as s:
             old, new = s.sidecar(), s.sidecar()
@@ -107,8 +107,8 @@
             assert isinstance(again.unwrap_err(), NotSent)
             assert (await new.send(OTHER)).is_ok()
 
-    async def test_successor_that_has_given_no_order_yet(self) -> None:
-        """Taking the number already shuts the former sidecar out."""
+    async def test_successor_that_has_sent_no_order_yet(self) -> None:
+        """Taking a fencing number is enough to exclude the former sidecar."""
         async with site() as s:
             old, new = s.sidecar(), s.sidecar()
             assert (await old.send(LOAD)).is_ok()
@@ -117,8 +117,8 @@
             assert s.sent() == ["m1", "m2"]
             assert "m2" not in s.engine.orders.models
 
-    async def test_slow_load_is_overtaken(self) -> None:
-        """The old sidecar's order still loads while the new one takes over."""
+    async def test_slow_load_is_superseded(self) -> None:
+        """The new sidecar takes over while an order of the old one still loads."""
         async with site(load_s=0.3) as s:
             old, new = s.sidecar(), s.sidecar()
             slow = asyncio.create_task(old.send(OTHER))
@@ -129,7 +129,7 @@
             assert isinstance((await slow).unwrap_err(), Superseded)
             assert "m2" not in s.engine.orders.models
 
-    async def test_two_that_start_at_once(self) -> None:
+    async def test_sidecars_that_start_at_the_same_time(self) -> None:
         async with site() as s:
             sidecars = [s.sidecar() for _ in range(4)]
             await asyncio.gather(*(sidecar.send(LOAD) for sidecar in sidecars))
@@ -144,9 +144,9 @@
     def test_no_order_of_an_earlier_sidecar_after_a_later_one(
         self, senders: list[int]
     ) -> None:
-        """Four sidecars, each started when its first order is due, send at will."""
+        """Four sidecars, each started with its first order, send in any sequence."""
 
-        async def play() -> None:
+        async def run() -> None:
             async with site() as s:
                 sidecars: dict[int, TargetOrders] = {}
                 effects: list[int] = []
@@ -156,22 +156,22 @@
                         effects.append(list(sidecars).index(sender))
                 assert effects == sorted(effects)
 
-        asyncio.run(play())
+        asyncio.run(run())
 
 
-class TestLock:
+class TestPortLock:
     @pytest.mark.parametrize("is_fenced", [True, False])
-    async def test_without_the_lock_nothing_is_sent(self, is_fenced: bool) -> None:
+    async def test_nothing_is_sent_without_the_lock(self, is_fenced: bool) -> None:
         async with site(is_fenced=is_fenced) as s:
             s.has_lock = False
             assert isinstance((await s.sidecar().send(LOAD)).unwrap_err(), NotSent)
             assert s.engine.record.orders == []
 
     async def test_successor_waits_for_a_paused_holder(self) -> None:
-        """The engine ignores fencing numbers; the lock is the only guard.
+        """The engine ignores fencing numbers; the port lock is the only guard.
 
-        The old sidecar is paused and keeps the port. Its successor gets no
-        further, so no order of two sidecars can mix.
+        The old sidecar is paused and keeps the port. Its successor cannot start,
+        so orders of two sidecars cannot interleave.
         """
         async with site(is_fenced=False) as s:
             lock = Address(ip="127.0.0.1", port=free_port())
@@ -183,8 +183,8 @@
             async with held_port(lock, wait_s=0.0):
                 assert (await s.sidecar().send(OTHER)).is_ok()
 
-    async def test_paused_between_deciding_and_sending(self) -> None:
-        """A sidecar decides, stands still for 10 s and would then send."""
+    async def test_pause_between_decision_and_sending(self) -> None:
+        """A sidecar decides, is paused for 10 s, and must then not send."""
         async with site(is_fenced=False) as s:
             decided_s = s.now_s
             s.now_s += MAX_DECISION_AGE_S + 8.0
@@ -194,7 +194,7 @@
 
 
 class TestBusyStore:
-    async def test_says_when_to_come_back(self) -> None:
+    async def test_busy_store_reports_a_retry_time(self) -> None:
         weights = Weights(max_readings=0)
         async with TestServer(weights.application()) as store:
             url = f"http://127.0.0.1:{store.port}"
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: independent decisions converge and never drop the last copy."""
+"""Model placement: independent decisions converge and never drop the last copy."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok, Result
 
-from tests.claims_fleet import Clock, Line, Net, host
+from tests.claims_fleet import FakeAsker, FakeClock, FakeNetwork, host
 from trefoilpaddle.coordination.placing.orders import (
     Busy,
     Order,
@@ -43,14 +43,14 @@
 
 
 class TestPlan:
-    def test_all_fit_everywhere(self) -> None:
+    def test_every_target_holds_all_models_that_fit(self) -> None:
         assert wanted_copies("abc", {}, n_targets=5) == dict.fromkeys("abc", 5)
 
     @given(
         demand=st.dictionaries(st.sampled_from(MODELS), st.floats(0.0, 100.0)),
         n_targets=st.integers(3, 9),
     )
-    def test_every_model_has_a_place_within_room(
+    def test_every_model_is_placed_within_capacity(
         self, demand: dict[str, float], n_targets: int
     ) -> None:
         targets = [f"s{i}" for i in range(n_targets)]
@@ -60,18 +60,18 @@
             n_held = sum(target in places for places in plan.values())
             assert n_held <= MODELS_PER_TARGET
 
-    def test_a_model_in_demand_gets_more(self) -> None:
+    def test_model_in_demand_gets_more_copies(self) -> None:
         copies = wanted_copies(MODELS, {"m3": 50.0, "m1": 1.0}, n_targets=6)
         assert copies["m3"] > copies["m1"] >= copies["m0"] >= 2
 
     @given(loaded=st.lists(st.booleans(), min_size=6, max_size=6))
-    def test_some_holder_never_unloads(self, loaded: list[bool]) -> None:
-        """All holders decide at the same moment; one of them must stay."""
+    def test_one_holder_never_unloads(self, loaded: list[bool]) -> None:
+        """All holders decide at the same time; exactly one must keep the model."""
         holders = [
             Holder(process_id=name, loaded=frozenset({"m"} if has else ()))
             for name, has in zip(SIDECARS, loaded, strict=True)
         ]
-        schedulers = [
+        kept_by = [
             holder
             for holder in holders
             if "m" in holder.loaded
@@ -81,12 +81,12 @@
                 others=[other for other in holders if other is not holder],
             )
         ]
-        assert len(schedulers) == (1 if any(loaded) else 0)
+        assert len(kept_by) == (1 if any(loaded) else 0)
 
 
 @dataclass
 class FakeOrders:
-    """Takes orders as a target would; busy while `n_busy` lasts."""
+    """Records orders; replies that the target is busy `n_busy` times."""
 
     given: list[Order] = field(default_factory=list)
     n_busy: int = 0
@@ -101,8 +101,8 @@
 
 class Fleet:
     def __init__(self, models: tuple[str, ...], n_sidecars: int = 6) -> None:
-        self.clock = Clock()
-        self.net = Net()
+        self.clock = FakeClock()
+        self.net = FakeNetwork()
         self.orders: dict[str, FakeOrders] = {}
         self.placements: dict[str, Placement] = {}
         hosts = [host(f"s{i}", domain=f"d{i % 3}") for i in range(n_sidecars)]
@@ -117,7 +117,11 @@
                 process_id=listed.process_id,
                 service="draft",
                 published=published,
-                asker=Line(self.net, listed.peer_address, lambda hello=hello: hello),  # type: ignore[misc]
+                asker=FakeAsker(
+                    self.net,
+                    listed.peer_address,
+                    lambda hello=hello: hello,  # type: ignore[misc]
+                ),
                 orders=orders,  # type: ignore[arg-type]
                 journal=Journal(
                     process_id=listed.process_id,
@@ -128,9 +132,9 @@
             )
             self.orders[listed.name] = orders
             self.placements[listed.name] = placement
-            self.net.answerers[listed.peer_address] = self.answerer(placement)
+            self.net.handlers[listed.peer_address] = self.handler(placement)
 
-    def answerer(self, placement: Placement):  # type: ignore[no-untyped-def]
+    def handler(self, placement: Placement):  # type: ignore[no-untyped-def]
         async def answer(message: Message, sender: Hello) -> Message:
             assert isinstance(message, Holdings)
             return await placement.answer(message, sender)
@@ -155,7 +159,7 @@
 
 
 class TestRounds:
-    async def test_every_model_is_loaded_and_stays(self) -> None:
+    async def test_every_model_is_loaded_and_stays_loaded(self) -> None:
         fleet = Fleet(MODELS)
         await fleet.rounds(40)
         assert all(len(fleet.holders(model)) >= 2 for model in MODELS)
@@ -163,7 +167,7 @@
         await fleet.rounds(20)
         assert fleet.n_orders == n_orders
 
-    async def test_one_round_moves_nothing(self) -> None:
+    async def test_too_few_rounds_change_nothing(self) -> None:
         fleet = Fleet(MODELS)
         await fleet.rounds(N_ROUNDS - 1)
         assert fleet.n_orders == 0
@@ -171,7 +175,7 @@
     async def test_demand_moves_copies_and_keeps_the_last(self) -> None:
         fleet = Fleet(MODELS)
         await fleet.rounds(40)
-        before = len(fleet.holders("m4"))
+        n_before = len(fleet.holders("m4"))
         for _ in range(60):
             for placement in fleet.placements.values():
                 placement.record_demand("m4", 5.0)
@@ -179,27 +183,27 @@
             assert all(fleet.holders(model) for model in MODELS)
             n_loaded = [len(p.loaded) for p in fleet.placements.values()]
             assert max(n_loaded) <= MODELS_PER_TARGET + 1
-        assert len(fleet.holders("m4")) > before
+        assert len(fleet.holders("m4")) > n_before
 
-    async def test_split_fleet_keeps_every_model(self) -> None:
-        """Half of the sidecars hear only each other, then all meet again."""
+    async def test_partitioned_fleet_keeps_every_model(self) -> None:
+        """The sidecars are partitioned into two halves and then reconnected."""
         fleet = Fleet(MODELS)
         await fleet.rounds(40)
-        sides = [{f"s{i}" for i in range(3)}, {f"s{i}" for i in range(3, 6)}]
+        halves = [{f"s{i}" for i in range(3)}, {f"s{i}" for i in range(3, 6)}]
         address = {n: host(n, domain="d0").peer_address for n in fleet.placements}
-        for a in sides[0]:
-            for b in sides[1]:
-                fleet.net.cut.add(frozenset({address[a], address[b]}))
+        for a in halves[0]:
+            for b in halves[1]:
+                fleet.net.partitioned.add(frozenset({address[a], address[b]}))
         await fleet.rounds(40)
-        for side in sides:
-            assert all(fleet.holders(model) & side for model in MODELS)
-        fleet.net.cut.clear()
+        for half in halves:
+            assert all(fleet.holders(model) & half for model in MODELS)
+        fleet.net.partitioned.clear()
         for _ in range(40):
             await fleet.rounds(1)
             assert all(fleet.holders(model) for model in MODELS)
 
-    async def test_busy_weight_store_is_left_alone(self) -> None:
-        """The store answers 429; its sidecar waits as told before it asks again."""
+    async def test_busy_weight_store_is_not_retried_early(self) -> None:
+        """The store answers 429; the sidecar waits as requested before it retries."""
         fleet = Fleet(("m0",), n_sidecars=1)
         orders = fleet.orders["s0"]
         orders.n_busy = 100
@@ -211,7 +215,7 @@
         await fleet.rounds(10)
         assert [order.kind for order in orders.given] == [OrderKind.LOAD_MODEL]
 
-    async def test_missing_model_comes_to_a_real_engine(
+    async def test_missing_model_is_loaded_by_an_engine(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(
--- a/tests/test_spent_ids.py
+++ b/tests/test_spent_ids.py
@@ -1,4 +1,4 @@
-"""Cutting the memory of spent ids can refuse too much but never allow a run."""
+"""Truncated records of used attempt ids may refuse too much, but never allow a run."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,12 +18,12 @@
         max_ids=st.integers(min_value=1, max_value=40),
         late_s=st.floats(min_value=0.0, max_value=30.0),
     )
-    def test_a_late_start_of_a_spent_id_is_always_refused(
+    def test_late_start_of_a_used_id_is_always_refused(
         self, steps_s: list[float], max_ids: int, late_s: float
     ) -> None:
-        """A start message is written, its attempt is barred, and it arrives late.
+        """A start message arrives late, after its attempt was barred.
 
-        Meanwhile so many other attempts are spent that the memory is cut.
+        In the meantime, so many other attempts were used that old ids were dropped.
         """
         spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=max_ids)
         now_ns = 100 * NS_PER_S
@@ -38,7 +38,7 @@
             assert is_refused(spent, attempt_id, sent_ns=sent_ns)
 
     @given(steps_s=st.lists(st.floats(min_value=0.0, max_value=20.0), max_size=80))
-    def test_nothing_fresh_is_refused_while_the_number_allows(
+    def test_no_recent_start_is_refused_below_the_id_limit(
         self, steps_s: list[float]
     ) -> None:
         spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=10_000)
@@ -50,13 +50,13 @@
             assert spent.is_complete(now_ns)
             assert not is_refused(spent, b"x" * 16, sent_ns=fresh_ns)
 
-    def test_a_cut_memory_says_so(self) -> None:
+    def test_truncated_record_reports_that_it_is_incomplete(self) -> None:
         spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=7)
         for number in range(20):
             spent.add(number.to_bytes(16), Spent.RAN, now_ns=100 * NS_PER_S + number)
         assert not spent.is_complete(100 * NS_PER_S + 20)
 
-    def test_an_id_that_ran_is_never_said_not_to_have_run(self) -> None:
+    def test_id_that_ran_is_never_recorded_as_not_started(self) -> None:
         spent = SpentIds()
         spent.add(b"a" * 16, Spent.RAN, now_ns=1)
         spent.add(b"a" * 16, Spent.NEVER_STARTED, now_ns=2)
