--- a/src/trefoilpaddle/coordination/limits/entry_allowances.py
+++ b/src/trefoilpaddle/coordination/limits/entry_allowances.py
@@ -62,7 +62,7 @@
         How limits are divided among the gateways.
     now_s : float
         Current time on this gateway's monotonic clock.
-    asked_s : float
+    last_request_s : float
         When the last lease request was sent to the home of the entry.
     """
 
@@ -88,7 +88,7 @@
         gateway: str,
         shares: GatewayShares,
         now_s: float,
-        asked_s: float,
+        last_request_s: float,
     ) -> None:
         self.name = name
         self.entry = entry
@@ -99,7 +99,7 @@
         self._used_s = now_s
         self._shares = shares
         self._rate = RateAllowance(now_s=now_s)
-        self._slots = SlotAllowance(now_s=now_s, asked_s=asked_s)
+        self._slots = SlotAllowance(now_s=now_s, asked_s=last_request_s)
         self._tokens = RateAllowance(now_s=now_s)
 
     def take(self, times: AdmissionTimes, n_tokens: int) -> Result[int, NotRun]:
@@ -167,9 +167,9 @@
         return self._rate.is_low() or self._tokens.is_low()
 
     def is_urgent(self) -> bool:
-        """Return True if the next lease request must carry this entry.
+        """Return True if the entry must be reported before the next regular report.
 
-        That is if a request lacks budget or soon will, or if another gateway
+        This is so if a request lacks budget or soon will, or if another gateway
         waits for slots.
         """
         return (
--- a/src/trefoilpaddle/coordination/limits/lease_home.py
+++ b/src/trefoilpaddle/coordination/limits/lease_home.py
@@ -211,6 +211,10 @@
         return True
 
     def _delegating_to(self, bucket: int, now_s: float) -> frozenset[str]:
+        """Return the gateways whose shares of `bucket` this home may lease out.
+
+        They are those that delegate to it now and those that have left.
+        """
         until_s_of = self._delegated_until_s.get(bucket, {})
         for name in [name for name, until_s in until_s_of.items() if until_s <= now_s]:
             del until_s_of[name]
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -168,7 +168,7 @@
                 gateway=self._gateway,
                 shares=self.shares,
                 now_s=self._clock(),
-                asked_s=self._asked_s(bucket_of(name)),
+                last_request_s=self._last_request_s(bucket_of(name)),
             )
             self._allowances[name] = allowances
         allowances.entry = entry
@@ -177,10 +177,11 @@
     def _times(self, allowances: EntryAllowances) -> AdmissionTimes:
         now_s = self._clock()
         return AdmissionTimes(
-            now_s=now_s, own_share_from_s=self._asked_s(allowances.bucket) + HOLD_S
+            now_s=now_s,
+            own_share_from_s=self._last_request_s(allowances.bucket) + HOLD_S,
         )
 
-    def _asked_s(self, bucket: int) -> float:
+    def _last_request_s(self, bucket: int) -> float:
         """Return when this gateway last delegated its share, or its start time."""
         delegation = self._delegations.get(bucket)
         return delegation.sent_s if delegation is not None else self._start_s
--- a/src/trefoilpaddle/coordination/placing/orders.py
+++ b/src/trefoilpaddle/coordination/placing/orders.py
@@ -228,7 +228,7 @@
             "name": order.name,
             "version": order.version,
         }
-        guard = SendGuard(may_send=lambda: not self._refusal(begin_s))
+        guard = SendGuard(may_send=lambda: not self._refusal_reason(begin_s))
         try:
             async with (
                 asyncio.timeout(ORDER_TIMEOUT_S),
@@ -238,13 +238,13 @@
             ):
                 return Ok(await _reply_of(response))
         except SendRefusedError:
-            return Err(NotSent(detail=self._refusal(begin_s)))
+            return Err(NotSent(detail=self._refusal_reason(begin_s)))
         except (ClientError, OSError, TimeoutError) as error:
             if guard.is_refused:
-                return Err(NotSent(detail=self._refusal(begin_s)))
+                return Err(NotSent(detail=self._refusal_reason(begin_s)))
             return Err(OrderFailed(detail=repr(error)))
 
-    def _refusal(self, begin_s: float) -> str:
+    def _refusal_reason(self, begin_s: float) -> str:
         """Return why no order may be sent now, or an empty text if one may.
 
         It is checked right before the bytes are sent, so that an outdated decision
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -100,9 +100,9 @@
     async def resume(self, address: str) -> None:
         """Resume a process and deliver the messages that arrived while it paused."""
         self.paused.discard(address)
-        delayed = [item for item in self.delayed if item[0] == address]
+        arrived = [item for item in self.delayed if item[0] == address]
         self.delayed = [item for item in self.delayed if item[0] != address]
-        for _, message, sender in delayed:
+        for _, message, sender in arrived:
             if address in self.handlers:
                 await self.handlers[address](message, sender)
 
@@ -137,7 +137,7 @@
         self.incarnation = incarnation
         self.published = Published()
         self.table = ClaimTable(window_s=WINDOW_S, clock=fleet.clock)
-        asker = FakeAsker(fleet.net, listed.peer_address, self.hello)
+        fake_asker = FakeAsker(fleet.net, listed.peer_address, self.hello)
         self.registry = ClaimRegistry(
             process_id=listed.process_id,
             published=self.published,
@@ -148,8 +148,8 @@
         journal = Journal(
             process_id=listed.process_id, n_records=100, format=LogFormat.KEY_VALUE
         )
-        self.home = ClaimHome(registry=self.registry, asker=asker, journal=journal)
-        self.syncs = ClaimSynchroniser(registry=self.registry, asker=asker)
+        self.home = ClaimHome(registry=self.registry, asker=fake_asker, journal=journal)
+        self.syncs = ClaimSynchroniser(registry=self.registry, asker=fake_asker)
         self.generated_ids = GeneratedIdClaims(
             registry=self.registry,
             process_id=listed.process_id,
@@ -160,7 +160,7 @@
             hello=self.hello,
             published=self.published,
             directory=PublishedDirectory(published=self.published),
-            asker=asker,
+            asker=fake_asker,
             generated_ids=self.generated_ids,
             clock=fleet.clock,
             sleep=fleet.clock.sleep,
--- a/tests/test_claims_schedules.py
+++ b/tests/test_claims_schedules.py
@@ -111,7 +111,7 @@
         gateways and host lists they use.
         """
 
-        async def run() -> None:
+        async def run_schedule() -> None:
             schedule = Schedule(seed)
             for step, n in steps:
                 await schedule.run_step(step, n)
@@ -120,4 +120,4 @@
             for earlier, later in itertools.pairwise(times):
                 assert later - earlier > WINDOW_S, schedule.grants
 
-        asyncio.run(run())
+        asyncio.run(run_schedule())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of an entry hold over all gateways together, and unused budget moves."""
+"""Limits of an entry hold over all gateways, and unused budget is not withheld."""
 
 import asyncio
 
@@ -346,19 +346,19 @@
         There are never more requests running than the entry allows.
         """
 
-        async def run() -> None:
+        async def run_schedule() -> None:
             schedule = Schedule(SLOTS, seed)
             for step, n in steps:
                 await schedule.run_step(step, n)
                 assert len(schedule.fleet.running) <= 4
 
-        asyncio.run(run())
+        asyncio.run(run_schedule())
 
     @given(steps=STEPS, seed=st.integers(0, 1000))
     def test_rate_limit_holds(self, steps: list[tuple[str, int]], seed: int) -> None:
         """Any time span admits at most its length times the rate, plus a burst."""
 
-        async def run() -> None:
+        async def run_schedule() -> None:
             schedule = Schedule(RATE, seed)
             for step, n in steps:
                 await schedule.run_step(step, n)
@@ -369,4 +369,4 @@
                     most = 10.0 * span_s * 1.02 + 10.0 + 3
                     assert last - first + 1 <= most, (begin_s, span_s)
 
-        asyncio.run(run())
+        asyncio.run(run_schedule())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -146,7 +146,7 @@
     ) -> None:
         """Four sidecars, each started with its first order, send in any sequence."""
 
-        async def run() -> None:
+        async def run_schedule() -> None:
             async with site() as s:
                 sidecars: dict[int, TargetOrders] = {}
                 effects: list[int] = []
@@ -156,7 +156,7 @@
                         effects.append(list(sidecars).index(sender))
                 assert effects == sorted(effects)
 
-        asyncio.run(run())
+        asyncio.run(run_schedule())
 
 
 class TestPortLock:
--- a/tests/test_spent_ids.py
+++ b/tests/test_used_ids.py
@@ -8,11 +8,11 @@
 NS_PER_S = 1_000_000_000
 
 
-def is_refused(spent: SpentIds, attempt_id: bytes, *, sent_ns: int) -> bool:
-    return spent.get(attempt_id) is not None or spent.is_before_horizon(sent_ns)
+def is_refused(used: SpentIds, attempt_id: bytes, *, sent_ns: int) -> bool:
+    return used.get(attempt_id) is not None or used.is_before_horizon(sent_ns)
 
 
-class TestSpentIds:
+class TestUsedIds:
     @given(
         steps_s=st.lists(st.floats(min_value=0.0, max_value=20.0), max_size=80),
         max_ids=st.integers(min_value=1, max_value=40),
@@ -25,39 +25,39 @@
 
         In the meantime, so many other attempts were used that old ids were dropped.
         """
-        spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=max_ids)
+        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=max_ids)
         now_ns = 100 * NS_PER_S
         known: list[tuple[bytes, int]] = []
         for number, step_s in enumerate(steps_s):
             now_ns += int(step_s * NS_PER_S)
             attempt_id = number.to_bytes(16)
-            spent.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
+            used.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
             known.append((attempt_id, now_ns - int(late_s * NS_PER_S)))
-            assert len(spent) <= max(max_ids, 7)
+            assert len(used) <= max(max_ids, 7)
         for attempt_id, sent_ns in known:
-            assert is_refused(spent, attempt_id, sent_ns=sent_ns)
+            assert is_refused(used, attempt_id, sent_ns=sent_ns)
 
     @given(steps_s=st.lists(st.floats(min_value=0.0, max_value=20.0), max_size=80))
     def test_no_recent_start_is_refused_below_the_id_limit(
         self, steps_s: list[float]
     ) -> None:
-        spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=10_000)
+        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=10_000)
         now_ns = 100 * NS_PER_S
         for number, step_s in enumerate(steps_s):
             now_ns += int(step_s * NS_PER_S)
-            spent.add(number.to_bytes(16), Spent.RAN, now_ns=now_ns)
+            used.add(number.to_bytes(16), Spent.RAN, now_ns=now_ns)
             fresh_ns = now_ns - 59 * NS_PER_S
-            assert spent.is_complete(now_ns)
-            assert not is_refused(spent, b"x" * 16, sent_ns=fresh_ns)
+            assert used.is_complete(now_ns)
+            assert not is_refused(used, b"x" * 16, sent_ns=fresh_ns)
 
     def test_truncated_record_reports_that_it_is_incomplete(self) -> None:
-        spent = SpentIds(keep_ns=60 * NS_PER_S, max_ids=7)
+        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=7)
         for number in range(20):
-            spent.add(number.to_bytes(16), Spent.RAN, now_ns=100 * NS_PER_S + number)
-        assert not spent.is_complete(100 * NS_PER_S + 20)
+            used.add(number.to_bytes(16), Spent.RAN, now_ns=100 * NS_PER_S + number)
+        assert not used.is_complete(100 * NS_PER_S + 20)
 
     def test_id_that_ran_is_never_recorded_as_not_started(self) -> None:
-        spent = SpentIds()
-        spent.add(b"a" * 16, Spent.RAN, now_ns=1)
-        spent.add(b"a" * 16, Spent.NEVER_STARTED, now_ns=2)
-        assert spent.get(b"a" * 16) is Spent.RAN
+        used = SpentIds()
+        used.add(b"a" * 16, Spent.RAN, now_ns=1)
+        used.add(b"a" * 16, Spent.NEVER_STARTED, now_ns=2)
+        assert used.get(b"a" * 16) is Spent.RAN
