--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -256,7 +256,8 @@
                     detail=f"{answer.detail}; choose another key",
                 )
         if claim.idempotent:
-            # An idempotent request may run twice, so it is not refused.
+            # An idempotent request may run twice without harm, whereas a refusal
+            # would fail it without need.
             return KeyGranted(key=key, request_id=claim.request_id)
         self._withdraw(key, claim, home)
         return Unknown(
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -185,7 +185,7 @@
         assert await fleet.n_admitted("g1", 4) == 2
 
     async def test_rate_holds_right_after_a_partition(self) -> None:
-        """The home still refills for a gateway that it does not hear any more.
+        """The home still refills for a gateway whose lease requests have stopped.
 
         The partitioned gateway must not use its own share before the home stops
         refilling for it.
