--- a/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
+++ b/src/trefoilpaddle/coordination/chain/dispatch_snapshot.py
@@ -152,7 +152,7 @@
         self.free_in_s = {**self.free_in_s, domain: self._domain_free_in_s(domain)}
 
     def _find_soonest(self) -> None:
-        """Find the worker that completes one more piece soonest, and the next time."""
+        """Find the two earliest completions of one more piece, and the first worker."""
         done_in_s = self._done_in_s
         self._soonest_done_s = min(done_in_s)
         at = done_in_s.index(self._soonest_done_s)
@@ -167,10 +167,11 @@
 def _index_of_least(
     group: Sequence[tuple[float, int]], cross_domain_wait_s: float
 ) -> int:
-    """Return the index of the worker of least cost, the first in the list if equal.
+    """Return the index in `group` of the worker of least cost.
 
-    Call durations that differ only by a rounding error cost the same once the
-    cross-domain wait is added.
+    Among workers of equal cost, it is the one listed first in the dispatch. Call
+    durations that differ only by a rounding error cost the same once the cross-domain
+    wait is added.
     """
     least_s = group[0][0] + cross_domain_wait_s
     best = at = 0
--- a/src/trefoilpaddle/coordination/chain/fleet.py
+++ b/src/trefoilpaddle/coordination/chain/fleet.py
@@ -16,8 +16,8 @@
 DISCOVERY_PERIOD_S: Final = 0.1
 """Seconds between tries to contact the seeds while no other gateway is known.
 
-All gateways may start at the same time, up to 0.4 s apart. As long as two of them do
-not know one another, both schedule the same cell.
+All gateways may start at the same time, up to 0.4 s apart. In each tenth of a second
+in which two of them do not know one another, both schedule the same cell.
 """
 
 DISCOVERY_TIMEOUT_S: Final = 0.3
