--- a/src/trefoilpaddle/state/chain/crash_registry.py
+++ b/src/trefoilpaddle/state/chain/crash_registry.py
@@ -95,11 +95,11 @@
     crashes every worker is never answered.
     """
 
-    __slots__ = ("_cleared_s", "_of_account", "_records")
+    __slots__ = ("_cleared_s", "_n_by_account", "_records")
 
     def __init__(self) -> None:
         self._records: dict[str, CrashRecord] = {}
-        self._of_account: Counter[str] = Counter()
+        self._n_by_account: Counter[str] = Counter()
         self._cleared_s: OrderedDict[str, float] = OrderedDict()
 
     def __len__(self) -> int:
@@ -116,7 +116,7 @@
             if not self._ensure_capacity(fingerprint, now_s):
                 return False
             record = self._records[fingerprint] = CrashRecord()
-            self._of_account[account_part(fingerprint)] += 1
+            self._n_by_account[account_part(fingerprint)] += 1
         if crash.level in record.crashes:
             return False
         record.crashes[crash.level] = crash
@@ -172,7 +172,7 @@
         Above the limit of a client account, only records of that account are evicted.
         """
         account = account_part(fingerprint)
-        if self._of_account[account] >= MAX_REQUESTS_PER_ACCOUNT:
+        if self._n_by_account[account] >= MAX_REQUESTS_PER_ACCOUNT:
             return self._evict_least_severe(account)
         if len(self._records) < MAX_REQUESTS:
             return True
@@ -180,7 +180,7 @@
             self._forget(known)
         if len(self._records) < MAX_REQUESTS:
             return True
-        return self._evict_least_severe(self._of_account.most_common(1)[0][0])
+        return self._evict_least_severe(self._n_by_account.most_common(1)[0][0])
 
     def _evict_least_severe(self, account: str) -> bool:
         """Evict the record of an account with the fewest and oldest crashes.
@@ -203,9 +203,9 @@
     def _forget(self, fingerprint: str) -> None:
         if self._records.pop(fingerprint, None) is not None:
             account = account_part(fingerprint)
-            self._of_account[account] -= 1
-            if not self._of_account[account]:
-                del self._of_account[account]
+            self._n_by_account[account] -= 1
+            if not self._n_by_account[account]:
+                del self._n_by_account[account]
 
 
 def _is_expired(record: CrashRecord, now_s: float) -> bool:
--- a/tests/chain/test_cells.py
+++ b/tests/chain/test_cells.py
@@ -131,8 +131,8 @@
         at.dispatch.failure_domains = frozenset({"here", "there"})
         ends = await asyncio.gather(
             *(
-                at.run(replace(work(name, preferred_domain=domain), stages=LARGE))
-                for name, domain in zip("ab", PREFERRED, strict=True)
+                at.run(replace(work(name, preferred_domain=preferred), stages=LARGE))
+                for name, preferred in zip("ab", PREFERRED, strict=True)
             )
         )
         assert [
