--- a/src/trefoilpaddle/coordination/published/active_table.py
+++ b/src/trefoilpaddle/coordination/published/active_table.py
@@ -6,7 +6,7 @@
 from .published_store import PublishedTable
 from .store_journal import StoreJournal
 from .store_relay import StoreRelay
-from .table_change import apply_change, change_between
+from .table_change import change_between, changed_data
 
 
 class ActiveTable:
@@ -84,7 +84,7 @@
         base = self._relay.published
         if update.table is None or base is None:
             return False
-        data = apply_change(base, update.table)
+        data = changed_data(base, update.table)
         if data is None:
             return False
         published = self._decode(data)
--- a/src/trefoilpaddle/coordination/published/table_change.py
+++ b/src/trefoilpaddle/coordination/published/table_change.py
@@ -47,7 +47,7 @@
     )
 
 
-def apply_change(base: PublishedTable, change: TableChange) -> bytes | None:
+def changed_data(base: PublishedTable, change: TableChange) -> bytes | None:
     """Return the bytes of the newest table; None if `change` does not fit `base`.
 
     A change from a peer may be damaged, or be based on another table of that version.
--- a/tests/published/store_costs.py
+++ b/tests/published/store_costs.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration costs, and how soon it is in force."""
+"""Measures the cost of a configuration change and the time until it is active."""
 
 import asyncio
 import statistics
@@ -12,13 +12,13 @@
 from .store_network import Network, table_bytes
 
 N_CHANGES: Final = 20
-APART_S: Final = 7.07
-"""Time for each change; no multiple of a reader's turn, so that phases differ."""
+CHANGE_INTERVAL_S: Final = 7.07
+"""Time between changes; not a multiple of the read interval, so that phases differ."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Size:
-    """A group of gateways, and what they serve."""
+    """A group of gateways and the size of its configuration."""
 
     n_gateways: int
     n_workers: int
@@ -30,12 +30,12 @@
     Size(n_gateways=22, n_workers=100, n_routes=45, n_accounts=16),
     Size(n_gateways=80, n_workers=910, n_routes=45, n_accounts=3400),
 )
-"""A grown deployment, and one of five failure domains with 400 gateways."""
+"""A larger deployment, and one of five failure domains with 400 gateways."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Of one change, the mean or as said."""
+    """Cost of one change; the mean unless the name of a field says otherwise."""
 
     n_reads: float
     median_s: float
@@ -44,7 +44,7 @@
     others_bytes: float
 
 
-async def _cost(size: Size, *, n_cut_off: int) -> Cost:
+async def _cost(size: Size, *, n_disconnected: int) -> Cost:
     network = Network(
         size.n_gateways,
         n_workers=size.n_workers,
@@ -52,8 +52,8 @@
         n_accounts=size.n_accounts,
     )
     await network.start()
-    for gateway in network.gateways[size.n_gateways - n_cut_off :]:
-        gateway.is_cut_off = True
+    for gateway in network.gateways[size.n_gateways - n_disconnected :]:
+        gateway.is_disconnected = True
     times_s: list[float] = []
     with network.reads() as reads:
         sent_bytes = await _sent(network, times_s, n_changes=N_CHANGES)
@@ -76,32 +76,32 @@
 async def _sent(
     network: Network, times_s: list[float], *, n_changes: int
 ) -> Sequence[int]:
-    """Return the bytes that each gateway sends, with some changes or none."""
+    """Return the bytes that each gateway sends, with or without changes."""
     before = [gateway.sent_bytes for gateway in network.gateways]
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     for number in range(n_changes):
         version = 2 + number
         network.store.publish(version)
-        times_s += (await network.time_to(version=version)).values()
-        await asyncio.sleep(began_s + (number + 1) * APART_S - loop.time())
-    await asyncio.sleep(began_s + N_CHANGES * APART_S - loop.time())
+        times_s += (await network.activation_times_s(version=version)).values()
+        await asyncio.sleep(began_s + (number + 1) * CHANGE_INTERVAL_S - loop.time())
+    await asyncio.sleep(began_s + N_CHANGES * CHANGE_INTERVAL_S - loop.time())
     after = [gateway.sent_bytes for gateway in network.gateways]
     return [now - then for now, then in zip(after, before, strict=True)]
 
 
 def print_costs() -> None:
-    """Print what one change costs by the size, with and without gateways cut off."""
+    """Print the cost of a change by size, with and without disconnected gateways."""
     print("gateways  cut off  table B  reads  median s  worst s  reader B  others B")
     for size in SIZES:
         n_bytes = len(
             table_bytes(2, n_routes=size.n_routes, n_accounts=size.n_accounts)
         )
-        for n_cut_off in (0, size.n_gateways // 3):
+        for n_cut in (0, size.n_gateways // 3):
             with pytest.MonkeyPatch.context() as patch:
-                cost = run_virtual(patch, _cost(size, n_cut_off=n_cut_off))
+                cost = run_virtual(patch, _cost(size, n_disconnected=n_cut))
             print(
-                f"{size.n_gateways:8} {n_cut_off:8} {n_bytes:8} {cost.n_reads:6.1f}"
+                f"{size.n_gateways:8} {n_cut:8} {n_bytes:8} {cost.n_reads:6.1f}"
                 f" {cost.median_s:9.2f} {cost.worst_s:8.2f}"
                 f" {cost.reader_bytes:9.0f} {cost.others_bytes:9.0f}",
                 flush=True,
--- a/tests/published/store_fleet.py
+++ b/tests/published/store_fleet.py
@@ -1,4 +1,4 @@
-"""A store and gateways that tell one another of it, one step after the other."""
+"""A store and gateways that exchange updates, driven step by step by a test."""
 
 from collections import deque
 from collections.abc import Coroutine, Generator, Iterator
@@ -37,9 +37,9 @@
 from ..chain.test_chain_router import member
 from .test_store_feed import Answer, published
 
-IDS: Final = ("w1", "w2", "w3")
+WORKER_IDS: Final = ("w1", "w2", "w3")
 NAMES: Final = ("a", "b", "c", "d")
-"""Gateways in the order in which they read for the others."""
+"""Gateways in the order in which they become readers."""
 
 PORTS: Final = {name: number for number, name in enumerate(NAMES, 1)}
 GROUP: Final = [
@@ -47,19 +47,19 @@
     for name, number in PORTS.items()
 ]
 N_ROUNDS: Final = 16
-"""Rounds of reading after the last fault; twice what lists made anew take."""
+"""Rounds of reads after the last fault; twice what reading lists again takes."""
 
 
-class Held:
-    """Waits until the one who drives the read goes on with it."""
+class Suspension:
+    """Suspends a read until the test resumes it."""
 
     def __await__(self) -> Generator[None, None, None]:
         yield
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Copy:
-    """What a store held at some moment."""
+class Backup:
+    """The content of a store at one moment."""
 
     revision: int
     version: int
@@ -69,7 +69,7 @@
 
 
 class Store:
-    """Entries and events; an answer tells of the moment at which it was asked."""
+    """Entries and events; a response shows the moment at which it was requested."""
 
     def __init__(self) -> None:
         self.era = 0
@@ -77,10 +77,10 @@
         self.version = 1
         self.newest_version = 1
         self.table_revision = 1
-        self.entries = {worker_id: worker(worker_id) for worker_id in IDS}
+        self.entries = {worker_id: worker(worker_id) for worker_id in WORKER_IDS}
         self.events: list[tuple[int, str, Worker | None]] = []
-        self.forgotten = 0
-        self.away_from: set[str] = set()
+        self.history_lost_until = 0
+        self.unavailable_to: set[str] = set()
 
     def publish(self) -> None:
         """Publish the next configuration."""
@@ -88,14 +88,14 @@
         self.publish_again()
 
     def publish_again(self) -> None:
-        """Write the newest configuration, which a return may have lost."""
+        """Write the newest configuration, which a restore may have reverted."""
         self.version = self.newest_version
         self.revision += 1
         self.table_revision = self.revision
 
-    def copy(self) -> Copy:
-        """Return what it holds now."""
-        return Copy(
+    def back_up(self) -> Backup:
+        """Return a backup of the current content."""
+        return Backup(
             revision=self.revision,
             version=self.version,
             table_revision=self.table_revision,
@@ -103,47 +103,47 @@
             events=list(self.events),
         )
 
-    def return_from(self, copy: Copy) -> None:
-        """Come back with what a copy holds; all that was written since is gone."""
+    def restore_from(self, backup: Backup) -> None:
+        """Restore the content of a backup; everything written since is lost."""
         self.era += 1
-        self.revision = copy.revision
-        self.version = copy.version
-        self.table_revision = copy.table_revision
-        self.entries = dict(copy.entries)
-        self.events = list(copy.events)
-        self.forgotten = min(self.forgotten, copy.revision)
+        self.revision = backup.revision
+        self.version = backup.version
+        self.table_revision = backup.table_revision
+        self.entries = dict(backup.entries)
+        self.events = list(backup.events)
+        self.history_lost_until = min(self.history_lost_until, backup.revision)
 
     @property
     def position(self) -> StorePosition:
-        """Return where it is."""
+        """Return the current position."""
         return StorePosition(era=self.era, revision=self.revision)
 
     def write(self, worker_id: str) -> None:
-        """Write an entry; a worker that only says that it lives changes nothing."""
+        """Write an entry if it is not listed; a plain heartbeat changes nothing."""
         if worker_id not in self.entries:
             self.put(worker(worker_id))
 
     def put(self, entry: Worker) -> None:
         """Write an entry, as a worker does with each heartbeat."""
         self.entries[entry.worker_id] = entry
-        self._note(entry.worker_id)
+        self._record(entry.worker_id)
 
-    def spoil(self, worker_id: str) -> None:
-        """Let another writer overwrite an entry with what names no worker."""
+    def overwrite(self, worker_id: str) -> None:
+        """Let another writer overwrite an entry with one that names no worker."""
         del self.entries[worker_id]
         self.revision += 1
 
-    def lapse(self, worker_id: str) -> None:
-        """Remove an entry that ran out."""
+    def expire(self, worker_id: str) -> None:
+        """Remove an entry that has expired."""
         if self.entries.pop(worker_id, None) is not None:
-            self._note(worker_id)
+            self._record(worker_id)
 
-    def forget(self) -> None:
-        """Lose the history."""
-        self.forgotten = self.revision
+    def lose_history(self) -> None:
+        """Drop the history of changes."""
+        self.history_lost_until = self.revision
         self.events.clear()
 
-    def _note(self, worker_id: str) -> None:
+    def _record(self, worker_id: str) -> None:
         self.revision += 1
         self.events.append((self.revision, worker_id, self.entries.get(worker_id)))
 
@@ -156,8 +156,8 @@
         )
 
     def since(self, after: StorePosition) -> Answer:
-        """Return the changes after a revision as the platform's client does."""
-        if not self.forgotten <= after.revision <= self.revision:
+        """Return the changes after a revision, as the platform's client does."""
+        if not self.history_lost_until <= after.revision <= self.revision:
             if after.era != self.era:
                 return Ok(StoreChanges(position=StorePosition(era=self.era)))
             return Err(StoreFault.HISTORY_LOST)
@@ -178,7 +178,7 @@
 
 
 class Gateway:
-    """One gateway's feed; it reads when it is told to, in two steps."""
+    """One gateway's feed; it reads when a test says so, in two steps."""
 
     def __init__(self, name: str, fleet: "Fleet") -> None:
         own = process(name)
@@ -187,7 +187,7 @@
         self.fleet = fleet
         self.members: list[MemberRecord] = list(GROUP)
         self.workers = WorkerTable()
-        self.notes = journal()
+        self.records = journal()
         self.n_lists = 0
         self.reading: Coroutine[Any, Any, bool] | None = None
         self.readers = StoreReaders(process=own, live=lambda: self.members)
@@ -196,49 +196,49 @@
             store=self,
             workers=self.workers,
             on_table=lambda _: None,
-            journal=self.notes,
+            journal=self.records,
             relay=self.relay,
             readers=self.readers,
-            query_peers=self._ask,
+            query_peers=self._query,
             decode=lambda data: published(int(data)),
         )
 
-    async def _ask(self) -> list[StoreState]:
+    async def _query(self) -> list[StoreState]:
         others = [g for g in self.fleet.by_name.values() if g is not self]
         question = self.relay.build_request()
         return [await other.relay.respond(question, Hello()) for other in others]
 
     def _link(self, address: Address) -> SimpleNamespace:
         other = NAMES[address.port - 1]
-        way = self.fleet.ways[self.name, other]
+        way = self.fleet.in_transit[self.name, other]
         return SimpleNamespace(send=way.append)
 
     async def snapshot(self) -> Answer:
-        """Return all entries as they are when asked."""
+        """Return all entries at the time of the request."""
         self.n_lists += 1
         answer: Answer = Ok(self.fleet.store.listed())
-        await Held()
-        return self._unless_away(answer)
+        await Suspension()
+        return self._unless_unavailable(answer)
 
     async def changes(self, after: StorePosition) -> Answer:
-        """Return the changes as they are when asked."""
+        """Return the changes at the time of the request."""
         answer = self.fleet.store.since(after)
-        await Held()
-        return self._unless_away(answer)
+        await Suspension()
+        return self._unless_unavailable(answer)
 
-    def _unless_away(self, answer: Answer) -> Answer:
-        if self.name in self.fleet.store.away_from:
+    def _unless_unavailable(self, answer: Answer) -> Answer:
+        if self.name in self.fleet.store.unavailable_to:
             return Err(StoreFault.SILENT)
         return answer
 
     def begin(self) -> None:
-        """Ask the store, unless an answer is on its way."""
+        """Begin a read of the store, unless one is outstanding."""
         if self.reading is None:
             self.reading = self.feed._read_any()
-            self.go_on()
+            self.resume()
 
-    def go_on(self) -> None:
-        """Let the answer come."""
+    def resume(self) -> None:
+        """Deliver the store's response to the outstanding read."""
         if self.reading is None:
             return
         try:
@@ -247,77 +247,78 @@
             self.reading = None
             self.readers.record_read(is_answered=bool(read.value))
 
-    def ask_peers(self) -> None:
-        """Ask the others, as it does while the store's answer is late."""
-        asking = self.feed.read_peers()
+    def query_peers(self) -> None:
+        """Query the others, as a gateway does while the store's response is late."""
+        query = self.feed.read_peers()
         with pytest.raises(StopIteration):
-            asking.send(None)
+            query.send(None)
 
     def read(self) -> None:
-        """Read to the end."""
+        """Run a read until it is complete."""
         self.begin()
         while self.reading is not None:
-            self.go_on()
+            self.resume()
 
 
 class Fleet:
-    """A store and four gateways; nothing happens but what a test says."""
+    """A store and four gateways; nothing happens except what a test calls."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
         self.store = Store()
-        self.copies: list[Copy] = []
-        self._least_version = 0
-        self.ways: dict[tuple[str, str], deque[StoreNews]] = {
+        self.backups: list[Backup] = []
+        self._previous_min_version = 0
+        self.in_transit: dict[tuple[str, str], deque[StoreNews]] = {
             (one, other): deque() for one in NAMES for other in NAMES if one != other
         }
         self.by_name = {name: Gateway(name, self) for name in NAMES}
 
     def monotonic(self) -> float:
-        """Return the time of all gateways."""
+        """Return the current time of all gateways."""
         return self.now_s
 
     def start(self) -> None:
-        """Let all read once, and hear of it."""
+        """Let all gateways read once and receive each other's updates."""
         for gateway in self.by_name.values():
             gateway.read()
         self.deliver_all()
 
-    def start_again(self, name: str) -> None:
-        """Start a gateway again, which then knows nothing; it has not read yet."""
+    def restart(self, name: str) -> None:
+        """Restart a gateway with an empty view; it has not read yet."""
         self.by_name[name] = Gateway(name, self)
 
     def deliver(self, one: str, other: str) -> None:
-        """Let the oldest news on a way arrive."""
-        if self.ways[one, other]:
-            news = self.ways[one, other].popleft()
-            self.by_name[other].readers._on_message(None, news)  # type: ignore[arg-type]
+        """Deliver the oldest update in transit from one gateway to another."""
+        if self.in_transit[one, other]:
+            update = self.in_transit[one, other].popleft()
+            self.by_name[other].readers._on_message(None, update)  # type: ignore[arg-type]
 
     def deliver_all(self) -> None:
-        """Let all news arrive, oldest first on each way."""
-        for one, other in self.ways:
-            while self.ways[one, other]:
+        """Deliver all updates in transit, the oldest of each connection first."""
+        for one, other in self.in_transit:
+            while self.in_transit[one, other]:
                 self.deliver(one, other)
 
     def lose(self, one: str, other: str) -> None:
-        """Lose all news on a way."""
+        """Drop all updates in transit from one gateway to another."""
         if one != other:
-            self.ways[one, other].clear()
+            self.in_transit[one, other].clear()
 
     def settle(self) -> None:
-        """Mend all, then let time pass and gateways read as their turns say.
+        """End all faults, then let time pass and let the gateways read when due.
 
-        After a return the operator writes again, and the workers twice: the first
-        list may not tell what they wrote before it from what the copy had.
+        After a restore the operator writes again, and the workers write twice: with
+        the first list of the era, their first write may be indistinguishable from the
+        content of the backup.
         """
-        self.store.away_from.clear()
+        self.store.unavailable_to.clear()
         if self.store.version != self.store.newest_version:
             self.store.publish_again()
         self._write_all()
         for gateway in self.by_name.values():
             gateway.members = list(GROUP)
             while gateway.reading is not None:
-                gateway.go_on()
+                gateway.resume()
         for number in range(N_ROUNDS):
             if number == 1 and self.store.era:
                 self._write_all()
@@ -330,43 +331,46 @@
             self.deliver_all()
 
     def _write_all(self) -> None:
-        for worker_id in IDS:
+        for worker_id in WORKER_IDS:
             if self.store.era:
                 self.store.put(worker(worker_id))
             else:
                 self.store.write(worker_id)
 
-    def turn(self) -> None:
-        """Let both readers read, and all hear of it."""
+    def run_readers(self) -> None:
+        """Let both readers read, and deliver their updates."""
         self.now_s += store_feed.POLL_S
         for name in NAMES[:N_READERS]:
             self.by_name[name].read()
             self.deliver_all()
 
     def leave(self, worker_id: str) -> None:
-        """Let a worker say that it leaves."""
+        """Let a worker announce that it leaves."""
         self.store.put(replace(worker(worker_id), is_leaving=True))
 
-    def least_version(self) -> int:
-        """Return the oldest version that a gateway had in force at the last call."""
-        before, self._least_version = self._least_version, min(self.versions().values())
+    def previous_min_version(self) -> int:
+        """Return the oldest version active at any gateway at the previous call."""
+        before, self._previous_min_version = (
+            self._previous_min_version,
+            min(self.versions().values()),
+        )
         return before
 
     def pass_time(self, for_s: float) -> None:
-        """Let time pass in which nobody reads."""
+        """Let time pass without reads."""
         self.now_s += for_s
         for gateway in self.by_name.values():
             gateway.feed.view.listing.remove_expired(self.now_s)
 
     def versions(self) -> dict[str, int]:
-        """Return the version in force at each gateway."""
+        """Return the active version of each gateway."""
         return {
             name: 0 if g.relay.published is None else g.relay.published.table.version
             for name, g in self.by_name.items()
         }
 
     def known(self) -> dict[str, list[str]]:
-        """Return the workers that each gateway has."""
+        """Return the workers that each gateway knows."""
         return {
             name: sorted(gateway.workers.ids())
             for name, gateway in self.by_name.items()
@@ -374,11 +378,11 @@
 
 
 @contextmanager
-def fleet() -> Iterator[Fleet]:
-    """Yield gateways that have all read the store, on a clock of their own."""
-    made = Fleet()
+def started_fleet() -> Iterator[Fleet]:
+    """Yield a fleet whose gateways have all read the store, with its own clock."""
+    fleet = Fleet()
     with pytest.MonkeyPatch.context() as patch:
         for module in (store_feed, store_readers, store_relay, store_view):
-            patch.setattr(module, "time", made)
-        made.start()
-        yield made
+            patch.setattr(module, "time", fleet)
+        fleet.start()
+        yield fleet
--- a/tests/published/store_network.py
+++ b/tests/published/store_network.py
@@ -1,4 +1,4 @@
-"""Gateways that read and hear of a store over ways that take time, in virtual time."""
+"""Gateways that read a store and exchange updates with latency, in virtual time."""
 
 import asyncio
 import random
@@ -33,21 +33,21 @@
 from ..chain.test_chain_router import member
 from .test_store_feed import Answer
 
-WAY_S: Final = 0.001
-"""One way between two gateways."""
+ONE_WAY_S: Final = 0.001
+"""Latency of a message between two gateways."""
 
 READ_S: Final = 0.005
-"""From a question to the store's answer."""
+"""Time from a request to the store's response."""
 
 FIRST_TIMEOUT_S: Final = 0.7
-LAST_TIMEOUT_S: Final = 3.0
-"""A reader that gets no answer waits twice as long for the next, up to this."""
+MAX_TIMEOUT_S: Final = 3.0
+"""The timeout of a read doubles after each timeout, from the first up to the second."""
 
 STEP_S: Final = 0.01
 
 
 def table_bytes(version: int, *, n_routes: int = 45, n_accounts: int = 16) -> bytes:
-    """Return a configuration of some size; versions differ in one time-out."""
+    """Return a configuration of a given size; versions differ in one timeout."""
     routes = [
         route(f"route{number}", "idempotent", "stock") for number in range(n_routes)
     ]
@@ -66,7 +66,7 @@
 
 
 def decoded(data: bytes) -> PublishedTable | None:
-    """Return a table that knows its version only; None if it is no JSON."""
+    """Return a table that has only its version; None if the data is not JSON."""
     try:
         version = orjson.loads(data)["version"]
     except ValueError:
@@ -75,8 +75,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Copy:
-    """What a store held at some moment."""
+class Backup:
+    """The content of a store at one moment."""
 
     revision: int
     workers: dict[str, Worker]
@@ -86,7 +86,7 @@
 
 
 class Store:
-    """What is published, with the changes that led there."""
+    """The published content, with its history of changes."""
 
     def __init__(self, n_workers: int, **size: int) -> None:
         self._size = size
@@ -99,12 +99,12 @@
 
     @property
     def position(self) -> StorePosition:
-        """Return where it is."""
+        """Return the current position."""
         return StorePosition(era=self.era, revision=self.revision)
 
-    def copy(self) -> Copy:
-        """Return what it holds now."""
-        return Copy(
+    def back_up(self) -> Backup:
+        """Return a backup of the current content."""
+        return Backup(
             revision=self.revision,
             workers=dict(self.workers),
             table=self.table,
@@ -112,14 +112,14 @@
             events=list(self.events),
         )
 
-    def return_from(self, copy: Copy) -> None:
-        """Come back with what a copy holds; all that was written since is gone."""
+    def restore_from(self, backup: Backup) -> None:
+        """Restore the content of a backup; everything written since is lost."""
         self.era += 1
-        self.revision = copy.revision
-        self.workers = dict(copy.workers)
-        self.table = copy.table
-        self.table_revision = copy.table_revision
-        self.events = list(copy.events)
+        self.revision = backup.revision
+        self.workers = dict(backup.workers)
+        self.table = backup.table
+        self.table_revision = backup.table_revision
+        self.events = list(backup.events)
 
     def publish(self, version: int) -> None:
         """Publish the next configuration."""
@@ -127,26 +127,26 @@
         self.table_revision = self.revision
         self.table = decoded(table_bytes(version, **self._size))
 
-    def beat(self) -> None:
-        """Write an entry again in which nothing has changed."""
+    def heartbeat(self) -> None:
+        """Write an entry again without a change."""
         self.revision += 1
 
     def write(self, listed: Worker) -> None:
         """Write a worker's entry."""
         self.workers[listed.worker_id] = listed
-        self._note(listed.worker_id)
+        self._record(listed.worker_id)
 
     def remove(self, worker_id: str) -> None:
         """Remove a worker's entry."""
         del self.workers[worker_id]
-        self._note(worker_id)
+        self._record(worker_id)
 
-    def _note(self, worker_id: str) -> None:
+    def _record(self, worker_id: str) -> None:
         self.revision += 1
         self.events.append((self.revision, worker_id, self.workers.get(worker_id)))
 
     def listed(self) -> StoreChanges:
-        """Return all that is published."""
+        """Return everything that is published."""
         return StoreChanges(
             position=self.position,
             table=self.table,
@@ -175,31 +175,31 @@
 
 
 class Link:
-    """The way from one gateway to another."""
+    """The connection from one gateway to another."""
 
     def __init__(self, one: "Gateway", other: "Gateway") -> None:
         self._one = one
         self._other = other
 
     def send(self, message: Message) -> bool:
-        """Let a message arrive later."""
+        """Deliver a message after the latency."""
         self._count(self._one, message)
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, self._other.hear, message)
+        loop.call_later(ONE_WAY_S, self._other.receive, message)
         return True
 
     async def ask(
         self, message: StorePull, *, timeout_s: float
     ) -> Result[StoreState, str]:
-        """Return the other's answer."""
+        """Return the other gateway's response."""
         self._count(self._one, message)
-        if self._other.is_dark:
+        if self._other.is_stopped:
             await asyncio.sleep(timeout_s)
             return Err("silent")
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_S)
         state = await self._other.relay.respond(message, Hello())
         self._count(self._other, state)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(ONE_WAY_S)
         return Ok(state)
 
     def _count(self, sender: "Gateway", message: Message) -> None:
@@ -207,43 +207,43 @@
 
 
 class Gateway:
-    """One gateway's feed, with its own way to the store."""
+    """One gateway's feed, with its own connection to the store."""
 
     def __init__(self, name: str, network: "Network") -> None:
         own: Any = process(name)
         own.peers = SimpleNamespace(link=self._link)
         self.name = name
         self.network = network
-        self.is_cut_off = False
-        self.n_cuts = 0
-        self.is_dark = False
+        self.is_disconnected = False
+        self.n_disconnects = 0
+        self.is_stopped = False
         self.read_s = READ_S
         self.sent_bytes = 0
         self.version = 0
         self.timeout_s = FIRST_TIMEOUT_S
         self.workers = WorkerTable()
-        self.notes = journal()
+        self.records = journal()
         self.relay = StoreRelay(process=own, workers=self.workers)
         self.readers = StoreReaders(process=own, live=lambda: network.members)
         self.feed = StoreFeed(
             store=self,
             workers=self.workers,
-            on_table=self._put_in_force,
-            journal=self.notes,
+            on_table=self._activate,
+            journal=self.records,
             relay=self.relay,
             readers=self.readers,
             query_peers=lambda: self.relay.query_peers(network.members, name),
             decode=decoded,
         )
 
-    def hear(self, message: Message) -> None:
-        """Take what another gateway tells."""
-        if self.is_dark:
+    def receive(self, message: Message) -> None:
+        """Process a message from another gateway."""
+        if self.is_stopped:
             return
         self.readers._on_message(None, message)  # type: ignore[arg-type]
 
     async def snapshot(self) -> Answer:
-        """Return all that the store holds."""
+        """Return everything that the store holds."""
         self.network.n_lists[self.name] += 1
         return await self._read(Ok(self.network.store.listed()))
 
@@ -253,9 +253,9 @@
 
     async def _read(self, answer: Answer) -> Answer:
         self.network.n_reads[self.name] += 1
-        if self.is_cut_off or self.n_cuts:
+        if self.is_disconnected or self.n_disconnects:
             await asyncio.sleep(self.timeout_s)
-            self.timeout_s = min(LAST_TIMEOUT_S, 2 * self.timeout_s)
+            self.timeout_s = min(MAX_TIMEOUT_S, 2 * self.timeout_s)
             return Err(StoreFault.SILENT)
         await asyncio.sleep(self.read_s)
         self.timeout_s = FIRST_TIMEOUT_S
@@ -264,21 +264,21 @@
     def _link(self, address: Address) -> Link:
         return Link(self, self.network.by_port[address.port])
 
-    def _put_in_force(self, published: PublishedTable) -> None:
+    def _activate(self, published: PublishedTable) -> None:
         self.version = published.table.version
 
 
 class Network:
-    """A store and gateways in the order in which they read for the others.
+    """A store and gateways, in the order in which these become readers.
 
     Parameters
     ----------
     n_gateways : int
-        Of one group.
+        Number of gateways, all in one group.
     n_workers : int
-        Listed from the start.
+        Number of workers listed from the start.
     size : int
-        Of the configuration, as `table_bytes` takes it.
+        Size of the configuration, as parameters of `table_bytes`.
     """
 
     def __init__(self, n_gateways: int, *, n_workers: int = 4, **size: int) -> None:
@@ -298,7 +298,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Start the gateways one after the other; wait until only some read."""
+        """Start the gateways one by one; wait until only the readers read."""
         for gateway in self.gateways:
             self._run(gateway)
             await asyncio.sleep(STEP_S)
@@ -308,23 +308,23 @@
         self._tasks[gateway.name] = asyncio.create_task(gateway.feed.run())
 
     def stop(self, number: int) -> None:
-        """Kill a gateway; the others do not know yet."""
+        """Stop a gateway without notice to the others."""
         gateway = self.gateways[number]
-        gateway.is_dark = True
+        gateway.is_stopped = True
         self._tasks.pop(gateway.name).cancel()
 
-    def forget(self, number: int) -> None:
-        """Let the others count a gateway as gone."""
+    def remove_member(self, number: int) -> None:
+        """Let the others remove a gateway from the membership."""
         name = self.gateways[number].name
         self.members = [m for m in self.members if m.process_id != name]
 
-    def start_again(self, number: int) -> None:
-        """Start a gateway that knows nothing; it comes last among the others."""
+    def restart(self, number: int) -> None:
+        """Start a gateway with an empty view; it ranks last among the others."""
         self.n_starts += 1
-        self.forget(number)
+        self.remove_member(number)
         name = self.gateways[number].name
         gateway = Gateway(name, self)
-        gateway.n_cuts = self.gateways[number].n_cuts
+        gateway.n_disconnects = self.gateways[number].n_disconnects
         self.gateways[number] = gateway
         self.by_port[number + 1] = gateway
         record = member(name, len(self.gateways) + self.n_starts)
@@ -332,8 +332,8 @@
         self.members = [*self.members, replace(record, address=address)]
         self._run(gateway)
 
-    async def time_to(self, *, version: int) -> dict[str, float]:
-        """Return for each gateway after how long a table is in force there."""
+    async def activation_times_s(self, *, version: int) -> dict[str, float]:
+        """Return the time in seconds until a table is active, for each gateway."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         times_s: dict[str, float] = {}
@@ -347,11 +347,11 @@
 
     @contextmanager
     def reads(self) -> Iterator[Counter[str]]:
-        """Yield a count of the reads that each gateway makes meanwhile."""
+        """Yield a count of each gateway's reads, filled when the context exits."""
         before = self.n_reads.copy()
-        made: Counter[str] = Counter()
-        yield made
-        made.update(self.n_reads - before)
+        counts: Counter[str] = Counter()
+        yield counts
+        counts.update(self.n_reads - before)
 
 
 def _names(letter: str, n: int) -> list[str]:
--- a/tests/published/test_store_agreement.py
+++ b/tests/published/test_store_agreement.py
@@ -1,4 +1,4 @@
-"""Gateways that tell one another of the store end with what it lists."""
+"""Gateways that exchange updates about the store agree with what it lists."""
 
 from typing import Final
 
@@ -7,295 +7,306 @@
 from trefoilpaddle.coordination.published import store_feed, store_view
 from trefoilpaddle.coordination.published.store_view import RECOVERY_GRACE_S, ListReason
 
-from .store_fleet import IDS, NAMES, fleet
+from .store_fleet import NAMES, WORKER_IDS, started_fleet
 
 TICK_S: Final = 0.05
-"""Time that passes between looks; a part of all times here."""
+"""Time between checks; divides all other times here."""
 
 
-class TestBackBetweenTwoReads:
-    async def test_a_worker_that_is_back_is_not_dropped_by_who_heard_of_its_end(
+class TestEntryWrittenAgainBetweenReads:
+    async def test_a_relisted_worker_is_kept_by_gateways_that_received_its_removal(
         self,
     ) -> None:
-        # The store is away, and an entry runs out. One reader finds it gone and
-        # says so. Before the other reads, the worker has written again, so the
-        # other finds nothing new and says just that. Everybody who heard both was
-        # led past the change that brings it back, and dropped it 2.5 s later.
-        with fleet() as made:
-            first, other = made.by_name["a"], made.by_name["b"]
-            made.store.away_from.update(NAMES)
-            for gateway in made.by_name.values():
+        # The store is unavailable, and an entry expires. One reader finds it removed
+        # and sends that. Before the other reader reads, the worker has written again,
+        # so the other reader finds no change and sends none. Gateways that received
+        # both updates were advanced past the change that lists the worker again, and
+        # removed it 2.5 s later.
+        with started_fleet() as fleet:
+            first, other = fleet.by_name["a"], fleet.by_name["b"]
+            fleet.store.unavailable_to.update(NAMES)
+            for gateway in fleet.by_name.values():
                 gateway.read()
-            made.store.away_from.clear()
-            made.store.lapse("w1")
+            fleet.store.unavailable_to.clear()
+            fleet.store.expire("w1")
             first.read()
-            made.store.write("w1")
+            fleet.store.write("w1")
             other.read()
-            made.deliver_all()
-            made.now_s += RECOVERY_GRACE_S + store_feed.POLL_S
-            for gateway in made.by_name.values():
-                gateway.feed.view.listing.remove_expired(made.now_s)
-            assert made.known() == dict.fromkeys(NAMES, sorted(IDS))
+            fleet.deliver_all()
+            fleet.now_s += RECOVERY_GRACE_S + store_feed.POLL_S
+            for gateway in fleet.by_name.values():
+                gateway.feed.view.listing.remove_expired(fleet.now_s)
+            assert fleet.known() == dict.fromkeys(NAMES, sorted(WORKER_IDS))
 
-    async def test_it_is_named_after_a_whole_list(self) -> None:
-        # The same while the store has lost its history: the other reads the whole
-        # list, which does not tell what was gone meanwhile.
-        with fleet() as made:
-            made.store.lapse("w1")
-            made.by_name["a"].read()
-            made.deliver("a", "d")
-            made.store.write("w1")
-            made.store.forget()
-            made.by_name["b"].read()
-            made.deliver("b", "d")
-            assert made.known()["d"] == sorted(IDS)
+    async def test_a_relisted_worker_is_sent_after_a_complete_list(self) -> None:
+        # As above, but the store has lost its history: the other reader reads the
+        # complete list, which does not show what was removed in between.
+        with started_fleet() as fleet:
+            fleet.store.expire("w1")
+            fleet.by_name["a"].read()
+            fleet.deliver("a", "d")
+            fleet.store.write("w1")
+            fleet.store.lose_history()
+            fleet.by_name["b"].read()
+            fleet.deliver("b", "d")
+            assert fleet.known()["d"] == sorted(WORKER_IDS)
 
 
-class TestLateAnswers:
-    async def test_a_worker_that_is_back_is_not_dropped(self) -> None:
-        # A read is answered late: it says that an entry ran out. Meanwhile the
-        # other reader's news have led this gateway to where it is back. The
-        # worker was dropped here until lists that differ were made anew.
-        with fleet() as made:
-            made.store.lapse("w1")
-            made.by_name["a"].begin()
-            made.store.write("w1")
-            made.by_name["b"].read()
-            made.deliver("b", "a")
-            made.by_name["a"].go_on()
-            assert made.known()["a"] == sorted(IDS)
-            made.deliver_all()
-            assert made.known() == dict.fromkeys(NAMES, sorted(IDS))
+class TestLateResponses:
+    async def test_a_relisted_worker_is_not_removed(self) -> None:
+        # A late response of the store says that an entry has expired. Updates from the
+        # other reader have advanced this gateway to where it is listed again. The
+        # worker was removed here until the differing lists were read again.
+        with started_fleet() as fleet:
+            fleet.store.expire("w1")
+            fleet.by_name["a"].begin()
+            fleet.store.write("w1")
+            fleet.by_name["b"].read()
+            fleet.deliver("b", "a")
+            fleet.by_name["a"].resume()
+            assert fleet.known()["a"] == sorted(WORKER_IDS)
+            fleet.deliver_all()
+            assert fleet.known() == dict.fromkeys(NAMES, sorted(WORKER_IDS))
 
-    async def test_a_worker_that_is_gone_is_not_listed(self) -> None:
-        # The other way about: the late answer says that a worker is there, which
-        # the news have taken away since. It got work without being listed.
-        with fleet() as made:
-            made.store.lapse("w1")
+    async def test_a_removed_worker_is_not_listed(self) -> None:
+        # The opposite case: the late response lists a worker that updates have removed
+        # since. It received work without being listed.
+        with started_fleet() as fleet:
+            fleet.store.expire("w1")
             for name in NAMES:
-                made.by_name[name].read()
-            made.deliver_all()
-            made.store.write("w1")
-            made.by_name["a"].begin()
-            made.store.lapse("w1")
-            made.by_name["b"].read()
-            made.deliver("b", "a")
-            made.by_name["a"].go_on()
-            assert made.known()["a"] == ["w2", "w3"]
+                fleet.by_name[name].read()
+            fleet.deliver_all()
+            fleet.store.write("w1")
+            fleet.by_name["a"].begin()
+            fleet.store.expire("w1")
+            fleet.by_name["b"].read()
+            fleet.deliver("b", "a")
+            fleet.by_name["a"].resume()
+            assert fleet.known()["a"] == ["w2", "w3"]
 
 
-class TestRefusedNews:
-    async def test_they_tell_that_the_store_was_away(self) -> None:
-        # The store is away for the readers, too shortly for the others to notice,
-        # and entries run out. News are lost, so the next cannot be used; and with
-        # them went the time of the store's return. Read by the gateway itself, the
-        # entries counted as gone at once, 2 s before they were back.
-        with fleet() as made:
-            made.store.away_from.add("a")
-            made.by_name["a"].read()
-            made.store.away_from.clear()
-            made.store.lapse("w2")
-            made.by_name["a"].read()
-            made.lose("a", "d")
-            made.store.lapse("w1")
-            made.by_name["a"].read()
-            made.deliver("a", "d")
-            assert made.by_name["d"].readers.must_read()
-            made.by_name["d"].read()
-            assert made.known()["d"] == sorted(IDS)
+class TestInapplicableUpdates:
+    async def test_they_report_that_the_store_was_unavailable(self) -> None:
+        # The store is unavailable to the readers, too briefly for the others to notice,
+        # and entries expire. An update is lost, so the next one cannot be applied, and
+        # the time of the store's recovery was discarded with it. When the gateway read
+        # the store itself, it removed the expired entries at once, 2 s before their
+        # workers wrote again.
+        with started_fleet() as fleet:
+            fleet.store.unavailable_to.add("a")
+            fleet.by_name["a"].read()
+            fleet.store.unavailable_to.clear()
+            fleet.store.expire("w2")
+            fleet.by_name["a"].read()
+            fleet.lose("a", "d")
+            fleet.store.expire("w1")
+            fleet.by_name["a"].read()
+            fleet.deliver("a", "d")
+            assert fleet.by_name["d"].readers.must_read()
+            fleet.by_name["d"].read()
+            assert fleet.known()["d"] == sorted(WORKER_IDS)
 
 
-class TestCutOffAlone:
-    async def test_a_reader_does_not_make_the_others_keep_who_is_gone(self) -> None:
-        # Its read hangs for seconds while the other reader's are answered. Back, it
-        # told all that the store had been away, and they kept a worker that had gone.
-        with fleet() as made:
-            cut_off, other = made.by_name["a"], made.by_name["b"]
-            made.store.away_from.add("a")
-            made.now_s += store_feed.POLL_S
-            cut_off.begin()
-            made.now_s += store_feed.POLL_S
+class TestDisconnectedReaders:
+    async def test_one_reader_does_not_make_others_keep_removed_workers(self) -> None:
+        # One reader's read hangs for seconds while those of the other succeed. After
+        # that it reported to all that the store had been unavailable, and they kept a
+        # worker that had exited.
+        with started_fleet() as fleet:
+            disconnected, other = fleet.by_name["a"], fleet.by_name["b"]
+            fleet.store.unavailable_to.add("a")
+            fleet.now_s += store_feed.POLL_S
+            disconnected.begin()
+            fleet.now_s += store_feed.POLL_S
             other.read()
-            made.deliver_all()
-            cut_off.go_on()
-            made.store.away_from.clear()
-            cut_off.read()
-            made.deliver_all()
-            made.store.lapse("w1")
+            fleet.deliver_all()
+            disconnected.resume()
+            fleet.store.unavailable_to.clear()
+            disconnected.read()
+            fleet.deliver_all()
+            fleet.store.expire("w1")
             other.read()
-            made.deliver_all()
-            assert all(known == ["w2", "w3"] for known in made.known().values())
+            fleet.deliver_all()
+            assert all(known == ["w2", "w3"] for known in fleet.known().values())
 
-    async def test_nor_do_both_readers_where_the_store_answers_others(self) -> None:
-        # Nobody tells them of it then; those that are not told read by themselves.
-        with fleet() as made:
-            cut_off = [made.by_name[name] for name in NAMES[:2]]
-            made.store.away_from.update(NAMES[:2])
-            made.now_s += store_feed.POLL_S
-            for gateway in cut_off:
+    async def test_both_readers_do_not_either_if_the_store_responds_to_others(
+        self,
+    ) -> None:
+        # They receive no updates then; gateways without updates read the store.
+        with started_fleet() as fleet:
+            disconnected = [fleet.by_name[name] for name in NAMES[:2]]
+            fleet.store.unavailable_to.update(NAMES[:2])
+            fleet.now_s += store_feed.POLL_S
+            for gateway in disconnected:
                 gateway.begin()
-            made.now_s += store_feed.POLL_S
-            made.by_name["c"].read()
-            for gateway in cut_off:
-                gateway.ask_peers()
-                gateway.go_on()
-            made.store.away_from.clear()
-            made.store.lapse("w1")
-            cut_off[0].read()
-            made.deliver_all()
-            assert all(known == ["w2", "w3"] for known in made.known().values())
+            fleet.now_s += store_feed.POLL_S
+            fleet.by_name["c"].read()
+            for gateway in disconnected:
+                gateway.query_peers()
+                gateway.resume()
+            fleet.store.unavailable_to.clear()
+            fleet.store.expire("w1")
+            disconnected[0].read()
+            fleet.deliver_all()
+            assert all(known == ["w2", "w3"] for known in fleet.known().values())
 
 
-class TestLapsedEntries:
-    async def test_who_waits_for_their_return_lists_nothing_anew(self) -> None:
-        # One gateway was cut off from the store, the readers were not. An entry
-        # runs out: the readers drop its worker at once, the one cut off gives it
-        # 2.5 s. Lists that were the same seemed to differ, and 1.2 s later it asked
-        # for all of them. It took no news until it had it; cut off, it had none.
-        with fleet() as made:
-            last = made.by_name["d"]
-            made.store.away_from.add("d")
+class TestExpiredEntries:
+    async def test_a_gateway_in_the_grace_period_does_not_list_again(self) -> None:
+        # One gateway is disconnected from the store, the readers are not. An entry
+        # expires: the readers remove its worker at once, the disconnected gateway after
+        # the grace period of 2.5 s. Equal lists seemed to differ, so 1.2 s later it
+        # requested the complete list. It applied no updates until it had the list,
+        # which a disconnected gateway does not get.
+        with started_fleet() as fleet:
+            last = fleet.by_name["d"]
+            fleet.store.unavailable_to.add("d")
             last.read()
-            made.store.away_from.clear()
+            fleet.store.unavailable_to.clear()
             last.read()
-            made.store.away_from.add("d")
-            made.by_name["a"].read()
-            made.deliver_all()
+            fleet.store.unavailable_to.add("d")
+            fleet.by_name["a"].read()
+            fleet.deliver_all()
             n_lists = last.n_lists
-            made.store.lapse("w1")
+            fleet.store.expire("w1")
             for _ in range(store_view.MAX_DIGEST_MISMATCHES):
                 for name in ("a", "b"):
-                    made.now_s += store_feed.POLL_S / 2
-                    made.by_name[name].read()
-                    made.deliver_all()
-            assert last.feed.position.revision == made.store.revision
+                    fleet.now_s += store_feed.POLL_S / 2
+                    fleet.by_name[name].read()
+                    fleet.deliver_all()
+            assert last.feed.position.revision == fleet.store.revision
             assert last.n_lists == n_lists
-            made.now_s += RECOVERY_GRACE_S
-            last.feed.view.listing.remove_expired(made.now_s)
-            assert all(known == ["w2", "w3"] for known in made.known().values())
+            fleet.now_s += RECOVERY_GRACE_S
+            last.feed.view.listing.remove_expired(fleet.now_s)
+            assert all(known == ["w2", "w3"] for known in fleet.known().values())
 
-    async def test_a_list_asked_for_in_these_seconds_loses_no_worker(self) -> None:
-        # As above, but the one that was cut off reads for the others. Its list
-        # differs from the other reader's for 2.5 s. It asks for all of it while a
-        # read is on its way; that answer, one worker that is back, was taken for the
-        # list. It told the others that all the rest are gone, and as all agreed,
-        # and no entry changed any more, none came back until all restarted.
-        with fleet() as made:
-            first, other = made.by_name["a"], made.by_name["b"]
-            made.store.away_from.add("b")
+    async def test_a_list_requested_in_the_grace_period_loses_no_worker(self) -> None:
+        # As above, but the disconnected gateway is a reader. Its list differs from the
+        # other reader's for 2.5 s. It requests the complete list while a read of
+        # changes is outstanding. The response, a single worker that is listed again,
+        # was taken for the list, and the removal of all other workers was sent to the
+        # other gateways. As all of them agreed, and no entry changed any more, the
+        # workers were missing until the gateways restarted.
+        with started_fleet() as fleet:
+            first, other = fleet.by_name["a"], fleet.by_name["b"]
+            fleet.store.unavailable_to.add("b")
             other.read()
-            made.store.away_from.clear()
+            fleet.store.unavailable_to.clear()
             other.read()
             for name in NAMES:
-                made.lose("b", name)
+                fleet.lose("b", name)
             first.read()
-            made.deliver_all()
-            made.store.lapse("w1")
+            fleet.deliver_all()
+            fleet.store.expire("w1")
             for left in reversed(range(store_view.MAX_DIGEST_MISMATCHES)):
-                made.now_s += store_feed.POLL_S / 2
+                fleet.now_s += store_feed.POLL_S / 2
                 first.read()
                 if not left:
-                    made.store.write("w1")
+                    fleet.store.write("w1")
                     other.begin()
-                made.deliver_all()
-            other.go_on()
-            made.settle()
-            assert made.known() == dict.fromkeys(NAMES, sorted(IDS))
+                fleet.deliver_all()
+            other.resume()
+            fleet.settle()
+            assert fleet.known() == dict.fromkeys(NAMES, sorted(WORKER_IDS))
 
 
 class TestReads:
     @pytest.mark.parametrize("answer_s", [0.0, 0.25])
     @pytest.mark.parametrize("phase_s", [0.0, 0.1, 0.3])
-    async def test_two_read_for_all(self, answer_s: float, phase_s: float) -> None:
-        # Each read is paid for. With news that are in time nobody reads beside the
-        # two, whether they read at the same moment or in turn, and however long the
-        # store takes; also while entries run out and come back.
-        with fleet() as made:
-            readers = {"a": made.now_s, "b": made.now_s + phase_s}
+    async def test_only_two_gateways_read(
+        self, answer_s: float, phase_s: float
+    ) -> None:
+        # Each read has a cost. With updates in time no gateway reads except the two
+        # readers, whether they read at the same moment or alternately, however long
+        # the store takes, and while entries expire and are written again.
+        with started_fleet() as fleet:
+            readers = {"a": fleet.now_s, "b": fleet.now_s + phase_s}
             answers: dict[str, float] = {}
-            n_lists = {name: each.n_lists for name, each in made.by_name.items()}
+            n_lists = {name: each.n_lists for name, each in fleet.by_name.items()}
             for tick in range(100):
-                made.now_s += TICK_S
+                fleet.now_s += TICK_S
                 if tick % 7 == 0:
-                    made.store.lapse(IDS[tick % len(IDS)])
+                    fleet.store.expire(WORKER_IDS[tick % len(WORKER_IDS)])
                 if tick % 11 == 0:
-                    made.store.write(IDS[tick % len(IDS)])
+                    fleet.store.write(WORKER_IDS[tick % len(WORKER_IDS)])
                 for name, due_s in list(answers.items()):
-                    if due_s <= made.now_s:
-                        made.by_name[name].read()
-                        made.deliver_all()
+                    if due_s <= fleet.now_s:
+                        fleet.by_name[name].read()
+                        fleet.deliver_all()
                         del answers[name]
                 for name, due_s in list(readers.items()):
-                    if due_s <= made.now_s:
-                        made.by_name[name].begin()
+                    if due_s <= fleet.now_s:
+                        fleet.by_name[name].begin()
                         readers[name] += store_feed.POLL_S
-                        answers[name] = made.now_s + answer_s
+                        answers[name] = fleet.now_s + answer_s
                 for name in ("c", "d"):
-                    made.by_name[name].feed.view.listing.remove_expired(made.now_s)
-                    assert not made.by_name[name].readers.must_read()
+                    fleet.by_name[name].feed.view.listing.remove_expired(fleet.now_s)
+                    assert not fleet.by_name[name].readers.must_read()
             assert {
-                name: each.n_lists for name, each in made.by_name.items()
+                name: each.n_lists for name, each in fleet.by_name.items()
             } == n_lists
 
 
-class TestAskedPeers:
-    async def test_a_worker_that_may_come_back_is_not_taken_as_listed(self) -> None:
-        # The store is away, and an entry runs out. It is back for one gateway,
-        # which gives that entry its seconds to come back. Another, still cut off,
-        # asks the first, and was told of the worker as of all others: it kept it
-        # for good, until some news showed that their lists differ.
-        with fleet() as made:
-            first, last = made.by_name["a"], made.by_name["d"]
-            made.store.away_from.update(NAMES)
+class TestPeerQueries:
+    async def test_a_worker_in_its_grace_period_is_not_taken_as_listed(self) -> None:
+        # The store is unavailable, and an entry expires. The store recovers for one
+        # gateway, which gives the entry its grace period. Another gateway, still
+        # disconnected, queries the first. It received the worker like all others and
+        # kept it until some update showed that their lists differ.
+        with started_fleet() as fleet:
+            first, last = fleet.by_name["a"], fleet.by_name["d"]
+            fleet.store.unavailable_to.update(NAMES)
             first.read()
-            made.store.lapse("w1")
-            made.store.away_from.remove("a")
+            fleet.store.expire("w1")
+            fleet.store.unavailable_to.remove("a")
             first.read()
-            for one, other in made.ways:
-                made.lose(one, other)
+            for one, other in fleet.in_transit:
+                fleet.lose(one, other)
             last.read()
-            assert made.known()["d"] == sorted(IDS)
-            made.now_s += RECOVERY_GRACE_S
+            assert fleet.known()["d"] == sorted(WORKER_IDS)
+            fleet.now_s += RECOVERY_GRACE_S
             for gateway in (first, last):
-                gateway.feed.view.listing.remove_expired(made.now_s)
-            assert made.known()["a"] == ["w2", "w3"]
-            assert made.known()["d"] == ["w2", "w3"]
+                gateway.feed.view.listing.remove_expired(fleet.now_s)
+            assert fleet.known()["a"] == ["w2", "w3"]
+            assert fleet.known()["d"] == ["w2", "w3"]
 
-    async def test_a_whole_list_that_comes_after_theirs_drops_nobody(self) -> None:
-        # The store has lost its history and answers slowly. A gateway asks for the
-        # whole list, and peers meanwhile, who know of later changes. The store's
-        # list comes last and is passed over; taken for an empty one, it would drop
-        # every worker.
-        with fleet() as made:
-            first, last = made.by_name["a"], made.by_name["d"]
-            made.store.lapse("w1")
-            made.store.write("w1")
-            made.store.forget()
+    async def test_a_list_that_arrives_after_a_peer_state_removes_no_worker(
+        self,
+    ) -> None:
+        # The store has lost its history and responds slowly. A gateway requests the
+        # complete list, and meanwhile queries peers, which know of later changes. The
+        # store's list arrives last and is ignored. If it were taken for an empty one,
+        # every worker would be removed.
+        with started_fleet() as fleet:
+            first, last = fleet.by_name["a"], fleet.by_name["d"]
+            fleet.store.expire("w1")
+            fleet.store.write("w1")
+            fleet.store.lose_history()
             last.begin()
-            last.go_on()
+            last.resume()
             assert last.n_lists == 2
-            made.store.lapse("w3")
+            fleet.store.expire("w3")
             first.read()
-            last.ask_peers()
-            assert made.known()["d"] == ["w1", "w2"]
-            last.go_on()
-            assert made.known()["d"] == ["w1", "w2"]
-            made.settle()
-            assert made.known() == dict.fromkeys(NAMES, sorted(IDS))
+            last.query_peers()
+            assert fleet.known()["d"] == ["w1", "w2"]
+            last.resume()
+            assert fleet.known()["d"] == ["w1", "w2"]
+            fleet.settle()
+            assert fleet.known() == dict.fromkeys(NAMES, sorted(WORKER_IDS))
 
-    async def test_their_list_must_not_be_from_before_what_is_known(self) -> None:
-        # Lists differ, and a gateway that is cut off needs the whole list. A peer
-        # has not read for a while: in its list a worker is there that is gone, and
-        # what the store tells next leads on from after its end.
-        with fleet() as made:
-            last = made.by_name["d"]
-            made.store.lapse("w1")
+    async def test_a_peer_list_older_than_the_known_position_is_ignored(self) -> None:
+        # Lists differ, and a disconnected gateway needs the complete list. A peer has
+        # not read for a while: its list contains a worker that was removed, and the
+        # changes that the store returns next are later than the removal.
+        with started_fleet() as fleet:
+            last = fleet.by_name["d"]
+            fleet.store.expire("w1")
             last.read()
             last.feed.view.request_list(ListReason.DIGEST_MISMATCH)
-            last.ask_peers()
-            assert made.known()["d"] == ["w2", "w3"]
+            last.query_peers()
+            assert fleet.known()["d"] == ["w2", "w3"]
             assert last.feed.position.revision == 0
-            made.by_name["a"].read()
-            last.ask_peers()
-            assert made.known()["d"] == ["w2", "w3"]
-            assert last.feed.position.revision == made.store.revision
+            fleet.by_name["a"].read()
+            last.query_peers()
+            assert fleet.known()["d"] == ["w2", "w3"]
+            assert last.feed.position.revision == fleet.store.revision
--- a/tests/published/test_store_feed.py
+++ b/tests/published/test_store_feed.py
@@ -1,4 +1,4 @@
-"""A gateway's view of the store: versions, workers, loss and return."""
+"""A gateway's view of the store: versions, workers, loss and recovery."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -35,43 +35,43 @@
 
 
 class FakeStore:
-    """Answers each read with the next of `answers`."""
+    """Returns the next of `answers` from each read."""
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers)
-        self.asked: list[int] = []
+        self.requested: list[int] = []
 
     async def snapshot(self) -> Answer:
-        self.asked.append(0)
+        self.requested.append(0)
         return self.answers.pop(0)
 
     async def changes(self, after: StorePosition) -> Answer:
-        self.asked.append(after.revision)
+        self.requested.append(after.revision)
         return self.answers.pop(0)
 
 
-class Rig:
-    """A feed over a scripted store and scripted peers."""
+class Harness:
+    """A feed with a scripted store and scripted peers."""
 
     def __init__(self, *answers: Answer) -> None:
         self.store = FakeStore(*answers)
         self.workers = WorkerTable()
         self.tables: list[int] = []
         self.states: list[StoreState] = []
-        self.notes = journal()
+        self.records = journal()
         own = process("g")
         self.feed = StoreFeed(
             store=self.store,
             workers=self.workers,
             on_table=lambda table: self.tables.append(table.table.version),
-            journal=self.notes,
+            journal=self.records,
             relay=StoreRelay(process=own, workers=self.workers),
             readers=StoreReaders(process=own, live=list),
-            query_peers=self._ask(),
+            query_peers=self._query(),
             decode=lambda data: published(int(data)),
         )
 
-    def _ask(self) -> Callable[[], Awaitable[list[StoreState]]]:
+    def _query(self) -> Callable[[], Awaitable[list[StoreState]]]:
         async def ask() -> list[StoreState]:
             return self.states
 
@@ -100,52 +100,52 @@
 
 
 class TestVersions:
-    async def test_an_older_table_is_never_taken(self) -> None:
-        # A read answered late brings the version before a key was revoked.
-        rig = Rig(
+    async def test_an_older_table_is_never_applied(self) -> None:
+        # A late response contains the version before a key was revoked.
+        harness = Harness(
             changes(1, table=published(5)),
             changes(2, table=published(4)),
             changes(3, table=published(7)),
         )
-        await rig.read(3)
-        assert rig.tables == [5, 7]
+        await harness.read(3)
+        assert harness.tables == [5, 7]
 
-    async def test_lost_history_is_listed_anew(self) -> None:
-        rig = Rig(
+    async def test_the_list_is_read_again_after_a_lost_history(self) -> None:
+        harness = Harness(
             changes(1, "a", "b"), Err(StoreFault.HISTORY_LOST), changes(9, "b", "c")
         )
-        await rig.read(2)
-        assert rig.store.asked == [0, 1, 0]
-        assert sorted(rig.workers.ids()) == ["b", "c"]
+        await harness.read(2)
+        assert harness.store.requested == [0, 1, 0]
+        assert sorted(harness.workers.ids()) == ["b", "c"]
 
 
 class TestReading:
-    async def test_one_answer_that_cannot_be_taken_does_not_end_it(
+    async def test_an_exception_in_one_read_does_not_end_the_loop(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The store answers once with what nobody foresaw. A reader that ends
-        # there leaves its gateway with old routes and keys for good.
+        # The store once sends a response that raises an unexpected exception. If the
+        # read loop ended there, the gateway would keep outdated routes and keys.
         monkeypatch.setattr(store_feed, "POLL_S", 0.01)
         monkeypatch.setattr(store_feed, "RETRY_S", 0.01)
-        rig = Rig(changes(1, "a"))
+        harness = Harness(changes(1, "a"))
 
         async def fail(after: StorePosition) -> Answer:
-            if len(rig.store.asked) < 3:
-                rig.store.asked.append(after.revision)
+            if len(harness.store.requested) < 3:
+                harness.store.requested.append(after.revision)
                 raise ValueError("unforeseen")
             return changes(7, "b")
 
-        monkeypatch.setattr(rig.store, "changes", fail)
-        reading = asyncio.create_task(rig.feed.run())
-        await until(lambda: "b" in rig.workers.ids())
+        monkeypatch.setattr(harness.store, "changes", fail)
+        reading = asyncio.create_task(harness.feed.run())
+        await until(lambda: "b" in harness.workers.ids())
         reading.cancel()
 
-    async def test_a_slow_answer_does_not_put_off_the_next_read(
+    async def test_a_slow_response_does_not_delay_the_next_read(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The store takes a quarter of a second for each answer. With the time to
-        # the next read counted from the answer, a reader told the others every
-        # 0.85 s. They read by themselves after 0.8 s: all instead of two.
+        # The store takes a quarter of a second for each response. When the time to the
+        # next read was counted from the response, a reader sent an update every 0.85 s.
+        # The other gateways read after 0.8 s without one: all instead of two.
         now_s = 1000.0
         asked_s: list[float] = []
         pause = asyncio.sleep
@@ -155,7 +155,7 @@
             now_s += for_s
             await pause(0)
 
-        rig = Rig(changes(1, "a"))
+        harness = Harness(changes(1, "a"))
 
         async def answer(after: StorePosition) -> Answer:
             nonlocal now_s
@@ -163,12 +163,12 @@
             now_s += 0.25
             return changes(after.revision)
 
-        monkeypatch.setattr(rig.store, "changes", answer)
+        monkeypatch.setattr(harness.store, "changes", answer)
         monkeypatch.setattr(
             store_feed, "time", SimpleNamespace(monotonic=lambda: now_s)
         )
         monkeypatch.setattr(store_feed, "asyncio", SimpleNamespace(sleep=sleep))
-        reading = asyncio.create_task(rig.feed.run())
+        reading = asyncio.create_task(harness.feed.run())
         await until(lambda: len(asked_s) > 3)
         reading.cancel()
         between_s = [later - one for one, later in pairwise(asked_s[:4])]
@@ -176,93 +176,96 @@
 
 
 class TestWorkers:
-    async def test_one_that_is_removed_is_gone_at_once(self) -> None:
-        rig = Rig(changes(1, "a"), changes(2, removed=("a",)))
-        await rig.read(2)
-        assert rig.workers.ids() == []
+    async def test_a_removed_worker_is_dropped_at_once(self) -> None:
+        harness = Harness(changes(1, "a"), changes(2, removed=("a",)))
+        await harness.read(2)
+        assert harness.workers.ids() == []
 
-    async def test_entries_that_lapsed_while_the_store_was_away_may_come_back(
+    async def test_entries_that_expired_during_an_outage_have_a_grace_period(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The store is down for five seconds. When it is back all entries have
-        # run out; the workers live and write again within two seconds. Taken
-        # at its word, the store would leave no worker at all until then.
+        # The store is unavailable for five seconds, and all entries have expired when
+        # it recovers. The workers live and write again within two seconds. If the
+        # store's list were applied at once, there would be no worker until then.
         monkeypatch.setattr(store_view, "RECOVERY_GRACE_S", 0.05)
-        rig = Rig(
+        harness = Harness(
             changes(1, "a", "b"),
             Err(StoreFault.SILENT),
             changes(2, removed=("a", "b")),
             changes(3, "a"),
             changes(4),
         )
-        await rig.read(3)
-        assert sorted(rig.workers.ids()) == ["a", "b"]
-        await rig.read(1)
+        await harness.read(3)
+        assert sorted(harness.workers.ids()) == ["a", "b"]
+        await harness.read(1)
         await asyncio.sleep(0.06)
-        await rig.read(1)
-        assert rig.workers.ids() == ["a"]
+        await harness.read(1)
+        assert harness.workers.ids() == ["a"]
 
 
-class TestForeignEntries:
+class TestOverwrittenEntries:
     def withdrawn(self, revision: int, worker_id: str) -> Answer:
         entry = UnreadableEntry(worker_id=worker_id, problem="no address")
         return Ok(
             StoreChanges(position=StorePosition(revision=revision), unreadable=(entry,))
         )
 
-    async def test_a_worker_is_withdrawn_and_comes_back(self) -> None:
+    async def test_a_worker_is_withdrawn_and_listed_again(self) -> None:
         # Another writer overwrites a worker's entry; the worker writes again
         # with its next heartbeat.
-        rig = Rig(changes(1, "a", "b"), self.withdrawn(2, "a"), changes(3, "a"))
-        await rig.read(2)
-        assert rig.workers.ids() == ["b"]
-        await rig.read(1)
-        assert sorted(rig.workers.ids()) == ["a", "b"]
-
-    async def test_it_is_withdrawn_also_after_the_store_was_away(self) -> None:
-        # Entries that ran out meanwhile are given time to come back. One that
-        # was overwritten did not run out.
-        rig = Rig(changes(1, "a"), Err(StoreFault.SILENT), self.withdrawn(2, "a"))
-        await rig.read(3)
-        assert rig.workers.ids() == []
-
-    async def test_each_is_logged_once(self) -> None:
-        # It is written again with every heartbeat.
-        rig = Rig(changes(1, "a"), *(self.withdrawn(n, "a") for n in range(2, 9)))
-        await rig.read(8)
-        decisions = [record.decision for record in rig.notes.recent()]
+        harness = Harness(changes(1, "a", "b"), self.withdrawn(2, "a"), changes(3, "a"))
+        await harness.read(2)
+        assert harness.workers.ids() == ["b"]
+        await harness.read(1)
+        assert sorted(harness.workers.ids()) == ["a", "b"]
+
+    async def test_a_worker_is_withdrawn_after_an_outage_too(self) -> None:
+        # Expired entries have a grace period; an overwritten entry has not expired.
+        harness = Harness(
+            changes(1, "a"), Err(StoreFault.SILENT), self.withdrawn(2, "a")
+        )
+        await harness.read(3)
+        assert harness.workers.ids() == []
+
+    async def test_each_entry_is_logged_once(self) -> None:
+        # The entry is written again with every heartbeat.
+        harness = Harness(
+            changes(1, "a"), *(self.withdrawn(n, "a") for n in range(2, 9))
+        )
+        await harness.read(8)
+        decisions = [record.decision for record in harness.records.recent()]
         lines = [d for d in decisions if d.event is Event.ENTRY_UNREADABLE]
         assert [(line.peer, line.detail) for line in lines] == [("a", "no address")]
 
 
 class TestPeers:
-    async def test_a_gateway_that_is_turned_away_learns_from_peers(self) -> None:
-        # The store serves the other gateways and refuses this one. A key is
-        # revoked and a worker leaves: both must be known here as well.
+    async def test_a_refused_gateway_learns_from_peers(self) -> None:
+        # The store serves the other gateways and refuses this one. A key is revoked
+        # and a worker leaves: this gateway must learn of both.
         state = StoreState(
             revision=8,
             version=6,
             data=b"6",
             workers=[ListedWorker(worker_id="b", service_name="plain")],
         )
-        rig = Rig(changes(1, "a", table=published(5)), Err(StoreFault.REFUSED))
-        await rig.read(1)
-        rig.states.append(state)
-        await rig.read(1)
-        await rig.feed.read_peers()
-        assert rig.tables == [5, 6]
-        assert rig.feed.is_unavailable
-
-    async def test_what_a_peer_knows_less_of_is_not_taken(self) -> None:
+        harness = Harness(changes(1, "a", table=published(5)), Err(StoreFault.REFUSED))
+        await harness.read(1)
+        harness.states.append(state)
+        await harness.read(1)
+        await harness.feed.read_peers()
+        assert harness.tables == [5, 6]
+        assert harness.feed.is_unavailable
+
+    async def test_the_state_of_a_peer_that_lags_is_not_applied(self) -> None:
         state = StoreState(revision=1, version=4, data=b"4", workers=[])
-        rig = Rig(changes(7, "a", table=published(5)))
-        await rig.read(1)
-        rig.states.append(state)
-        await rig.feed.read_peers()
-        assert rig.tables == [5]
-        assert rig.workers.ids() == ["a"]
-
-    async def test_nothing_known_is_not_ready(self) -> None:
-        rig = Rig(Err(StoreFault.SILENT))
-        await rig.read(1)
-        assert not rig.feed.is_known
+        harness = Harness(changes(7, "a", table=published(5)))
+        await harness.read(1)
+        harness.states.append(state)
+        await harness.feed.read_peers()
+        assert harness.tables == [5]
+        assert harness.workers.ids() == ["a"]
+
+    async def test_a_gateway_without_a_table_is_not_ready(self) -> None:
+        harness = Harness(Err(StoreFault.SILENT))
+        await harness.read(1)
+        assert not harness.feed.is_known
--- a/tests/published/test_store_returns.py
+++ b/tests/published/test_store_returns.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy: revisions are given out again, entries are lost."""
+"""Restores of the store from a backup: revisions are reused, entries are lost."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -16,414 +16,420 @@
 from trefoilpaddle.state.journal import Event
 
 from ..chain.fakes import worker
-from .store_fleet import GROUP, IDS, NAMES, Fleet, fleet
+from .store_fleet import GROUP, NAMES, WORKER_IDS, Fleet, started_fleet
 
 NEW: Final = worker("w9")
 
 
 @pytest.fixture
-def made() -> Iterator[Fleet]:
-    with fleet() as started:
+def fleet() -> Iterator[Fleet]:
+    with started_fleet() as started:
         yield started
 
 
-def all_know(made: Fleet, *ids: str) -> bool:
-    return made.known() == dict.fromkeys(NAMES, sorted(ids))
+def all_know(fleet: Fleet, *ids: str) -> bool:
+    return fleet.known() == dict.fromkeys(NAMES, sorted(ids))
 
 
-def entries(made: Fleet, worker_id: str) -> set[Worker | None]:
-    """Return what the gateways hold of a worker."""
-    return {gateway.workers.get(worker_id) for gateway in made.by_name.values()}
+def entries(fleet: Fleet, worker_id: str) -> set[Worker | None]:
+    """Return the entries of a worker that the gateways hold."""
+    return {gateway.workers.get(worker_id) for gateway in fleet.by_name.values()}
 
 
 class TestRevisions:
-    async def test_a_worker_written_at_a_revision_given_out_again_is_known(
-        self, made: Fleet
+    async def test_a_worker_written_at_a_reused_revision_is_known(
+        self, fleet: Fleet
     ) -> None:
-        # By the next read the store has passed the revision that all know, and
-        # answers what has changed since: the worker was written before it.
-        copy = made.store.copy()
+        # By the next read the store has passed the revision that all gateways know, and
+        # returns the changes since. The worker was written before that revision.
+        backup = fleet.store.back_up()
         for _ in range(5):
-            made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.store.put(NEW)
+            fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.store.put(NEW)
         for _ in range(9):
-            made.store.put(worker("w1"))
-        made.turn()
-        assert all_know(made, *IDS, "w9")
+            fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        assert all_know(fleet, *WORKER_IDS, "w9")
 
-    async def test_a_revision_that_the_store_does_not_have_yet_sends_to_the_list(
-        self, made: Fleet
+    async def test_a_revision_later_than_the_stores_leads_to_a_list(
+        self, fleet: Fleet
     ) -> None:
-        copy = made.store.copy()
-        made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        position = StorePosition(era=1, revision=copy.revision)
-        assert {g.feed.position for g in made.by_name.values()} == {position}
-
-    async def test_returns_follow_one_another(self, made: Fleet) -> None:
-        copy = made.store.copy()
+        backup = fleet.store.back_up()
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        position = StorePosition(era=1, revision=backup.revision)
+        assert {g.feed.position for g in fleet.by_name.values()} == {position}
+
+    async def test_several_restores_in_a_row(self, fleet: Fleet) -> None:
+        backup = fleet.store.back_up()
         for number in range(4):
-            made.store.put(worker(f"x{number}"))
+            fleet.store.put(worker(f"x{number}"))
             if number % 2:
-                made.turn()
-            made.store.return_from(copy)
-        made.store.put(NEW)
-        made.turn()
-        made.pass_time(RECOVERY_GRACE_S)
-        assert all_know(made, *IDS, "w9")
-
-
-class TestLateAnswers:
-    async def test_a_list_of_the_era_before_is_left_aside(self, made: Fleet) -> None:
-        # A slow answer, or one over another connection, comes after the next era's.
-        slow = made.by_name["b"]
-        copy = made.store.copy()
-        made.store.put(NEW)
-        made.store.forget()
+                fleet.run_readers()
+            fleet.store.restore_from(backup)
+        fleet.store.put(NEW)
+        fleet.run_readers()
+        fleet.pass_time(RECOVERY_GRACE_S)
+        assert all_know(fleet, *WORKER_IDS, "w9")
+
+
+class TestLateResponses:
+    async def test_a_list_of_the_earlier_era_is_ignored(self, fleet: Fleet) -> None:
+        # A slow response, or one on another connection, arrives after the next era's.
+        slow = fleet.by_name["b"]
+        backup = fleet.store.back_up()
+        fleet.store.put(NEW)
+        fleet.store.lose_history()
         slow.begin()
-        slow.go_on()
-        made.store.return_from(copy)
-        made.by_name["a"].read()
-        made.deliver("a", "b")
+        slow.resume()
+        fleet.store.restore_from(backup)
+        fleet.by_name["a"].read()
+        fleet.deliver("a", "b")
         known = slow.feed.position
-        slow.go_on()
+        slow.resume()
         assert slow.feed.position == known
         assert slow.workers.get("w9") is None
 
-    async def test_changes_of_the_era_before_are_left_aside(self, made: Fleet) -> None:
-        slow = made.by_name["b"]
-        copy = made.store.copy()
-        made.store.lapse("w1")
+    async def test_changes_of_the_earlier_era_are_ignored(self, fleet: Fleet) -> None:
+        slow = fleet.by_name["b"]
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
         slow.begin()
-        made.store.return_from(copy)
-        made.by_name["a"].read()
-        made.deliver("a", "b")
+        fleet.store.restore_from(backup)
+        fleet.by_name["a"].read()
+        fleet.deliver("a", "b")
         slow.read()
-        assert sorted(slow.workers.ids()) == sorted(IDS)
+        assert sorted(slow.workers.ids()) == sorted(WORKER_IDS)
 
-    async def test_changes_of_this_era_since_a_revision_of_the_last_are_no_changes(
-        self, made: Fleet
+    async def test_changes_since_a_revision_of_the_earlier_era_are_not_applied(
+        self, fleet: Fleet
     ) -> None:
-        # Asked for in the last era, answered in this one, which others told of.
-        slow = made.by_name["b"]
-        copy = made.store.copy()
+        # Requested in the last era, answered in this one, which others have reported.
+        slow = fleet.by_name["b"]
+        backup = fleet.store.back_up()
         for _ in range(3):
-            made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.by_name["a"].read()
+            fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.by_name["a"].read()
         for _ in range(4):
-            made.store.put(worker("w1"))
-        made.store.lapse("w2")
+            fleet.store.put(worker("w1"))
+        fleet.store.expire("w2")
         slow.begin()
-        made.deliver("a", "b")
-        slow.go_on()
-        made.turn()
-        made.pass_time(RECOVERY_GRACE_S)
-        assert all_know(made, "w1", "w3")
-
-    async def test_lost_history_of_the_era_before_is_nothing_of_this_one(
-        self, made: Fleet
+        fleet.deliver("a", "b")
+        slow.resume()
+        fleet.run_readers()
+        fleet.pass_time(RECOVERY_GRACE_S)
+        assert all_know(fleet, "w1", "w3")
+
+    async def test_lost_history_of_the_earlier_era_does_not_affect_the_next(
+        self, fleet: Fleet
     ) -> None:
-        # News of the next era come while a watch of the last is refused: what leaves
-        # or is gone must be held against the list that follows.
-        slow = made.by_name["b"]
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.turn()
-        made.store.return_from(copy)
+        # An update of the next era arrives while a watch of the last one is refused.
+        # Leaving and removed workers must be compared with the list that follows.
+        slow = fleet.by_name["b"]
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
         slow.begin()
         slow.workers.put(worker("w7"))
-        made.by_name["a"].read()
-        made.deliver("a", "b")
+        fleet.by_name["a"].read()
+        fleet.deliver("a", "b")
         assert slow.feed.position == StorePosition(era=1)
-        made.now_s += store_feed.POLL_S
+        fleet.now_s += store_feed.POLL_S
         while slow.reading is not None:
-            slow.go_on()
-        assert slow.feed.position == made.by_name["a"].feed.position
+            slow.resume()
+        assert slow.feed.position == fleet.by_name["a"].feed.position
         assert "w1" not in slow.workers.ids()
 
 
 class TestPeers:
-    async def test_one_that_is_cut_off_goes_on_from_news(self, made: Fleet) -> None:
-        cut_off = made.by_name["d"]
-        made.store.away_from.add("d")
-        copy = made.store.copy()
-        made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.store.put(NEW)
-        made.turn()
-        assert cut_off.workers.get("w9") == NEW
-        assert cut_off.feed.position == made.by_name["a"].feed.position
-
-    async def test_readers_that_are_cut_off_meanwhile_hear_of_it(
-        self, made: Fleet
+    async def test_a_disconnected_gateway_continues_with_updates(
+        self, fleet: Fleet
     ) -> None:
-        # Nobody is told, so the others read by themselves, and list it in turn.
-        made.store.away_from.update(NAMES[:2])
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.by_name["c"].read()
-        made.by_name["d"].read()
-        made.store.return_from(copy)
-        made.store.put(NEW)
+        disconnected = fleet.by_name["d"]
+        fleet.store.unavailable_to.add("d")
+        backup = fleet.store.back_up()
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.store.put(NEW)
+        fleet.run_readers()
+        assert disconnected.workers.get("w9") == NEW
+        assert disconnected.feed.position == fleet.by_name["a"].feed.position
+
+    async def test_disconnected_readers_learn_of_the_restore(
+        self, fleet: Fleet
+    ) -> None:
+        # No gateway is notified, so the others read the store, and list it in turn.
+        fleet.store.unavailable_to.update(NAMES[:2])
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.by_name["c"].read()
+        fleet.by_name["d"].read()
+        fleet.store.restore_from(backup)
+        fleet.store.put(NEW)
         for _ in range(3):
-            made.now_s += store_feed.POLL_S
-            made.by_name["c"].read()
-            made.deliver_all()
-        for gateway in made.by_name.values():
-            gateway.ask_peers()
-        assert {g.workers.get("w9") for g in made.by_name.values()} == {NEW}
-        assert {g.feed.position.era for g in made.by_name.values()} == {1}
-        assert "w1" not in made.by_name["d"].workers.ids()
-
-    async def test_one_that_missed_the_news_asks_its_peers(self, made: Fleet) -> None:
-        late = made.by_name["d"]
-        made.store.away_from.add("d")
-        copy = made.store.copy()
-        made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.store.put(NEW)
+            fleet.now_s += store_feed.POLL_S
+            fleet.by_name["c"].read()
+            fleet.deliver_all()
+        for gateway in fleet.by_name.values():
+            gateway.query_peers()
+        assert {g.workers.get("w9") for g in fleet.by_name.values()} == {NEW}
+        assert {g.feed.position.era for g in fleet.by_name.values()} == {1}
+        assert "w1" not in fleet.by_name["d"].workers.ids()
+
+    async def test_a_gateway_that_missed_updates_queries_peers(
+        self, fleet: Fleet
+    ) -> None:
+        late = fleet.by_name["d"]
+        fleet.store.unavailable_to.add("d")
+        backup = fleet.store.back_up()
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.store.put(NEW)
         for one in ("a", "b"):
-            made.by_name[one].read()
-            made.lose(one, "d")
-        made.deliver_all()
-        late.ask_peers()
+            fleet.by_name[one].read()
+            fleet.lose(one, "d")
+        fleet.deliver_all()
+        late.query_peers()
         assert late.workers.get("w9") == NEW
 
-    async def test_a_later_era_makes_the_own_position_void(self, made: Fleet) -> None:
-        # Its list differs from the one that the news lead on from: it asks no more
-        # for changes since a revision of the era before.
-        late = made.by_name["d"]
+    async def test_a_later_era_invalidates_the_known_position(
+        self, fleet: Fleet
+    ) -> None:
+        # Its list differs from the base of the update. It must no longer request
+        # changes since a revision of the earlier era.
+        late = fleet.by_name["d"]
         late.workers.put(worker("w7"))
-        copy = made.store.copy()
-        made.store.return_from(copy)
-        made.by_name["a"].read()
-        made.deliver("a", "d")
+        backup = fleet.store.back_up()
+        fleet.store.restore_from(backup)
+        fleet.by_name["a"].read()
+        fleet.deliver("a", "d")
         assert late.feed.position == StorePosition(era=1)
-        made.turn()
+        fleet.run_readers()
         late.read()
-        made.pass_time(RECOVERY_GRACE_S)
-        assert all_know(made, *IDS)
-
-    async def test_news_of_an_earlier_era_take_nobody_back(self, made: Fleet) -> None:
-        made.store.return_from(made.store.copy())
-        made.turn()
-        hears = made.by_name["d"]
-        known = hears.feed.position
+        fleet.pass_time(RECOVERY_GRACE_S)
+        assert all_know(fleet, *WORKER_IDS)
+
+    async def test_an_update_of_an_earlier_era_is_ignored(self, fleet: Fleet) -> None:
+        fleet.store.restore_from(fleet.store.back_up())
+        fleet.run_readers()
+        gateway = fleet.by_name["d"]
+        known = gateway.feed.position
         late = StoreNews(base_revision=1, revision=99, removed=["w1"], version=1)
-        assert hears.feed.apply_update(late) is UpdateGap.STALE
-        assert hears.feed.position == known
-        assert "w1" in hears.workers.ids()
+        assert gateway.feed.apply_update(late) is UpdateGap.STALE
+        assert gateway.feed.position == known
+        assert "w1" in gateway.workers.ids()
 
 
 class TestTable:
-    async def test_an_older_one_is_never_in_force_again(self, made: Fleet) -> None:
-        copy = made.store.copy()
-        made.store.publish()
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        assert made.versions() == dict.fromkeys(NAMES, 2)
-        made.store.publish_again()
-        made.store.publish()
-        made.turn()
-        assert made.versions() == dict.fromkeys(NAMES, 3)
-
-    async def test_one_that_starts_after_the_return_takes_the_newer_from_peers(
-        self, made: Fleet
+    async def test_an_older_table_is_never_active_again(self, fleet: Fleet) -> None:
+        backup = fleet.store.back_up()
+        fleet.store.publish()
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
+        fleet.store.publish_again()
+        fleet.store.publish()
+        fleet.run_readers()
+        assert fleet.versions() == dict.fromkeys(NAMES, 3)
+
+    async def test_a_gateway_started_after_the_restore_gets_the_newer_table_from_peers(
+        self, fleet: Fleet
     ) -> None:
-        # The copy has a key that was revoked, and the operator has not written again.
-        copy = made.store.copy()
-        made.store.publish()
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.start_again("d")
-        made.by_name["d"].read()
-        assert made.versions() == dict.fromkeys(NAMES, 2)
-
-    async def test_one_that_a_reader_names_is_asked_of_peers(self, made: Fleet) -> None:
-        # It lost the news that told the table; the store has it no more.
-        copy = made.store.copy()
-        made.store.publish()
-        made.by_name["a"].read()
+        # The backup has a key that was revoked; the operator has not written again.
+        backup = fleet.store.back_up()
+        fleet.store.publish()
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.restart("d")
+        fleet.by_name["d"].read()
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
+
+    async def test_a_table_announced_by_a_reader_is_requested_from_peers(
+        self, fleet: Fleet
+    ) -> None:
+        # The update with the table was lost, and the store no longer has the table.
+        backup = fleet.store.back_up()
+        fleet.store.publish()
+        fleet.by_name["a"].read()
         for other in "bcd":
-            made.lose("a", other)
-        made.store.return_from(copy)
-        made.turn()
+            fleet.lose("a", other)
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
         for name in "bcd":
-            made.by_name[name].read()
-        assert made.versions() == dict.fromkeys(NAMES, 2)
+            fleet.by_name[name].read()
+        assert fleet.versions() == dict.fromkeys(NAMES, 2)
 
 
 class TestWorkers:
-    async def test_one_that_came_in_the_lost_seconds_has_time_to_write_again(
-        self, made: Fleet
+    async def test_a_worker_added_since_the_backup_has_time_to_write_again(
+        self, fleet: Fleet
     ) -> None:
-        copy = made.store.copy()
-        made.store.put(NEW)
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.pass_time(RECOVERY_GRACE_S - store_feed.POLL_S - 0.1)
-        assert all_know(made, *IDS, "w9")
-        made.store.put(NEW)
-        made.turn()
-        made.pass_time(RECOVERY_GRACE_S)
-        assert all_know(made, *IDS, "w9")
-
-    async def test_one_that_does_not_write_again_is_gone_then(
-        self, made: Fleet
+        backup = fleet.store.back_up()
+        fleet.store.put(NEW)
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.pass_time(RECOVERY_GRACE_S - store_feed.POLL_S - 0.1)
+        assert all_know(fleet, *WORKER_IDS, "w9")
+        fleet.store.put(NEW)
+        fleet.run_readers()
+        fleet.pass_time(RECOVERY_GRACE_S)
+        assert all_know(fleet, *WORKER_IDS, "w9")
+
+    async def test_a_worker_that_does_not_write_again_is_removed(
+        self, fleet: Fleet
     ) -> None:
-        copy = made.store.copy()
-        made.store.put(NEW)
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.pass_time(RECOVERY_GRACE_S)
-        assert all_know(made, *IDS)
-
-    async def test_one_that_leaves_is_not_used_again(self, made: Fleet) -> None:
-        copy = made.store.copy()
-        made.leave("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        assert entries(made, "w1") == {replace(worker("w1"), is_leaving=True)}
-
-    async def test_one_that_is_gone_is_not_used_again(self, made: Fleet) -> None:
-        # It serves on for a while after its entry was removed, as some do.
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.store.put(worker("w2"))
-        made.turn()
-        assert all_know(made, "w2", "w3")
+        backup = fleet.store.back_up()
+        fleet.store.put(NEW)
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.pass_time(RECOVERY_GRACE_S)
+        assert all_know(fleet, *WORKER_IDS)
+
+    async def test_a_leaving_worker_is_not_used_again(self, fleet: Fleet) -> None:
+        backup = fleet.store.back_up()
+        fleet.leave("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        assert entries(fleet, "w1") == {replace(worker("w1"), is_leaving=True)}
+
+    async def test_a_removed_worker_is_not_used_again(self, fleet: Fleet) -> None:
+        # It keeps serving for a while after its entry was removed, as some workers do.
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.store.put(worker("w2"))
+        fleet.run_readers()
+        assert all_know(fleet, "w2", "w3")
 
     @pytest.mark.parametrize("is_gone", [True, False])
-    async def test_one_that_writes_again_is_used_again(
-        self, made: Fleet, *, is_gone: bool
+    async def test_a_worker_that_writes_again_is_used_again(
+        self, fleet: Fleet, *, is_gone: bool
     ) -> None:
-        copy = made.store.copy()
+        backup = fleet.store.back_up()
         if is_gone:
-            made.store.lapse("w1")
+            fleet.store.expire("w1")
         else:
-            made.leave("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.store.put(worker("w1"))
-        made.turn()
-        assert entries(made, "w1") == {worker("w1")}
-
-    async def test_one_that_nobody_says_wrote_again_is_used_once_its_entry_stands(
-        self, made: Fleet
+            fleet.leave("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        assert entries(fleet, "w1") == {worker("w1")}
+
+    async def test_a_worker_without_reported_write_is_used_once_its_entry_stays_listed(
+        self, fleet: Fleet
     ) -> None:
-        # Both readers have started since the return and know nothing against it.
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
+        # Both readers have restarted since the restore and have no other knowledge.
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
         for name in ("a", "b"):
-            made.start_again(name)
-            made.by_name[name].members = []
-            made.by_name[name].read()
-            made.by_name[name].members = list(GROUP)
-        made.store.put(worker("w1"))
-        made.turn()
-        made.pass_time(CONFIRM_TIMEOUT_S)
-        made.turn()
-        assert all_know(made, *IDS)
-
-    async def test_one_that_began_to_leave_since_the_return_is_not_used(
-        self, made: Fleet
+            fleet.restart(name)
+            fleet.by_name[name].members = []
+            fleet.by_name[name].read()
+            fleet.by_name[name].members = list(GROUP)
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.pass_time(CONFIRM_TIMEOUT_S)
+        fleet.run_readers()
+        assert all_know(fleet, *WORKER_IDS)
+
+    async def test_a_worker_that_leaves_after_the_restore_is_not_used(
+        self, fleet: Fleet
     ) -> None:
-        made.store.return_from(made.store.copy())
-        made.leave("w1")
-        made.turn()
-        assert entries(made, "w1") == {replace(worker("w1"), is_leaving=True)}
+        fleet.store.restore_from(fleet.store.back_up())
+        fleet.leave("w1")
+        fleet.run_readers()
+        assert entries(fleet, "w1") == {replace(worker("w1"), is_leaving=True)}
 
-    async def test_a_new_start_under_the_id_of_one_that_is_gone_is_used(
-        self, made: Fleet
+    async def test_a_restart_under_the_id_of_a_removed_worker_is_used(
+        self, fleet: Fleet
     ) -> None:
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.turn()
-        made.store.return_from(copy)
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
         again = replace(worker("w1"), born_ms=7)
-        made.store.put(again)
-        made.turn()
-        assert entries(made, "w1") == {again}
+        fleet.store.put(again)
+        fleet.run_readers()
+        assert entries(fleet, "w1") == {again}
 
-    async def test_one_whose_address_another_has_by_now_is_not_used(
-        self, made: Fleet
+    async def test_a_worker_whose_address_was_reused_is_not_used(
+        self, fleet: Fleet
     ) -> None:
-        # Nothing is known here of the first: its end was longer ago than all starts.
+        # The gateways do not know the first worker: it exited before they started.
         first = worker("w8")
-        made.store.put(first)
-        copy = made.store.copy()
-        made.store.lapse("w8")
+        fleet.store.put(first)
+        backup = fleet.store.back_up()
+        fleet.store.expire("w8")
         second = replace(NEW, address=first.address)
-        made.store.put(second)
+        fleet.store.put(second)
         for name in NAMES:
-            made.start_again(name)
-        made.start()
-        made.store.return_from(copy)
-        made.turn()
-        assert entries(made, "w8") == {None}
-        assert entries(made, "w9") == {second}
-
-    async def test_one_whose_entry_another_writer_had_overwritten_stays(
-        self, made: Fleet
+            fleet.restart(name)
+        fleet.start()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        assert entries(fleet, "w8") == {None}
+        assert entries(fleet, "w9") == {second}
+
+    async def test_a_worker_whose_entry_was_overwritten_in_the_backup_stays(
+        self, fleet: Fleet
     ) -> None:
-        # The copy was made between that and the worker's next heartbeat.
-        made.store.spoil("w1")
-        copy = made.store.copy()
-        made.store.put(worker("w1"))
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        assert all_know(made, *IDS)
-
-    async def test_one_that_starts_after_the_return_hears_who_is_gone(
-        self, made: Fleet
+        # The backup was made between that write and the worker's next heartbeat.
+        fleet.store.overwrite("w1")
+        backup = fleet.store.back_up()
+        fleet.store.put(worker("w1"))
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        assert all_know(fleet, *WORKER_IDS)
+
+    async def test_a_gateway_started_after_the_restore_learns_of_removed_workers(
+        self, fleet: Fleet
     ) -> None:
-        copy = made.store.copy()
-        made.store.lapse("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        made.start_again("d")
-        made.by_name["d"].read()
-        made.turn()
-        assert all_know(made, "w2", "w3")
-        assert not made.by_name["d"].readers.must_read()
+        backup = fleet.store.back_up()
+        fleet.store.expire("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        fleet.restart("d")
+        fleet.by_name["d"].read()
+        fleet.run_readers()
+        assert all_know(fleet, "w2", "w3")
+        assert not fleet.by_name["d"].readers.must_read()
 
 
 class TestLog:
-    async def test_one_line_tells_what_is_held_against_the_copy(
-        self, made: Fleet
-    ) -> None:
-        copy = made.store.copy()
-        made.store.put(NEW)
-        made.leave("w1")
-        made.turn()
-        made.store.return_from(copy)
-        made.turn()
-        for gateway in made.by_name.values():
+    async def test_one_record_names_the_ignored_entries(self, fleet: Fleet) -> None:
+        backup = fleet.store.back_up()
+        fleet.store.put(NEW)
+        fleet.leave("w1")
+        fleet.run_readers()
+        fleet.store.restore_from(backup)
+        fleet.run_readers()
+        for gateway in fleet.by_name.values():
             (line,) = [
                 record.decision
-                for record in gateway.notes.recent()
+                for record in gateway.records.recent()
                 if record.decision.event is Event.STORE_RETURNED
             ]
             assert line.detail == "0/3 to 1/1; ignored until written again: w1"
