--- a/src/trefoilpaddle/coordination/published/store_readers.py
+++ b/src/trefoilpaddle/coordination/published/store_readers.py
@@ -27,10 +27,10 @@
 
 MAX_REGION_GROUP_SIZE: Final = 96
 """Largest number of gateways of a region that form one group.
+
 In a larger region each failure domain is a group. Each group adds the cost of its own
 readers. A reader notifies all others of its group 1.7 times a second; in a larger group
 it would send more than a host may send for control traffic.
-would send more than a host may send for control traffic.
 """
 
 UPDATE_TIMEOUT_S: Final = 0.8
