--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -12,7 +12,6 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.bearable_waits import TolerableWaits
 from ...state.chain.chain_work import (
     ChainCompleted,
     ChainFailed,
@@ -22,6 +21,7 @@
 )
 from ...state.chain.refused_chains import RefusedChains
 from ...state.chain.repeat_budget import RepeatBudgets
+from ...state.chain.tolerable_waits import TolerableWaits
 from ...state.journal import Decision, Event, Figure, Journal
 from .admission import Reservations, allowed_s, forecast_s, least_s
 from .cell_dispatch import CellDispatch
--- a/src/trefoilpaddle/coordination/chain/crash_guard.py
+++ b/src/trefoilpaddle/coordination/chain/crash_guard.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 from ...protocol.reasons import Reason
-from ...state.chain.apart_runs import IsolatedRun, IsolatedRuns
-from ...state.chain.crash_book import Crash, CrashRegistry, CrashStatus
-from ...state.chain.end_rate import ExitRate
+from ...state.chain.crash_registry import Crash, CrashRegistry, CrashStatus
+from ...state.chain.exit_rate import ExitRate
+from ...state.chain.isolated_runs import IsolatedRun, IsolatedRuns
 from ...state.chain.piece_work import PieceWork
 from ...state.chain.requests import Refused
 from ...state.chain.worker_runs import RunOutcome, UnansweredRun
--- a/src/trefoilpaddle/coordination/chain/crash_relay.py
+++ b/src/trefoilpaddle/coordination/chain/crash_relay.py
@@ -15,9 +15,9 @@
     SuspectRun,
     WorkerCrash,
 )
-from ...state.chain.apart_runs import IsolatedRun
-from ...state.chain.crash_book import Crash, CrashRegistry
+from ...state.chain.crash_registry import Crash, CrashRegistry
 from ...state.chain.fingerprint import is_fingerprint
+from ...state.chain.isolated_runs import IsolatedRun
 from ...transport.connection import Address, Connection
 from ...transport.link import Link
 from ..own_process import OwnProcess
--- a/src/trefoilpaddle/state/chain/call_sharing.py
+++ b/src/trefoilpaddle/state/chain/call_sharing.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from .crash_book import CrashStatus
+from .crash_registry import CrashStatus
 from .piece_work import PieceWork
 
 MAX_WATCHED: Final = 8
--- a/src/trefoilpaddle/state/chain/known_worker.py
+++ b/src/trefoilpaddle/state/chain/known_worker.py
@@ -199,4 +199,4 @@
         self._is_proven = True
         self._busy_until_s = max(self._busy_until_s, now_s + handover.busy_s)
         self.times.take_over(handover.ratio, handover.busy_per_s)
-        self.memory.take_over(handover.held, now_s)
+        self.memory.take_over_results(handover.held, now_s)
--- a/src/trefoilpaddle/state/chain/piece_queue.py
+++ b/src/trefoilpaddle/state/chain/piece_queue.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .crash_book import CrashStatus
+from .crash_registry import CrashStatus
 from .piece_work import PieceFault, PieceWork
 
 MayShare = Callable[[PieceWork], bool]
--- a/src/trefoilpaddle/state/chain/result_memory.py
+++ b/src/trefoilpaddle/state/chain/result_memory.py
@@ -198,7 +198,7 @@
             for handle, kept in self._kept.items()
         )
 
-    def take_over(self, held: Iterable[HeldResult], now_s: float) -> None:
+    def take_over_results(self, held: Iterable[HeldResult], now_s: float) -> None:
         """Count what another scheduler has had made."""
         for each in held:
             self._put(each.handle, each.n_bytes, now_s + each.expires_in_s)
--- a/tests/chain/__main__.py
+++ b/tests/chain/__main__.py
@@ -24,7 +24,7 @@
 )
 from trefoilpaddle.replay.fleet_measure import numbers_of
 from trefoilpaddle.state.chain import known_worker
-from trefoilpaddle.state.chain.bearable_waits import TolerableWaits
+from trefoilpaddle.state.chain.tolerable_waits import TolerableWaits
 
 from ..published.store_costs import print_costs
 from .cell_loads import BUSY_DAY, TIGHT_DAY, UNEVEN_DAY, Load
--- a/tests/chain/crash_fleet.py
+++ b/tests/chain/crash_fleet.py
@@ -11,7 +11,7 @@
 from trefoilpaddle.coordination.chain.crash_relay import CrashRelay
 from trefoilpaddle.coordination.members.overlay import neighbours
 from trefoilpaddle.protocol.frames import Message, decode, encode
-from trefoilpaddle.state.chain.crash_book import CrashRegistry, CrashStatus
+from trefoilpaddle.state.chain.crash_registry import CrashRegistry, CrashStatus
 from trefoilpaddle.state.chain.worker_runs import RunOutcome
 from trefoilpaddle.state.chain.workers import WorkerTable
 from trefoilpaddle.transport.connection import Address
--- a/tests/chain/fakes.py
+++ b/tests/chain/fakes.py
@@ -18,7 +18,7 @@
     TargetCalls,
 )
 from trefoilpaddle.roles.process import Identity, Process
-from trefoilpaddle.state.chain.crash_book import CrashRegistry
+from trefoilpaddle.state.chain.crash_registry import CrashRegistry
 from trefoilpaddle.state.chain.piece_work import PieceOutcome, PieceResult, PieceWork
 from trefoilpaddle.state.chain.repeat_budget import RepeatBudgets
 from trefoilpaddle.state.chain.requests import CallerRequest
--- a/tests/chain/test_attempts.py
+++ b/tests/chain/test_attempts.py
@@ -10,9 +10,9 @@
 from trefoilpaddle.coordination.chain.job import Job
 from trefoilpaddle.coordination.chain.worker_choice import Need, WorkerChoice
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.chain.apart_runs import IsolatedRun
-from trefoilpaddle.state.chain.crash_book import Crash
+from trefoilpaddle.state.chain.crash_registry import Crash
 from trefoilpaddle.state.chain.delivery import Delivery
+from trefoilpaddle.state.chain.isolated_runs import IsolatedRun
 from trefoilpaddle.state.chain.requests import Answered, Failed, Refused
 from trefoilpaddle.state.chain.routes import Account, RepeatPolicy, Route
 from trefoilpaddle.state.chain.target_answers import AnswerHead, CallFault
--- a/tests/chain/test_busy_cell.py
+++ b/tests/chain/test_busy_cell.py
@@ -21,8 +21,8 @@
     WAIT_SHARE,
     OverdueQueue,
 )
-from trefoilpaddle.state.chain.bearable_waits import ROUTE_EXPIRY_S, TolerableWaits
 from trefoilpaddle.state.chain.chain_work import ChainWork
+from trefoilpaddle.state.chain.tolerable_waits import ROUTE_EXPIRY_S, TolerableWaits
 
 from .__main__ import worth_in_time
 from .cell_loads import BUSY_DAY, TIGHT_DAY, Load
--- a/tests/chain/test_call_sharing.py
+++ b/tests/chain/test_call_sharing.py
@@ -1,7 +1,7 @@
 """Which pieces share a call once workers have crashed under some of them."""
 
 from trefoilpaddle.state.chain.call_sharing import MAX_WATCHED, CallSharing
-from trefoilpaddle.state.chain.crash_book import CrashStatus
+from trefoilpaddle.state.chain.crash_registry import CrashStatus
 from trefoilpaddle.state.chain.piece_work import PieceWork
 
 from .test_piece_queue import piece
--- a/tests/chain/test_crash_guard.py
+++ b/tests/chain/test_crash_guard.py
@@ -9,8 +9,8 @@
 from result import Ok
 
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.chain.crash_book import Crash, CrashStatus
-from trefoilpaddle.state.chain.end_rate import MAX_ATTRIBUTED_EXITS
+from trefoilpaddle.state.chain.crash_registry import Crash, CrashStatus
+from trefoilpaddle.state.chain.exit_rate import MAX_ATTRIBUTED_EXITS
 from trefoilpaddle.state.chain.piece_work import PieceFault, PieceOutcome, PieceResult
 from trefoilpaddle.state.chain.worker_runs import RunOutcome
 from trefoilpaddle.state.journal import Event
--- a/tests/chain/test_crash_book.py
+++ b/tests/chain/test_crash_registry.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from trefoilpaddle.state.chain import crash_book
-from trefoilpaddle.state.chain.crash_book import Crash, CrashRegistry, CrashStatus
+from trefoilpaddle.state.chain import crash_registry
+from trefoilpaddle.state.chain.crash_registry import Crash, CrashRegistry, CrashStatus
 
 ACCOUNT: Final = "0" * 8
 OTHER: Final = "1" * 8
@@ -86,31 +86,34 @@
 
     def test_two_tries_at_most_follow_a_block(self) -> None:
         # Later than its third crash a request may reach three workers, in all.
-        assert noted(5, ago=crash_book.RETENTION_S / 2).status(name(0)) is (
+        assert noted(5, ago=crash_registry.RETENTION_S / 2).status(name(0)) is (
             CrashStatus.BLOCKED
         )
 
     def test_what_was_long_ago_is_forgotten(self) -> None:
-        assert noted(3, ago=crash_book.RETENTION_S).status(name(0)) is CrashStatus.CLEAR
+        assert (
+            noted(3, ago=crash_registry.RETENTION_S).status(name(0))
+            is CrashStatus.CLEAR
+        )
 
 
 class TestBounds:
     def test_made_up_bodies_do_not_push_out_what_is_suspect(self) -> None:
         book = noted(2)
-        for number in range(1, 2 * crash_book.MAX_REQUESTS_PER_ACCOUNT):
+        for number in range(1, 2 * crash_registry.MAX_REQUESTS_PER_ACCOUNT):
             book.record(name(number), crash("w0"))
-        assert len(book) == crash_book.MAX_REQUESTS_PER_ACCOUNT
+        assert len(book) == crash_registry.MAX_REQUESTS_PER_ACCOUNT
         assert book.status(name(0)) is CrashStatus.SUSPECT
 
     def test_made_up_bodies_take_no_place_of_another_account(self) -> None:
         book = CrashRegistry()
         book.record(name(0, OTHER), crash("w0"))
-        for number in range(crash_book.MAX_REQUESTS + 1):
+        for number in range(crash_registry.MAX_REQUESTS + 1):
             account = f"{2 + number % 12:08x}"
             book.record(name(number, account), crash("w0"))
-        assert len(book) <= crash_book.MAX_REQUESTS
+        assert len(book) <= crash_registry.MAX_REQUESTS
         assert book.status(name(0, OTHER)) is CrashStatus.WATCHED
 
     def test_one_request_keeps_few_crashes(self) -> None:
-        book = noted(3 * crash_book.MAX_LEVEL)
-        assert len(book.crashes(name(0))) == crash_book.MAX_LEVEL
+        book = noted(3 * crash_registry.MAX_LEVEL)
+        assert len(book.crashes(name(0))) == crash_registry.MAX_LEVEL
--- a/tests/chain/test_apart_runs.py
+++ b/tests/chain/test_isolated_runs.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from trefoilpaddle.state.chain.apart_runs import IsolatedRun, IsolatedRuns
+from trefoilpaddle.state.chain.isolated_runs import IsolatedRun, IsolatedRuns
 
 RUN = IsolatedRun(run_id=1, fingerprint="f" * 32, worker_id="w")
 OVER = replace(RUN, isolation_s=0.0)
--- a/tests/chain/test_service_dispatch.py
+++ b/tests/chain/test_service_dispatch.py
@@ -10,7 +10,7 @@
 from trefoilpaddle.coordination.chain.dispatch_look import DispatchLook
 from trefoilpaddle.coordination.chain.service_dispatch import ServiceDispatch
 from trefoilpaddle.coordination.chain.worker_caller import WorkerCaller
-from trefoilpaddle.state.chain.crash_book import Crash
+from trefoilpaddle.state.chain.crash_registry import Crash
 from trefoilpaddle.state.chain.known_worker import KnownWorker
 from trefoilpaddle.state.chain.piece_work import PieceWork
 from trefoilpaddle.state.chain.workers import WorkerTable
--- a/tests/chain/test_worker_caller.py
+++ b/tests/chain/test_worker_caller.py
@@ -153,7 +153,9 @@
 
     def test_what_the_scheduler_before_had_made_counts(self) -> None:
         memory = self.memory()
-        memory.take_over([HeldResult(handle="a", n_bytes=4, expires_in_s=1.0)], NOW_S)
+        memory.take_over_results(
+            [HeldResult(handle="a", n_bytes=4, expires_in_s=1.0)], NOW_S
+        )
         assert memory.free_bytes(NOW_S) == 6
         assert memory.free_bytes(NOW_S + 1.1) == 10
 
