--- a/src/trefoilpaddle/coordination/chain/chain_router.py
+++ b/src/trefoilpaddle/coordination/chain/chain_router.py
@@ -13,8 +13,8 @@
 from ...protocol.reasons import Reason
 from ...state.chain.cells import Cell
 from ...state.chain.chain_work import (
-    ChainEnd,
     ChainFailed,
+    ChainOutcome,
     ChainWork,
 )
 from ...state.chain.repeat_budget import RepeatBudgets
@@ -104,7 +104,7 @@
         """Take for stage workers those that `table` has make pieces."""
         self._cells.activate(table)
 
-    async def run(self, work: ChainWork, place: SchedulerEndpoint) -> ChainEnd:
+    async def run(self, work: ChainWork, place: SchedulerEndpoint) -> ChainOutcome:
         """Run a chain at one place."""
         if place.link is None:
             return await self._schedulers.run(place.cell, work)
@@ -164,7 +164,9 @@
     def may_repeat(self, services: set[str]) -> bool:
         """Take a repeat of each service; return False if one has none left."""
         now_s = time.monotonic()
-        return all(self._budgets.of(service).spend(now_s) for service in services)
+        return all(
+            self._budgets.for_service(service).spend(now_s) for service in services
+        )
 
     def record_refusal(self, place: SchedulerEndpoint, finish_s: float) -> None:
         """Remember that a cell was full."""
