--- /dev/null
+++ b/src/trefoilpaddle/coordination/published/active_table.py
@@ -0,0 +1,104 @@
+"""The active route table of a gateway, and how newer versions replace it."""
+
+from collections.abc import Callable
+
+from ...protocol.gen.chain.ttypes import StoreNews, TableChange
+from .published_store import PublishedTable
+from .store_journal import StoreJournal
+from .store_relay import StoreRelay
+from .table_change import apply_change, change_between
+
+
+class ActiveTable:
+    """Activates each newer table: read from the store, or received from a peer.
+
+    A peer sends a table in full, or as the difference from the previous one.
+
+    Parameters
+    ----------
+    on_table : callable
+        Called with each route table that is newer than the previous one.
+    decode : callable
+        Returns the table that bytes from a peer contain, or None if undecodable.
+    relay : StoreRelay
+        Holds the newest table for peers.
+    store_journal : StoreJournal
+        Holds the version of the active table.
+    """
+
+    __slots__ = (
+        "_decode",
+        "_named_version",
+        "_on_table",
+        "_relay",
+        "_store_journal",
+        "_unreadable_version",
+    )
+
+    def __init__(
+        self,
+        *,
+        on_table: Callable[[PublishedTable], None],
+        decode: Callable[[bytes], PublishedTable | None],
+        relay: StoreRelay,
+        store_journal: StoreJournal,
+    ) -> None:
+        self._on_table = on_table
+        self._decode = decode
+        self._relay = relay
+        self._store_journal = store_journal
+        self._unreadable_version = 0
+        self._named_version = 0
+
+    @property
+    def is_behind(self) -> bool:
+        """True if a reader has announced a newer table than the active one.
+
+        A store that was restored from a backup may not have that table.
+        """
+        return self._named_version > max(
+            self._store_journal.version, self._unreadable_version
+        )
+
+    def apply_if_newer(self, published: PublishedTable | None) -> bool:
+        """Activate a table if it is newer than the active one; return whether it is."""
+        # A late response of the store, or a peer that lags behind, may contain an
+        # older version. Applying it would restore routes and keys that were removed.
+        if published is None or published.table.version <= self._store_journal.version:
+            return False
+        self._store_journal.version = published.table.version
+        self._relay.published = published
+        self._store_journal.record_active_table()
+        self._on_table(published)
+        return True
+
+    def apply_data(self, data: bytes) -> None:
+        """Activate a table that a peer has sent in full, if it is newer."""
+        self.apply_if_newer(self._decode(data))
+
+    def apply_update(self, update: StoreNews) -> bool:
+        """Activate the table of an update; return False if it is still missing."""
+        self._named_version = max(self._named_version, update.version)
+        if update.version <= max(self._store_journal.version, self._unreadable_version):
+            return True
+        base = self._relay.published
+        if update.table is None or base is None:
+            return False
+        data = apply_change(base, update.table)
+        if data is None:
+            return False
+        published = self._decode(data)
+        if published is not None:
+            return self.apply_if_newer(published)
+        # These are the published bytes, and the store has no others. If they were
+        # requested after each update that names this version, the store would be read
+        # three times a second.
+        self._unreadable_version = update.version
+        return True
+
+    def change_since(self, base: PublishedTable | None) -> TableChange | None:
+        """Return the change from `base` to the newest table, if that is newer."""
+        newest = self._relay.published
+        if base is None or newest is None or newest is base:
+            return None
+        return change_between(base, newest)
