--- a/src/trefoilpaddle/coordination/requests/walk.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -1,4 +1,4 @@
-"""The walk of one request through its pipeline's stages under one deadline."""
+"""Runs one request through the stages of its pipeline under one deadline."""
 
 import time
 from collections.abc import Callable
@@ -27,26 +27,26 @@
 )
 from ..targets.stage_work import Sink, StageAnswer, StageWork
 from .prediction import Predictor
-from .request import Answer, Refusal, Request, whole_request_error
+from .request import Answer, Refusal, Request, to_request_error
 from .request_decisions import stage_decision
 from .retries import StageRunner
 
 
-class Walker:
-    """Walks requests through their stages.
+class PipelineRunner:
+    """Runs requests through the stages of their pipelines.
 
     Parameters
     ----------
     published : Published
-        Holds the services in force.
+        Holds the active services.
     runner : StageRunner
         Runs one stage.
     predictor : Predictor
-        Predicts what stages take and learns from each answer.
+        Predicts the duration of stages and learns from each answer.
     policy : PolicySettings
-        Which policies are on.
+        States which policies are enabled.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     """
 
     __slots__ = ("_journal", "_policy", "_predictor", "_published", "_runner")
@@ -69,25 +69,26 @@
     async def run(
         self, request: Request, *, spent: Spent, sink: Sink | None
     ) -> Result[Answer, Refusal]:
-        """Run all stages and return the last one's output, or how it ended.
+        """Run all stages; return the output of the last one, or a refusal.
 
         Parameters
         ----------
         request : Request
-            What to run.
+            The request to run.
         spent : Spent
-            Kept up to date while it runs, also when it is cancelled.
+            Account of what the request uses; kept up to date while it runs, also
+            when it is cancelled.
         sink : Sink, optional
-            Takes the last stage's answer as it comes, if that stage streams.
+            Takes the last stage's answer as it arrives, if that stage streams.
         """
         material = Material(input=request.input)
         stages = request.pipeline.stages
         output: Json = None
-        with self._predictor.under_way(request) as arrivals:
+        with self._predictor.track_upcoming(request) as arrivals:
             for index, stage in enumerate(stages):
                 is_last = index == len(stages) - 1
                 stage_sink = sink if is_last and stage.streams else None
-                arrivals.next()
+                arrivals.mark_arrived()
                 match await self._stage(request, index, material, spent, stage_sink):
                     case Err(error):
                         return Err(self._refusal(error, stage, spent))
@@ -115,7 +116,7 @@
                 return Err(late)
         work = self._work(request, index, service, material, is_streamed=bool(sink))
         if request.key and not stage.idempotent:
-            work = replace(work, on_late=self._giver_up(stage, spent))
+            work = replace(work, on_late=self._late_callback(stage, spent))
         match await self._runner.run(work, spent=spent, sink=sink):
             case Err(error):
                 self._record_failure(work, error)
@@ -148,12 +149,12 @@
         stage = request.pipeline.stages[index]
         body, prefixes = self._body(request, stage, service, material)
         size = WorkSize(n_bytes=len(body), n_tokens=stage.max_tokens)
-        estimate = self._predictor.of_body(stage)
+        estimate = self._predictor.body_estimate(stage)
         high_s = estimate.high_s(size)
         now_s = time.monotonic()
         budget_s = stage_budget_s(
             left_s=request.deadline_s - now_s,
-            predicted_s=[high_s, *self._predictor.later_s(request, index)],
+            predicted_s=[high_s, *self._predictor.later_stages_s(request, index)],
             is_split=self._policy.split_deadline,
         )
         return StageWork(
@@ -209,15 +210,17 @@
             stage_decision(Event.STAGE_FAILED, work, error=error, figures=figures)
         )
 
-    def _giver_up(self, stage: Stage, spent: Spent) -> Callable[[StageError], None]:
-        def give_up(error: StageError) -> None:
+    def _late_callback(
+        self, stage: Stage, spent: Spent
+    ) -> Callable[[StageError], None]:
+        def on_late(error: StageError) -> None:
             spent.give_up(self._refusal(error, stage, spent))
 
-        return give_up
+        return on_late
 
     def _refusal(self, error: StageError, stage: Stage, spent: Spent) -> Refusal:
         return Refusal(
-            error=whole_request_error(error, has_started=spent.has_started),
+            error=to_request_error(error, has_started=spent.has_started),
             stage=stage.name,
             cost_s=spent.cost_s,
             is_retry_safe=not spent.has_started_once_only,
@@ -233,7 +236,7 @@
 
 
 def _past_deadline(request: Request) -> NotRun | None:
-    """Return why no further stage is begun once the deadline has passed."""
+    """Return why no further stage is started if the deadline has passed."""
     if time.monotonic() < request.deadline_s:
         return None
     return NotRun(
