--- a/src/trefoilpaddle/coordination/requests/pipeline_run.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -16,7 +16,7 @@
 from ...state.prefix import prefix_hashes
 from ...state.published import Published
 from ...state.settings import PolicySettings
-from ..claims.spent import Spent
+from ..claims.request_usage import RequestUsage
 from ..targets.stage_body import (
     Json,
     Material,
@@ -67,7 +67,7 @@
         self._journal = journal
 
     async def run(
-        self, request: Request, *, spent: Spent, sink: Sink | None
+        self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
         """Run all stages; return the output of the last one, or a refusal.
 
@@ -75,7 +75,7 @@
         ----------
         request : Request
             The request to run.
-        spent : Spent
+        spent : RequestUsage
             Account of what the request uses; kept up to date while it runs, also
             when it is cancelled.
         sink : Sink, optional
@@ -101,7 +101,7 @@
         request: Request,
         index: int,
         material: Material,
-        spent: Spent,
+        spent: RequestUsage,
         sink: Sink | None,
     ) -> Result[Json, StageError]:
         stage = request.pipeline.stages[index]
@@ -211,14 +211,14 @@
         )
 
     def _late_callback(
-        self, stage: Stage, spent: Spent
+        self, stage: Stage, spent: RequestUsage
     ) -> Callable[[StageError], None]:
         def on_late(error: StageError) -> None:
-            spent.give_up(self._refusal(error, stage, spent))
+            spent.answer_early(self._refusal(error, stage, spent))
 
         return on_late
 
-    def _refusal(self, error: StageError, stage: Stage, spent: Spent) -> Refusal:
+    def _refusal(self, error: StageError, stage: Stage, spent: RequestUsage) -> Refusal:
         return Refusal(
             error=to_request_error(error, has_started=spent.has_started),
             stage=stage.name,
