--- a/src/trefoilpaddle/coordination/chain/chain_scheduler.py
+++ b/src/trefoilpaddle/coordination/chain/chain_scheduler.py
@@ -185,7 +185,10 @@
         Not of one of which the scheduler before has made a part.
         """
         left_s = work.deadline_s - now_s
-        return not work.completed_pieces and unloaded_duration_s(work, self.dispatch) > left_s
+        return (
+            not work.completed_pieces
+            and unloaded_duration_s(work, self.dispatch) > left_s
+        )
 
     async def _execute(self, work: ChainWork) -> ChainOutcome:
         execution = ChainExecution(
