--- a/src/trefoilpaddle/coordination/chain/fleet.py
+++ b/src/trefoilpaddle/coordination/chain/fleet.py
@@ -10,7 +10,7 @@
 from ...transport.connection import Address
 from ..members.duty_rank import duty_rank
 from ..members.membership import Membership
-from ..members.watch_peers import PeerWatch
+from ..members.peer_monitor import PeerMonitor
 from ..own_process import OwnProcess
 
 MEET_S: Final = 0.1
@@ -55,7 +55,7 @@
 
     def __init__(self, *, process: OwnProcess, seeds: tuple[str, ...]) -> None:
         self.membership = Membership(process=process, seeds=seeds)
-        self._watch = PeerWatch(
+        self._watch = PeerMonitor(
             process=process, membership=self.membership, is_wanted=_never
         )
         self._most = MIN_SHARING_GATEWAYS
@@ -81,7 +81,7 @@
 
     def _known_s(self, member: MemberRecord) -> float:
         """Return since when a gateway is known as it is; this one from its start."""
-        return self.membership.since_s.get(member.process_id, self._began_s)
+        return self.membership.last_change_s.get(member.process_id, self._began_s)
 
     def live(self) -> Sequence[MemberRecord]:
         """Return the live gateways, this one included."""
@@ -104,10 +104,10 @@
                 group.create_task(work)
                 for work in (
                     self._watch.run(),
-                    self.membership.flood_news(),
+                    self.membership.flood_updates(),
                     self.membership.compare_new_links(),
-                    self.membership.compare_rounds(),
-                    self.membership.watch_stop(),
+                    self.membership.compare_periodically(),
+                    self.membership.announce_planned_stop(),
                     self._meet_first(),
                 )
             ]
@@ -125,14 +125,14 @@
         """
         while len(self.membership.live()) < 2:
             # One that is dark must not hold up those that are there.
-            strangers = self.membership.strangers()
-            await asyncio.gather(*map(self._meet, strangers))
+            addresses = self.membership.unknown_addresses()
+            await asyncio.gather(*map(self._meet, addresses))
             await asyncio.sleep(MEET_S)
 
     async def _meet(self, address: str) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(MEET_TIMEOUT_S):
-                await self.membership.meet(address)
+                await self.membership.exchange_at(address)
 
 
 def _never(address: Address) -> bool:
--- a/src/trefoilpaddle/coordination/configuration/config_feed.py
+++ b/src/trefoilpaddle/coordination/configuration/config_feed.py
@@ -10,15 +10,15 @@
 from ...transport.platform_http import PlatformClient, platform_client
 from ..members.directory import LiveDirectory
 from ..members.membership import Membership
-from ..members.wake import WakeWatch
-from ..members.watch_peers import PeerWatch
+from ..members.pause_detector import PauseDetector
+from ..members.peer_monitor import PeerMonitor
 from ..own_process import OwnProcess
 from .config_peers import ConfigPeers
 from .config_readers import ConfigReader
-from .config_start import FirstAsk
+from .config_start import StartupSync
 from .config_state import ConfigState
-from .reach import GatewayLinks, Reach, SidecarLinks
-from .reader_turn import ReaderTurn
+from .link_readiness import GatewayLinks, LinkReadiness, SidecarLinks
+from .reader_selection import ReaderSelection
 
 START_WAIT_S: Final = 10.0
 """Longest wait at the start for a first catalogue."""
@@ -35,25 +35,25 @@
         Who is there.
     directory : LiveDirectory
         Who can be given work and where a process is found.
-    wake : WakeWatch
+    pause_detector : PauseDetector
         Knows whether this process has just been paused.
     client : PlatformClient
         Counts the reads of the platform.
     """
 
     __slots__ = (
-        "_first_ask",
-        "_has_woken",
+        "_has_resumed",
+        "_link_readiness",
+        "_monitor",
         "_process",
-        "_reach",
-        "_watch",
+        "_startup_sync",
         "client",
         "config_peers",
         "directory",
         "membership",
+        "pause_detector",
         "reader",
         "state",
-        "wake",
     )
 
     def __init__(
@@ -65,24 +65,26 @@
         peers: PeerSettings,
     ) -> None:
         self._process = process
-        self._has_woken = asyncio.Event()
+        self._has_resumed = asyncio.Event()
         self.client = client
         self.state = ConfigState(published=process.published, journal=process.journal)
         self.membership = Membership(process=process, seeds=peers.seeds)
-        self.wake = WakeWatch(on_late=self._woke_late)
+        self.pause_detector = PauseDetector(on_pause=self._resume_after_pause)
         self.directory = LiveDirectory(
-            process=process, membership=self.membership, wake=self.wake
+            process=process,
+            membership=self.membership,
+            pause_detector=self.pause_detector,
         )
         links = (
             SidecarLinks(process=process, membership=self.membership)
             if process.identity.service
             else GatewayLinks(process=process, directory=self.directory)
         )
-        self._reach = Reach(has_links=links.has_links)
+        self._link_readiness = LinkReadiness(has_links=links.has_links)
         self.config_peers = ConfigPeers(
             process=process, state=self.state, membership=self.membership
         )
-        turn = ReaderTurn(
+        selection = ReaderSelection(
             membership=self.membership,
             state=self.state,
             n_readers=platform.n_readers,
@@ -93,14 +95,14 @@
             state=self.state,
             platform=platform,
             journal=process.journal,
-            turn=turn,
+            selection=selection,
         )
-        self._watch = PeerWatch(
+        self._monitor = PeerMonitor(
             process=process,
             membership=self.membership,
             is_wanted=self.directory.is_wanted,
         )
-        self._first_ask = FirstAsk(
+        self._startup_sync = StartupSync(
             process=process,
             membership=self.membership,
             state=self.state,
@@ -114,7 +116,7 @@
         While False take no work: at the start nothing is known yet, and a
         process that was paused must ask before it goes on.
         """
-        return self.state.known.is_set() and not self.wake.is_late()
+        return self.state.known.is_set() and not self.pause_detector.is_pause_pending()
 
     def is_ready(self) -> bool:
         """Return True while new work may be sent here.
@@ -122,37 +124,37 @@
         That is while `is_known`, and once the links to the other role have
         been there, or are waited for no longer.
         """
-        return self.is_known() and self._reach.is_reached()
+        return self.is_known() and self._link_readiness.is_ready()
 
     async def start(self) -> None:
         """Ask peers, then the platform."""
-        self.membership.rewire()
-        await self._first_ask.run()
+        self.membership.update_children()
+        await self._startup_sync.run()
 
-    async def ask_again(self) -> None:
+    async def resync_after_pauses(self) -> None:
         """Ask peers again after each pause, until cancelled."""
         while True:
-            await self._has_woken.wait()
-            self._has_woken.clear()
-            await self._first_ask.run()
+            await self._has_resumed.wait()
+            self._has_resumed.clear()
+            await self._startup_sync.run()
 
     def tasks(self) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for as long as the process does."""
         return [
-            self.wake.run(),
-            self._watch.run(),
-            self.membership.flood_news(),
+            self.pause_detector.run(),
+            self._monitor.run(),
+            self.membership.flood_updates(),
             self.membership.compare_new_links(),
-            self.membership.compare_rounds(),
-            self.membership.watch_stop(),
-            self.config_peers.compare_rounds(),
-            self.config_peers.catch_up(),
+            self.membership.compare_periodically(),
+            self.membership.announce_planned_stop(),
+            self.config_peers.pull_periodically(),
+            self.config_peers.fetch_newer(),
             self.reader.watch_values(),
             self.reader.watch_hosts(),
-            self.ask_again(),
+            self.resync_after_pauses(),
         ]
 
-    def _woke_late(self, gap_s: float) -> None:
+    def _resume_after_pause(self, gap_s: float) -> None:
         """Drop what may be stale after a pause.
 
         Sockets hold heartbeats from before and during the pause, which would
@@ -166,11 +168,11 @@
                 figures=(Figure(name="gap_s", value=gap_s),),
             )
         )
-        self._watch.woke_late()
+        self._monitor.postpone_checks()
         for link in self._process.peers.links.values():
             link.drop()
-        self.state.set_asked(False)
-        self._has_woken.set()
+        self.state.set_peers_queried(False)
+        self._has_resumed.set()
 
 
 @contextlib.asynccontextmanager
--- a/src/trefoilpaddle/coordination/configuration/config_readers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_readers.py
@@ -12,7 +12,7 @@
 from ...state.settings import PlatformSettings
 from ...transport.platform_http import PlatformClient, PublishedValue, ValuesPage
 from .config_state import ConfigState
-from .reader_turn import ReaderTurn
+from .reader_selection import ReaderSelection
 
 RECHECK_S: Final = 0.5
 """Time between two looks at whether this process reads now."""
@@ -58,11 +58,11 @@
         How often to read.
     journal : Journal
         Told when the service is lost and when it is back.
-    turn : ReaderTurn
+    selection : ReaderSelection
         Says whether this process reads now.
     """
 
-    __slots__ = ("_client", "_is_lost", "_journal", "_platform", "_state", "_turn")
+    __slots__ = ("_client", "_is_lost", "_journal", "_platform", "_selection", "_state")
 
     def __init__(
         self,
@@ -71,9 +71,9 @@
         state: ConfigState,
         platform: PlatformSettings,
         journal: Journal,
-        turn: ReaderTurn,
+        selection: ReaderSelection,
     ) -> None:
-        self._turn = turn
+        self._selection = selection
         self._client = client
         self._state = state
         self._platform = platform
@@ -82,13 +82,13 @@
 
     def is_reading(self) -> bool:
         """Return True if this process is one of the readers of its domain."""
-        return self._turn.is_reader()
+        return self._selection.is_reader()
 
     async def watch_values(self) -> None:
         """Take each change of a value while this process reads."""
         backoff = Backoff()
         while True:
-            if not self._turn.is_mine():
+            if not self._selection.should_read():
                 await asyncio.sleep(RECHECK_S * random.uniform(0.5, 1.5))
             elif await self.read_values():
                 backoff.reset()
@@ -98,7 +98,7 @@
     async def watch_hosts(self) -> None:
         """Read the host list every ``poll_s`` while this process reads."""
         while True:
-            if self._turn.is_mine():
+            if self._selection.should_read():
                 await self.read_hosts()
             await asyncio.sleep(self._platform.poll_s * random.uniform(0.8, 1.2))
 
@@ -113,21 +113,21 @@
             )
         match answer:
             case Ok(page):
-                return await self._take_all(page)
+                return await self._apply_all(page)
             case Err(error):
-                self._note_lost(error)
+                self._record_lost(error)
                 return False
 
     async def read_hosts(self) -> bool:
         """Read the host list once; return False if it failed."""
         match await self._client.hosts():
             case Ok(data):
-                self._state.take_hosts(data, source="platform")
+                self._state.apply_hosts(data, source="platform")
                 return True
             case Err(_):
                 return False
 
-    async def _take_all(self, page: ValuesPage) -> bool:
+    async def _apply_all(self, page: ValuesPage) -> bool:
         """Take a page and all that follow it as one change.
 
         A page that was cut is no state that ever was: a key whose newest
@@ -142,24 +142,24 @@
                 case Ok(page):
                     items += (_item(value) for value in page.values)
                 case Err(error):
-                    self._note_lost(error)
+                    self._record_lost(error)
                     return False
         known = self._state.items.revision
-        self._state.take(items, revision=page.revision, source="platform")
+        self._state.apply(items, revision=page.revision, source="platform")
         if page.revision < known:
-            self._note_stale(page.revision, known)
+            self._record_stale(page.revision, known)
             return True
-        self._note_back()
-        self._state.note_read(0.0)
+        self._record_recovered()
+        self._state.record_read(0.0)
         return True
 
-    def _note_stale(self, offered: int, known: int) -> None:
+    def _record_stale(self, offered: int, known: int) -> None:
         """Tell that the service is behind what is in force.
 
         It does not count as read, so that other processes try as well; changes
         published at revisions that were used before are not seen by anyone.
         """
-        self._note_lost(
+        self._record_lost(
             PeerError(
                 step="answer",
                 peer="platform",
@@ -169,7 +169,7 @@
             )
         )
 
-    def _note_lost(self, error: PeerError) -> None:
+    def _record_lost(self, error: PeerError) -> None:
         if self._is_lost:
             return
         self._is_lost = True
@@ -182,7 +182,7 @@
             )
         )
 
-    def _note_back(self) -> None:
+    def _record_recovered(self) -> None:
         if not self._is_lost:
             return
         self._is_lost = False
--- a/src/trefoilpaddle/coordination/configuration/config_start.py
+++ b/src/trefoilpaddle/coordination/configuration/config_start.py
@@ -14,15 +14,15 @@
 from .config_readers import ConfigReader
 from .config_state import ConfigState
 
-N_ANSWERS: Final = 2
+N_RESPONSES: Final = 2
 """Peers whose word is taken for the highest revision."""
 
-N_AT_ONCE: Final = 6
-N_TRIES: Final = 12
+N_CONCURRENT_QUERIES: Final = 6
+MAX_QUERIED: Final = 12
 """Peers tried before this process goes by what the platform says alone."""
 
 
-class FirstAsk:
+class StartupSync:
     """Learns members and the highest revision from peers, then reads if it must.
 
     A configuration service that is stale or down when a process starts, or
@@ -63,19 +63,22 @@
         """Ask until something is known; then say so to the state."""
         if not self._process.published.hosts.hosts:
             await self._reader.read_hosts()
-        n_answers = await self._ask_peers()
-        if n_answers == 0 or self._state.items.revision == 0:
+        n_responses = await self._query_peers()
+        if n_responses == 0 or self._state.items.revision == 0:
             await self._reader.read_values()
-        self._state.set_asked(True)
+        self._state.set_peers_queried(True)
 
-    async def _ask_peers(self) -> int:
+    async def _query_peers(self) -> int:
         candidates = self._candidates()
-        n_answers = 0
-        while candidates and n_answers < N_ANSWERS:
-            wave, candidates = candidates[:N_AT_ONCE], candidates[N_AT_ONCE:]
-            answers = await asyncio.gather(*(self._ask(text) for text in wave))
-            n_answers += sum(answers)
-        return n_answers
+        n_responses = 0
+        while candidates and n_responses < N_RESPONSES:
+            batch, candidates = (
+                candidates[:N_CONCURRENT_QUERIES],
+                candidates[N_CONCURRENT_QUERIES:],
+            )
+            responses = await asyncio.gather(*(self._query(text) for text in batch))
+            n_responses += sum(responses)
+        return n_responses
 
     def _candidates(self) -> list[str]:
         """Return addresses to try, those that are surely there first."""
@@ -84,12 +87,12 @@
             for record in self._membership.live()
             if record.process_id != self._membership.own.process_id
         ]
-        strangers = self._membership.strangers()
+        unknown = self._membership.unknown_addresses()
         random.shuffle(members)
-        random.shuffle(strangers)
-        return (members + strangers)[:N_TRIES]
+        random.shuffle(unknown)
+        return (members + unknown)[:MAX_QUERIED]
 
-    async def _ask(self, address_text: str) -> bool:
+    async def _query(self, address_text: str) -> bool:
         match Address.parse(address_text):
             case Ok(address):
                 async with probe_link(self._process, address) as link:
--- a/src/trefoilpaddle/coordination/configuration/config_state.py
+++ b/src/trefoilpaddle/coordination/configuration/config_state.py
@@ -15,12 +15,12 @@
 from ...state.journal import Decision, Event, Figure, Journal
 from ...state.published import Published
 
-MAX_NOTED_CHARS: Final = 300
+MAX_DETAIL_CHARS: Final = 300
 """Longest text of problems in a decision; more is cut off."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class News:
+class ConfigChange:
     """A change that has come in force here.
 
     Parameters
@@ -38,7 +38,7 @@
     source: str
 
 
-OnNews = Callable[[News], None]
+ChangeListener = Callable[[ConfigChange], None]
 
 
 class ConfigState:
@@ -61,7 +61,7 @@
         The host list in force, as published.
     known : asyncio.Event
         Set while a catalogue is in force and peers have been asked for a newer.
-    read_s : float or None
+    last_read_s : float or None
         Monotonic time of the last read of the service, by any process, that
         this one knows of.
     """
@@ -71,56 +71,56 @@
         "_journal",
         "_listeners",
         "_published",
-        "has_asked",
+        "has_queried_peers",
         "held_back",
         "hosts_json",
         "items",
         "known",
-        "read_s",
+        "last_read_s",
     )
 
     def __init__(self, *, published: Published, journal: Journal) -> None:
         self._published = published
         self._journal = journal
         self._builder = CatalogueBuilder()
-        self._listeners: list[OnNews] = []
+        self._listeners: list[ChangeListener] = []
         self.items = ConfigItems()
         self.held_back: tuple[HeldBack, ...] = ()
         self.hosts_json = b""
-        self.has_asked = False
+        self.has_queried_peers = False
         self.known = asyncio.Event()
-        self.read_s: float | None = None
+        self.last_read_s: float | None = None
 
-    def subscribe(self, listener: OnNews) -> None:
+    def subscribe(self, listener: ChangeListener) -> None:
         """Call `listener` after each change."""
         self._listeners.append(listener)
 
-    def set_asked(self, has_asked: bool) -> None:
+    def set_peers_queried(self, has_queried_peers: bool) -> None:
         """Note whether peers have been asked for the highest revision.
 
         A process that starts or wakes late while the service is stale would
         otherwise serve by a catalogue that the others have left behind.
         """
-        self.has_asked = has_asked
-        self._set_known()
+        self.has_queried_peers = has_queried_peers
+        self._update_known()
 
-    def _set_known(self) -> None:
-        if self.has_asked and self.items.revision > 0:
+    def _update_known(self) -> None:
+        if self.has_queried_peers and self.items.revision > 0:
             self.known.set()
         else:
             self.known.clear()
 
-    def note_read(self, age_s: float) -> None:
+    def record_read(self, age_s: float) -> None:
         """Note that some process read the service `age_s` seconds ago."""
-        at_s = time.monotonic() - age_s
-        if self.read_s is None or at_s > self.read_s:
-            self.read_s = at_s
+        read_at_s = time.monotonic() - age_s
+        if self.last_read_s is None or read_at_s > self.last_read_s:
+            self.last_read_s = read_at_s
 
     def read_age_s(self) -> float | None:
         """Return how long ago any known process has read the service."""
-        return None if self.read_s is None else time.monotonic() - self.read_s
+        return None if self.last_read_s is None else time.monotonic() - self.last_read_s
 
-    def take(
+    def apply(
         self, items: Iterable[PublishedItem], *, revision: int, source: str
     ) -> bool:
         """Put `items` in force and return True if anything of them was news.
@@ -134,21 +134,21 @@
         source : str
             Whom it was heard from.
         """
-        was_revision = self.items.revision
+        previous_revision = self.items.revision
         keys = self.items.join(items, revision=revision)
-        if not keys and self.items.revision == was_revision:
+        if not keys and self.items.revision == previous_revision:
             return False
-        was_held_back = self.held_back
+        previous_held_back = self.held_back
         selection = self._builder.put_in_force(self.items, keys)
         self.held_back = selection.held_back
         if self._published.set_catalogue(selection.catalogue):
-            self._note_in_force(keys, source)
-        self._note_held_back(was_held_back, source)
-        self._set_known()
-        self._tell(frozenset(keys), was_revision, source)
+            self._record_active(keys, source)
+        self._record_held_back(previous_held_back, source)
+        self._update_known()
+        self._notify(frozenset(keys), previous_revision, source)
         return True
 
-    def take_hosts(self, data: bytes, *, source: str) -> bool:
+    def apply_hosts(self, data: bytes, *, source: str) -> bool:
         """Put the host list `data` in force; return False if it is no news."""
         if data == self.hosts_json:
             return False
@@ -173,21 +173,21 @@
                 ),
             )
         )
-        self._tell(frozenset(), self.items.revision, source)
+        self._notify(frozenset(), self.items.revision, source)
         return True
 
-    def _tell(self, keys: frozenset[str], base_revision: int, source: str) -> None:
-        news = News(keys=keys, base_revision=base_revision, source=source)
+    def _notify(self, keys: frozenset[str], base_revision: int, source: str) -> None:
+        change = ConfigChange(keys=keys, base_revision=base_revision, source=source)
         for listener in self._listeners:
-            listener(news)
+            listener(change)
 
-    def _note_in_force(self, keys: set[str], source: str) -> None:
+    def _record_active(self, keys: set[str], source: str) -> None:
         self._journal.record(
             Decision(
                 event=Event.CONFIG_IN_FORCE,
                 config_revision=self.items.revision,
                 peer=source,
-                detail=_shortened(", ".join(sorted(keys))),
+                detail=_truncated(", ".join(sorted(keys))),
                 figures=(
                     Figure(name="revision", value=self.items.revision),
                     Figure(name="n_changed", value=len(keys)),
@@ -195,8 +195,8 @@
             )
         )
 
-    def _note_held_back(self, was: tuple[HeldBack, ...], source: str) -> None:
-        known = {(held.key, held.revision) for held in was}
+    def _record_held_back(self, previous: tuple[HeldBack, ...], source: str) -> None:
+        known = {(held.key, held.revision) for held in previous}
         for held in self.held_back:
             if (held.key, held.revision) in known:
                 continue
@@ -206,7 +206,7 @@
                     config_revision=held.revision,
                     entry=held.key.removeprefix("entry/"),
                     peer=source,
-                    detail=_shortened("; ".join(str(one) for one in held.problems)),
+                    detail=_truncated("; ".join(str(one) for one in held.problems)),
                     figures=(
                         Figure(name="revision", value=held.revision),
                         Figure(name="stays_revision", value=held.stays),
@@ -215,7 +215,7 @@
             )
 
 
-def _shortened(text: str) -> str:
-    if len(text) <= MAX_NOTED_CHARS:
+def _truncated(text: str) -> str:
+    if len(text) <= MAX_DETAIL_CHARS:
         return text
-    return text[: MAX_NOTED_CHARS - 1] + "…"
+    return text[: MAX_DETAIL_CHARS - 1] + "…"
--- a/src/trefoilpaddle/coordination/configuration/reach.py
+++ b/src/trefoilpaddle/coordination/configuration/link_readiness.py
@@ -14,11 +14,11 @@
 from ..members.subset import N_SUBSET
 from ..own_process import OwnProcess
 
-REACH_WAIT_S: Final = 3.0
+LINK_WAIT_S: Final = 3.0
 """After so long ready all the same; the others may be cut off from here."""
 
 
-class Reach:
+class LinkReadiness:
     """Remembers whether enough links have been there once.
 
     A rolling replacement goes on with the next process when this one says
@@ -33,22 +33,22 @@
         Returns True if enough links are there now.
     """
 
-    __slots__ = ("_from_s", "_has_links", "_is_reached")
+    __slots__ = ("_has_links", "_is_ready", "_started_s")
 
     def __init__(self, *, has_links: Callable[[], bool]) -> None:
         self._has_links = has_links
-        self._is_reached = False
-        self._from_s: float | None = None
+        self._is_ready = False
+        self._started_s: float | None = None
 
-    def is_reached(self) -> bool:
+    def is_ready(self) -> bool:
         """Return True once the links have been there, or after a while."""
-        if self._is_reached:
+        if self._is_ready:
             return True
-        if self._from_s is None:
-            self._from_s = time.monotonic()
-        waited_s = time.monotonic() - self._from_s
-        self._is_reached = waited_s > REACH_WAIT_S or self._has_links()
-        return self._is_reached
+        if self._started_s is None:
+            self._started_s = time.monotonic()
+        waited_s = time.monotonic() - self._started_s
+        self._is_ready = waited_s > LINK_WAIT_S or self._has_links()
+        return self._is_ready
 
 
 class SidecarLinks:
--- a/src/trefoilpaddle/coordination/configuration/reader_turn.py
+++ b/src/trefoilpaddle/coordination/configuration/reader_selection.py
@@ -11,14 +11,14 @@
 
 READER_KEY: Final = "config reader"
 
-STEP_IN_AFTER_S: Final = 30.0
+FALLBACK_READ_AFTER_S: Final = 30.0
 """With no read known for this long, others than the readers try as well."""
 
-STEP_IN_EVERY_S: Final = 45.0
+FALLBACK_READ_PERIOD_S: Final = 45.0
 """Mean time between two such tries of one process."""
 
 
-class ReaderTurn:
+class ReaderSelection:
     """Chooses the readers of the own failure domain, as this process sees it.
 
     Views differ for moments; the price is a few more reads, or for moments a
@@ -41,7 +41,7 @@
         "_journal",
         "_membership",
         "_n_readers",
-        "_next_try_s",
+        "_next_fallback_s",
         "_state",
         "_version",
     )
@@ -60,7 +60,7 @@
         self._journal = journal
         self._is_reader = False
         self._version = -1
-        self._next_try_s = time.monotonic() + _spread_s()
+        self._next_fallback_s = time.monotonic() + _fallback_delay_s()
 
     def is_reader(self) -> bool:
         """Return True if this process is one of the readers of its domain."""
@@ -69,18 +69,18 @@
             self._choose()
         return self._is_reader
 
-    def is_mine(self) -> bool:
+    def should_read(self) -> bool:
         """Return True if this process should read now."""
-        return self.is_reader() or self._steps_in()
+        return self.is_reader() or self._is_fallback_due()
 
     def _choose(self) -> None:
         own = self._membership.own
-        places = [
+        candidates = [
             record.process_id
             for record in self._membership.live()
             if record.failure_domain == own.failure_domain
         ]
-        readers = highest(READER_KEY, places, n=self._n_readers)
+        readers = highest(READER_KEY, candidates, n=self._n_readers)
         is_reader = own.process_id in readers
         if is_reader == self._is_reader:
             return
@@ -94,7 +94,7 @@
             )
         )
 
-    def _steps_in(self) -> bool:
+    def _is_fallback_due(self) -> bool:
         """Return True now and then while nobody seems to be reading.
 
         It shows when all readers are cut off from the service, while others
@@ -102,14 +102,14 @@
         not called by the whole fleet at once.
         """
         age_s = self._state.read_age_s()
-        if age_s is not None and age_s < STEP_IN_AFTER_S:
+        if age_s is not None and age_s < FALLBACK_READ_AFTER_S:
             return False
         now_s = time.monotonic()
-        if now_s < self._next_try_s:
+        if now_s < self._next_fallback_s:
             return False
-        self._next_try_s = now_s + _spread_s()
+        self._next_fallback_s = now_s + _fallback_delay_s()
         return True
 
 
-def _spread_s() -> float:
-    return STEP_IN_EVERY_S * random.uniform(0.5, 1.5)
+def _fallback_delay_s() -> float:
+    return FALLBACK_READ_PERIOD_S * random.uniform(0.5, 1.5)
--- a/src/trefoilpaddle/coordination/explaining/status_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/status_gather.py
@@ -12,35 +12,39 @@
 from ...state.timeline import Absence
 from ..requests.operator_queries import OperatorQueries
 
-MAX_ASKS_AT_ONCE: Final = 32
+MAX_CONCURRENT_QUERIES: Final = 32
 """Processes that are asked at the same time."""
 
 
 async def gather_status(
-    *, asker: OperatorQueries, own: ProcessStatus, hosts: HostList, catalogue: Catalogue
+    *,
+    queries: OperatorQueries,
+    own: ProcessStatus,
+    hosts: HostList,
+    catalogue: Catalogue,
 ) -> FleetStatus:
     """Return the status of all processes on `hosts` that answer."""
     others = [host for host in hosts.hosts if host.process_id != own.process_id]
-    turn = asyncio.Semaphore(MAX_ASKS_AT_ONCE)
+    limit = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-    async def ask(host: Host) -> Result[ProcessStatus, Absence]:
-        async with turn:
-            return await asker.status(host)
+    async def query(host: Host) -> Result[ProcessStatus, Absence]:
+        async with limit:
+            return await queries.status(host)
 
     processes = [own]
-    silent: list[Absence] = []
-    for answer in await asyncio.gather(*map(ask, others)):
+    unresponsive: list[Absence] = []
+    for answer in await asyncio.gather(*map(query, others)):
         match answer:
             case Ok(status):
                 processes.append(status)
             case Err(absence):
-                silent.append(absence)
+                unresponsive.append(absence)
     return FleetStatus(
         asked_of=own.process_id,
         config_revision=own.config_revision,
         hosts_revision=own.hosts_revision,
         processes=tuple(sorted(processes, key=lambda status: status.process_id)),
-        silent=tuple(silent),
+        silent=tuple(unresponsive),
         leaving=tuple(sorted(_leaving(processes, hosts))),
         entries=tuple(_entries(catalogue)),
     )
--- a/src/trefoilpaddle/coordination/explaining/timeline_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/timeline_gather.py
@@ -13,7 +13,7 @@
 from ...state.timeline_order import Heard, in_order
 from ..requests.operator_queries import OperatorQueries, ReportedSteps
 
-MAX_ASKED: Final = 64
+MAX_QUERIED: Final = 64
 """Most processes asked about one request."""
 
 
@@ -22,11 +22,11 @@
 
     The process that the id names knows which sidecars and gateways took part;
     those are asked next. When that process is gone, all listed ones are asked,
-    up to ``MAX_ASKED``: a sidecar remembers its own part.
+    up to ``MAX_QUERIED``: a sidecar remembers its own part.
 
     Parameters
     ----------
-    asker : OperatorQueries
+    queries : OperatorQueries
         Asks other processes.
     hosts : HostList
         The list in force.
@@ -38,118 +38,122 @@
 
     __slots__ = (
         "_absences",
-        "_asked",
-        "_asker",
-        "_heards",
         "_hosts",
         "_own_incarnation",
         "_own_process_id",
         "_own_target",
+        "_queried",
+        "_queries",
+        "_reports",
     )
 
     def __init__(
         self,
         *,
-        asker: OperatorQueries,
+        queries: OperatorQueries,
         hosts: HostList,
         own_process_id: str,
         own_target: str,
         own_incarnation: int,
     ) -> None:
-        self._asker = asker
+        self._queries = queries
         self._hosts = hosts
         self._own_process_id = own_process_id
         self._own_target = own_target
         self._own_incarnation = own_incarnation
-        self._heards: list[Heard] = []
+        self._reports: list[Heard] = []
         self._absences: list[Absence] = []
-        self._asked = {own_process_id}
+        self._queried = {own_process_id}
 
     async def gather(self, request_id: str, own_steps: Iterable[Step]) -> Timeline:
         """Return the request's timeline, with what is missing from it."""
-        own = Heard(
+        own_report = Heard(
             names=_names(self._own_process_id, self._own_target),
             steps=tuple(own_steps),
             heard_s=time.monotonic(),
         )
-        self._heards.append(own)
-        await self._ask_home(request_id)
+        self._reports.append(own_report)
+        await self._query_home(request_id)
         while named := self._named():
-            await self._ask_all(named, request_id)
-        if not any(heard.steps for heard in self._heards):
-            await self._ask_all(self._not_asked(), request_id)
+            await self._query_all(named, request_id)
+        if not any(report.steps for report in self._reports):
+            await self._query_all(self._not_queried(), request_id)
         return Timeline(
             request_id=request_id,
-            steps=in_order(self._heards, now_s=time.monotonic()),
+            steps=in_order(self._reports, now_s=time.monotonic()),
             absences=tuple(self._absences),
         )
 
-    async def _ask_home(self, request_id: str) -> None:
+    async def _query_home(self, request_id: str) -> None:
         match RequestId.parse(request_id):
             case Err(detail):
-                self._miss(request_id, detail)
+                self._record_absence(request_id, detail)
             case Ok(parsed) if parsed.process_id == self._own_process_id:
-                self._note_start(parsed, self._own_incarnation)
+                self._check_incarnation(parsed, self._own_incarnation)
             case Ok(parsed):
-                await self._ask_named_home(parsed, request_id)
+                await self._query_other_home(parsed, request_id)
 
-    async def _ask_named_home(self, parsed: RequestId, request_id: str) -> None:
+    async def _query_other_home(self, parsed: RequestId, request_id: str) -> None:
         host = self._host(parsed.process_id)
         if host is None:
-            self._miss(parsed.process_id, "is not on the host list; its place is gone")
-            await self._ask_all(self._not_asked(), request_id)
+            self._record_absence(
+                parsed.process_id, "is not on the host list; its place is gone"
+            )
+            await self._query_all(self._not_queried(), request_id)
             return
-        match await self._ask(host, request_id):
-            case Ok(told):
-                self._note_start(parsed, told.incarnation)
+        match await self._query(host, request_id):
+            case Ok(reported):
+                self._check_incarnation(parsed, reported.incarnation)
             case Err(_):
-                await self._ask_all(self._not_asked(), request_id)
+                await self._query_all(self._not_queried(), request_id)
 
-    def _note_start(self, parsed: RequestId, incarnation: int) -> None:
+    def _check_incarnation(self, parsed: RequestId, incarnation: int) -> None:
         if incarnation != parsed.incarnation:
             detail = "was restarted since; what it knew before is gone"
-            self._miss(parsed.process_id, detail)
+            self._record_absence(parsed.process_id, detail)
 
-    async def _ask_all(self, hosts: list[Host], request_id: str) -> None:
-        await asyncio.gather(*(self._ask(host, request_id) for host in hosts))
+    async def _query_all(self, hosts: list[Host], request_id: str) -> None:
+        await asyncio.gather(*(self._query(host, request_id) for host in hosts))
 
-    async def _ask(self, host: Host, request_id: str) -> Result[ReportedSteps, Absence]:
-        self._asked.add(host.process_id)
-        answer = await self._asker.steps(host, request_id)
+    async def _query(
+        self, host: Host, request_id: str
+    ) -> Result[ReportedSteps, Absence]:
+        self._queried.add(host.process_id)
+        answer = await self._queries.steps(host, request_id)
         match answer:
-            case Ok(told):
-                heard = Heard(
+            case Ok(reported):
+                report = Heard(
                     names=_names(host.process_id, host.target),
-                    steps=told.steps,
-                    heard_s=told.received_s,
+                    steps=reported.steps,
+                    heard_s=reported.received_s,
                 )
-                self._heards.append(heard)
+                self._reports.append(report)
             case Err(absence):
                 self._absences.append(absence)
         return answer
 
     def _named(self) -> list[Host]:
         """Return who is named in the steps so far and was not asked yet."""
-        names = {step.peer for heard in self._heards for step in heard.steps}
+        names = {step.peer for report in self._reports for step in report.steps}
         named = [
             host
             for host in self._hosts.hosts
-            if host.process_id not in self._asked
+            if host.process_id not in self._queried
             and (host.process_id in names or (host.target and host.target in names))
         ]
-        return named[: self._left()]
+        return named[: self._n_left()]
 
-    def _not_asked(self) -> list[Host]:
-        hosts = [h for h in self._hosts.hosts if h.process_id not in self._asked]
-        if len(hosts) > self._left():
-            self._miss(
+    def _not_queried(self) -> list[Host]:
+        hosts = [h for h in self._hosts.hosts if h.process_id not in self._queried]
+        if len(hosts) > self._n_left():
+            self._record_absence(
                 self._own_process_id,
-                f"asked {self._left()} of {len(hosts)} processes that may know more",
+                f"asked {self._n_left()} of {len(hosts)} processes that may know more",
             )
-        return hosts[: self._left()]
+        return hosts[: self._n_left()]
 
-    def _left(self) -> int:
-        return max(0, MAX_ASKED + 1 - len(self._asked))
+    def _n_left(self) -> int:
+        return max(0, MAX_QUERIED + 1 - len(self._queried))
 
     def _host(self, process_id: str) -> Host | None:
         for host in self._hosts.hosts:
@@ -157,7 +161,7 @@
                 return host
         return None
 
-    def _miss(self, process_id: str, detail: str) -> None:
+    def _record_absence(self, process_id: str, detail: str) -> None:
         self._absences.append(Absence(process_id=process_id, detail=detail))
 
 
--- a/src/trefoilpaddle/coordination/members/directory.py
+++ b/src/trefoilpaddle/coordination/members/directory.py
@@ -12,8 +12,8 @@
 from ...transport.connection import Address
 from ..own_process import OwnProcess
 from .membership import Membership
+from .pause_detector import PauseDetector
 from .subset import subset
-from .wake import WakeWatch
 
 
 class Directory(Protocol):
@@ -63,31 +63,42 @@
         The process that it runs in.
     membership : Membership
         What members say.
-    wake : WakeWatch
+    pause_detector : PauseDetector
         Asked first, so that a pause is dealt with before anything is chosen.
     """
 
-    __slots__ = ("_chosen", "_current", "_membership", "_process", "_versions", "_wake")
+    __slots__ = (
+        "_current_services",
+        "_membership",
+        "_pause_detector",
+        "_process",
+        "_subsets",
+        "_versions",
+    )
 
     def __init__(
-        self, *, process: OwnProcess, membership: Membership, wake: WakeWatch
+        self,
+        *,
+        process: OwnProcess,
+        membership: Membership,
+        pause_detector: PauseDetector,
     ) -> None:
         self._process = process
         self._membership = membership
-        self._wake = wake
-        self._chosen: dict[str, list[Host]] = {}
-        self._current: set[str] = set()
+        self._pause_detector = pause_detector
+        self._subsets: dict[str, list[Host]] = {}
+        self._current_services: set[str] = set()
         self._versions = (-1, -1)
 
     def sidecars(self, service: str) -> list[Host]:
         """Return the sidecars of `service` that may be given new work."""
-        if self._wake.is_late():
-            self._wake.tick()
-        self._renew()
-        if service not in self._current:
-            self._chosen[service] = self._choose(service)
-            self._current.add(service)
-        return [host for host in self._chosen[service] if self._is_usable(host)]
+        if self._pause_detector.is_pause_pending():
+            self._pause_detector.check()
+        self._discard_outdated()
+        if service not in self._current_services:
+            self._subsets[service] = self._choose(service)
+            self._current_services.add(service)
+        return [host for host in self._subsets[service] if self._is_usable(host)]
 
     def host(self, process_id: str) -> Host | None:
         """Return where a process is found, or None if it is not known."""
@@ -104,18 +115,18 @@
         text = str(address)
         return any(
             host.peer_address == text
-            for hosts in self._chosen.values()
+            for hosts in self._subsets.values()
             for host in hosts
         )
 
-    def _renew(self) -> None:
+    def _discard_outdated(self) -> None:
         versions = (
             self._membership.table.version,
             self._process.published.hosts.revision,
         )
         if versions != self._versions:
             self._versions = versions
-            self._current.clear()
+            self._current_services.clear()
 
     def _choose(self, service: str) -> list[Host]:
         gateways = [
@@ -134,13 +145,13 @@
             if host.role != "sidecar" or host.service != service:
                 continue
             record = records.get(host.process_id)
-            if host.state is HostState.LIVE and not _is_gone(record):
+            if host.state is HostState.LIVE and not _is_leaving_or_dead(record):
                 yield replace(host, peer_address=record.address) if record else host
         names = {host.process_id for host in listed}
         for record in records.values():
             if record.role != "sidecar" or record.service != service:
                 continue
-            if record.process_id not in names and not _is_gone(record):
+            if record.process_id not in names and not _is_leaving_or_dead(record):
                 yield _host_of(record)
 
     def _is_usable(self, host: Host) -> bool:
@@ -161,7 +172,7 @@
         return None
 
 
-def _is_gone(record: MemberRecord | None) -> bool:
+def _is_leaving_or_dead(record: MemberRecord | None) -> bool:
     if record is None:
         return False
     return record.state in {MemberState.LEAVING, MemberState.DEAD}
--- a/src/trefoilpaddle/coordination/members/duty_rank.py
+++ b/src/trefoilpaddle/coordination/members/duty_rank.py
@@ -11,13 +11,13 @@
 
     Parameters
     ----------
-    doublings : int
+    negative_log2_millicores : int
         Negative binary order of its processor, so that the strongest is least.
     incarnation : int
         Of its start; greater the later it was.
     """
 
-    doublings: int
+    negative_log2_millicores: int
     incarnation: int
 
 
@@ -28,5 +28,6 @@
     change loses what the one before knew.
     """
     return DutyRank(
-        doublings=-member.millicores.bit_length(), incarnation=member.incarnation
+        negative_log2_millicores=-member.millicores.bit_length(),
+        incarnation=member.incarnation,
     )
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -22,22 +22,22 @@
 from .overlay import neighbours
 from .probe import probe_link
 
-ROUND_S: Final = 2.0
+COMPARE_PERIOD_S: Final = 2.0
 """Time between two comparisons of digests."""
 
 FLOOD_DELAY_S: Final = 0.05
 """News of this long goes out together; a lost failure domain is one message."""
 
-ASK_TIMEOUT_S: Final = 1.0
+REQUEST_TIMEOUT_S: Final = 1.0
 """Longest wait for a link to open, and for an answer on it."""
 
-LINK_LOOK_S: Final = 0.1
+LINK_CHECK_PERIOD_S: Final = 0.1
 """Time between looks whether a link to a child has opened.
 
 Half of the time for which a gateway that starts waits for news of the others.
 """
 
-N_ROUNDS_PER_STRANGER: Final = 3
+N_ROUNDS_PER_UNKNOWN_ADDRESS: Final = 3
 """Rounds between two meetings with a listed process that is no live member."""
 
 N_MISMATCHES: Final = 2
@@ -67,41 +67,41 @@
         What is known; this process included.
     children : list of MemberRecord
         The members to which this process keeps links for news.
-    since_s : dict of str to float
+    last_change_s : dict of str to float
         Monotonic time of the last news of each process.
     """
 
     __slots__ = (
-        "_chosen",
-        "_has_news",
+        "_child_ids",
+        "_children_version",
+        "_has_updates",
         "_live",
         "_live_version",
         "_n_mismatches",
-        "_news",
-        "_present",
+        "_pending_updates",
+        "_present_ids",
         "_process",
         "_seeds",
-        "_table_version",
         "children",
+        "last_change_s",
         "own",
-        "since_s",
         "table",
     )
 
     def __init__(self, *, process: OwnProcess, seeds: tuple[str, ...]) -> None:
         self._process = process
         self._seeds = seeds
-        self._news: dict[str, MemberRecord] = {}
-        self._has_news = asyncio.Event()
+        self._pending_updates: dict[str, MemberRecord] = {}
+        self._has_updates = asyncio.Event()
         self._n_mismatches = 0
-        self._table_version = -1
+        self._children_version = -1
         self._live: Sequence[MemberRecord] = ()
         self._live_version = -1
-        self._present: frozenset[str] = frozenset()
-        self._chosen: list[str] = []
+        self._present_ids: frozenset[str] = frozenset()
+        self._child_ids: list[str] = []
         self.table = MemberTable()
         self.children: list[MemberRecord] = []
-        self.since_s: dict[str, float] = {}
+        self.last_change_s: dict[str, float] = {}
         self.own = self._first_record()
         self._set_own(self.own)
         process.server.answer(Gossip, self.answer)
@@ -123,26 +123,26 @@
             millicores=identity.millicores,
         )
 
-    def hear(self, records: Iterable[MemberRecord]) -> None:
+    def apply_records(self, records: Iterable[MemberRecord]) -> None:
         """Take in what a peer says and pass on what was news."""
         for record in records:
             if record.process_id == self.own.process_id:
-                self._hear_of_self(record)
+                self._refute_outdated(record)
             elif self.table.join([record]):
-                self._note(record)
+                self._record_change(record)
 
-    def say(self, process_id: str, state: MemberState) -> None:
+    def report_state(self, process_id: str, state: MemberState) -> None:
         """Say of another process what this one has found out itself."""
         record = self.table.say(process_id, state)
         if record is not None:
-            self._note(record)
+            self._record_change(record)
 
     def forget(self, process_id: str) -> None:
         """Drop what is known of a process."""
         self.table.forget(process_id)
-        self.since_s.pop(process_id, None)
+        self.last_change_s.pop(process_id, None)
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Say that this process is leaving."""
         self._set_own(
             replace(self.own, state=MemberState.LEAVING, beat=self.own.beat + 1)
@@ -162,7 +162,7 @@
             )
         return self._live
 
-    def strangers(self) -> list[str]:
+    def unknown_addresses(self) -> list[str]:
         """Return addresses of listed hosts and seeds that are not live members.
 
         They are where the other side of a healed partition is found, and whom
@@ -172,30 +172,30 @@
         listed = self._process.published.peer_addresses()
         return sorted({*self._seeds, *listed} - known)
 
-    async def answer(self, question: Gossip, peer: Hello) -> GossipAnswer:
+    async def answer(self, request: Gossip, peer: Hello) -> GossipAnswer:
         """Answer a peer that compares digests."""
-        differing = self.table.differing(digests_from_wire(question.domains))
-        self.hear(from_wire(question.members))
+        differing = self.table.differing(digests_from_wire(request.domains))
+        self.apply_records(from_wire(request.members))
         members: list[MemberRecord] = []
-        if question.domains:
+        if request.domains:
             members = self.table.in_domains(differing)
-        is_equal = question.digest == self.table.digest
+        is_equal = request.digest == self.table.digest
         return GossipAnswer(
             members=[to_wire(record) for record in members],
             digest=self.table.digest,
             domains=[] if is_equal else digests_to_wire(self.table),
         )
 
-    def rewire(self) -> bool:
+    def update_children(self) -> bool:
         """Choose the children anew if the members changed; True if it did."""
-        if self.table.version == self._table_version:
+        if self.table.version == self._children_version:
             return False
-        self._table_version = self.table.version
+        self._children_version = self.table.version
         present = {record.process_id: record for record in self.table.present()}
-        if present.keys() != self._present:
-            self._present = frozenset(present)
-            self._chosen = neighbours(self.own.process_id, present)
-        self.children = [present[process_id] for process_id in self._chosen]
+        if present.keys() != self._present_ids:
+            self._present_ids = frozenset(present)
+            self._child_ids = neighbours(self.own.process_id, present)
+        self.children = [present[process_id] for process_id in self._child_ids]
         return True
 
     def child_links(self) -> list[Link]:
@@ -209,14 +209,14 @@
                     continue
         return links
 
-    async def flood_news(self) -> None:
+    async def flood_updates(self) -> None:
         """Send news to the children as it comes, until cancelled."""
         while True:
-            await self._has_news.wait()
+            await self._has_updates.wait()
             await asyncio.sleep(FLOOD_DELAY_S)
-            self._has_news.clear()
-            members = [to_wire(record) for record in self._news.values()]
-            self._news = {}
+            self._has_updates.clear()
+            members = [to_wire(record) for record in self._pending_updates.values()]
+            self._pending_updates = {}
             message = Gossip(sender=self.own.process_id, members=members)
             for link in self.child_links():
                 link.send(message)
@@ -238,36 +238,38 @@
                     continue
                 compared[address] = connection
                 await self._compare(link, n_mismatches=1)
-            await asyncio.sleep(LINK_LOOK_S)
+            await asyncio.sleep(LINK_CHECK_PERIOD_S)
 
-    async def compare_rounds(self) -> None:
+    async def compare_periodically(self) -> None:
         """Compare digests with one child after the other until cancelled."""
         number = 0
         while True:
-            await asyncio.sleep(ROUND_S * random.uniform(0.75, 1.25))
+            await asyncio.sleep(COMPARE_PERIOD_S * random.uniform(0.75, 1.25))
             number += 1
-            heard = [link for link in self.child_links() if link.is_heard()]
-            if heard:
-                await self._compare(heard[number % len(heard)])
-            if not heard or number % N_ROUNDS_PER_STRANGER == 0:
-                await self.meet_stranger()
+            responsive = [link for link in self.child_links() if link.is_heard()]
+            if responsive:
+                await self._compare(responsive[number % len(responsive)])
+            if not responsive or number % N_ROUNDS_PER_UNKNOWN_ADDRESS == 0:
+                await self.exchange_with_unknown()
 
-    async def meet_stranger(self) -> None:
+    async def exchange_with_unknown(self) -> None:
         """Exchange members with one listed process that is not a live member."""
-        strangers = self.strangers()
-        if strangers:
-            await self.meet(random.choice(strangers))
+        addresses = self.unknown_addresses()
+        if addresses:
+            await self.exchange_at(random.choice(addresses))
 
-    async def meet(self, address_text: str) -> bool:
+    async def exchange_at(self, address_text: str) -> bool:
         """Exchange all members with the process at an address; True if it answered."""
         match Address.parse(address_text):
             case Ok(address):
                 async with probe_link(self._process, address) as link:
-                    return await self._is_open(link) and await self.exchange(link)
+                    return await self._is_open_in_time(link) and await self.exchange(
+                        link
+                    )
             case Err(_):
                 return False
 
-    async def _is_open(self, link: Link) -> bool:
+    async def _is_open_in_time(self, link: Link) -> bool:
         """Wait until a link is open; False if that takes too long.
 
         What is said on it is put together only then. A process that listens a
@@ -275,24 +277,24 @@
         knew one member for seconds, and took on duties that others had.
         """
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await link.opened.wait()
         except TimeoutError:
             return False
         return True
 
-    async def watch_stop(self) -> None:
+    async def announce_planned_stop(self) -> None:
         """Say that this process is leaving once its planned stop has begun."""
         await self._process.stopping.wait()
-        self.leave()
+        self.announce_leaving()
 
     async def _compare(self, link: Link, *, n_mismatches: int = N_MISMATCHES) -> None:
         """Ask for a digest; exchange members if it has differed so often in a row."""
-        members = [to_wire(self.own), *self._suspects_among(link)]
-        question = Gossip(
+        members = [to_wire(self.own), *self._suspicion_of_peer(link)]
+        request = Gossip(
             sender=self.own.process_id, members=members, digest=self.table.digest
         )
-        answer = await self._ask(link, question)
+        answer = await self._request(link, request)
         if answer.is_err():
             return
         self._n_mismatches += 1
@@ -302,7 +304,7 @@
             self._n_mismatches = 0
             await self.exchange(link, known=answer.unwrap())
 
-    def _suspects_among(self, link: Link) -> list[Message]:
+    def _suspicion_of_peer(self, link: Link) -> list[Message]:
         """Return the record of the link's peer if it should overrule it."""
         peer = link.peer
         record = self.table.records.get(peer.process_id) if peer else None
@@ -324,32 +326,32 @@
         if known is not None:
             differing = self.table.differing(digests_from_wire(known.domains))
         members = self.table.in_domains(differing)
-        question = Gossip(
+        request = Gossip(
             sender=self.own.process_id,
             members=[to_wire(record) for record in members],
             digest=self.table.digest,
             domains=digests_to_wire(self.table),
         )
-        match await self._ask(link, question):
+        match await self._request(link, request):
             case Ok(answer):
-                self.hear(from_wire(answer.members))
+                self.apply_records(from_wire(answer.members))
                 return True
             case Err(_):
                 return False
 
-    async def _ask(
-        self, link: Link, question: Gossip
+    async def _request(
+        self, link: Link, request: Gossip
     ) -> Result[GossipAnswer, PeerError]:
         # A fault here would end the loop that asks, and with it the process.
-        match await link.ask(question, timeout_s=ASK_TIMEOUT_S):
+        match await link.ask(request, timeout_s=REQUEST_TIMEOUT_S):
             case Ok(GossipAnswer() as answer):
                 return Ok(answer)
-            case Ok(foreign):
-                return Err(PeerError.of_foreign(foreign, peer=str(link.address)))
+            case Ok(unexpected):
+                return Err(PeerError.of_foreign(unexpected, peer=str(link.address)))
             case Err(error):
                 return Err(error)
 
-    def _hear_of_self(self, record: MemberRecord) -> None:
+    def _refute_outdated(self, record: MemberRecord) -> None:
         """Overrule what is said of this process if it is not so.
 
         After a restart or a pause the others may go on saying what was true of
@@ -362,10 +364,10 @@
     def _set_own(self, record: MemberRecord) -> None:
         self.own = record
         self.table.join([record])
-        self._spread(record)
+        self._queue_update(record)
 
-    def _note(self, record: MemberRecord) -> None:
-        self.since_s[record.process_id] = time.monotonic()
+    def _record_change(self, record: MemberRecord) -> None:
+        self.last_change_s[record.process_id] = time.monotonic()
         self._process.journal.record(
             Decision(
                 event=EVENT_OF[record.state],
@@ -375,10 +377,10 @@
             )
         )
         if record.state is MemberState.LIVE:
-            self._hurry_link(record)
-        self._spread(record)
+            self._redial_now(record)
+        self._queue_update(record)
 
-    def _hurry_link(self, record: MemberRecord) -> None:
+    def _redial_now(self, record: MemberRecord) -> None:
         """Have a waiting link dial a process that has just come back.
 
         Its link may wait up to a second before the next try; when one target
@@ -392,10 +394,10 @@
             case Err(_):
                 return
 
-    def _spread(self, record: MemberRecord) -> None:
-        self._news[record.process_id] = record
-        self._has_news.set()
+    def _queue_update(self, record: MemberRecord) -> None:
+        self._pending_updates[record.process_id] = record
+        self._has_updates.set()
 
     def _on_peer_message(self, connection: Connection, message: Message) -> None:
         if isinstance(message, Gossip):
-            self.hear(from_wire(message.members))
+            self.apply_records(from_wire(message.members))
--- a/src/trefoilpaddle/coordination/members/overlay.py
+++ b/src/trefoilpaddle/coordination/members/overlay.py
@@ -35,15 +35,15 @@
         return others
     chosen = [_next_on_ring(own, others)]
     for number in range(fan_out - 1):
-        for place in highest(f"{own}#{number}", others, n=fan_out):
-            if place not in chosen:
-                chosen.append(place)
+        for member in highest(f"{own}#{number}", others, n=fan_out):
+            if member not in chosen:
+                chosen.append(member)
                 break
     return chosen
 
 
 def _next_on_ring(own: str, others: list[str]) -> str:
-    at = place_score(RING_KEY, own)
-    scores = {place: place_score(RING_KEY, place) for place in others}
-    behind = [place for place in others if scores[place] > at]
-    return min(behind or others, key=scores.__getitem__)
+    own_score = place_score(RING_KEY, own)
+    scores = {member: place_score(RING_KEY, member) for member in others}
+    following = [member for member in others if scores[member] > own_score]
+    return min(following or others, key=scores.__getitem__)
--- a/src/trefoilpaddle/coordination/members/watch_peers.py
+++ b/src/trefoilpaddle/coordination/members/peer_monitor.py
@@ -14,7 +14,7 @@
 from ..own_process import OwnProcess
 from .membership import Membership
 
-TICK_S: Final = 0.25
+CHECK_PERIOD_S: Final = 0.25
 """Time between two looks at the watched links."""
 
 CONNECT_GRACE_S: Final = 1.0
@@ -32,11 +32,11 @@
 IDLE_LINK_S: Final = 120.0
 """Time without use after which a link is closed."""
 
-SWEEP_S: Final = 5.0
+SWEEP_PERIOD_S: Final = 5.0
 """Time between two sweeps of old members and idle links."""
 
 
-class PeerWatch:
+class PeerMonitor:
     """Keeps the links to the children open and says when one falls silent.
 
     Parameters
@@ -49,7 +49,7 @@
         Returns True for an address to which the role wants a link kept.
     """
 
-    __slots__ = ("_is_wanted", "_judge_from_s", "_membership", "_process", "_watched_s")
+    __slots__ = ("_check_from_s", "_is_wanted", "_membership", "_process", "_watched_s")
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._membership = membership
         self._is_wanted = is_wanted
         self._watched_s: dict[str, float] = {}
-        self._judge_from_s = 0.0
+        self._check_from_s = 0.0
 
-    def woke_late(self) -> None:
+    def postpone_checks(self) -> None:
         """Judge nobody's silence until it is really theirs.
 
         To a process that was paused itself all others look silent.
         """
-        self._judge_from_s = time.monotonic() + SILENCE_S + CONNECT_GRACE_S
+        self._check_from_s = time.monotonic() + SILENCE_S + CONNECT_GRACE_S
 
     async def run(self) -> None:
         """Watch until cancelled."""
-        next_sweep_s = time.monotonic() + SWEEP_S
+        next_sweep_s = time.monotonic() + SWEEP_PERIOD_S
         while True:
             now_s = time.monotonic()
-            self._membership.rewire()
+            self._membership.update_children()
             self._watch_children(now_s)
             if now_s >= next_sweep_s:
-                next_sweep_s = now_s + SWEEP_S
-                self.age(now_s)
+                next_sweep_s = now_s + SWEEP_PERIOD_S
+                self.expire_members(now_s)
                 await self._close_idle_links(now_s)
-            await aligned_sleep(TICK_S)
+            await aligned_sleep(CHECK_PERIOD_S)
 
     def _watch_children(self, now_s: float) -> None:
         children = {child.process_id: child for child in self._membership.children}
@@ -90,21 +90,21 @@
             process_id: self._watched_s.get(process_id, now_s)
             for process_id in children
         }
-        if now_s < self._judge_from_s:
+        if now_s < self._check_from_s:
             return
         for process_id, child in children.items():
             watched_s = now_s - self._watched_s[process_id]
             if watched_s > SILENCE_S + CONNECT_GRACE_S:
-                self._judge(child)
+                self._suspect_if_unresponsive(child)
             else:
                 self._link(child)
 
-    def _judge(self, child: MemberRecord) -> None:
+    def _suspect_if_unresponsive(self, child: MemberRecord) -> None:
         link = self._link(child)
         if link is None or link.is_heard():
             return
         if child.state is MemberState.LIVE:
-            self._membership.say(child.process_id, MemberState.SUSPECT)
+            self._membership.report_state(child.process_id, MemberState.SUSPECT)
 
     def _link(self, child: MemberRecord) -> Link | None:
         match Address.parse(child.address):
@@ -113,17 +113,17 @@
             case _:
                 return None
 
-    def age(self, now_s: float) -> None:
+    def expire_members(self, now_s: float) -> None:
         """Take suspects for dead and forget the dead, each after a long while."""
         for record in list(self._membership.table.records.values()):
             if record.process_id == self._membership.own.process_id:
                 continue
-            age_s = now_s - self._membership.since_s.get(record.process_id, now_s)
+            age_s = now_s - self._membership.last_change_s.get(record.process_id, now_s)
             match record.state:
                 case MemberState.SUSPECT if age_s > DEAD_AFTER_S:
-                    self._membership.say(record.process_id, MemberState.DEAD)
+                    self._membership.report_state(record.process_id, MemberState.DEAD)
                 case MemberState.LEAVING if age_s > LEFT_AFTER_S:
-                    self._membership.say(record.process_id, MemberState.DEAD)
+                    self._membership.report_state(record.process_id, MemberState.DEAD)
                 case MemberState.DEAD if age_s > FORGET_AFTER_S:
                     self._membership.forget(record.process_id)
                 case _:
--- a/src/trefoilpaddle/coordination/members/probe.py
+++ b/src/trefoilpaddle/coordination/members/probe.py
@@ -9,7 +9,7 @@
 from ..own_process import OwnProcess
 
 
-def _ignore(link: Link, message: Message) -> None:
+def _ignore_message(link: Link, message: Message) -> None:
     """Drop what a probed process says unasked."""
 
 
@@ -24,7 +24,7 @@
         address=address,
         own_hello=process.hello,
         own_heartbeat=process.heartbeat,
-        on_message=_ignore,
+        on_message=_ignore_message,
     )
     link.start()
     try:
--- a/src/trefoilpaddle/coordination/members/subset.py
+++ b/src/trefoilpaddle/coordination/members/subset.py
@@ -38,20 +38,20 @@
         return list(targets)
     ranked = sorted({*gateways, own}, key=lambda name: place_score(ORDER_KEY, name))
     start = ranked.index(own) * len(targets) // len(ranked)
-    mixed = mix_domains(targets)
-    return [mixed[(start + step) % len(mixed)] for step in range(n)]
+    interleaved = interleave_domains(targets)
+    return [interleaved[(start + step) % len(interleaved)] for step in range(n)]
 
 
-def mix_domains(targets: Sequence[Host]) -> list[Host]:
+def interleave_domains(targets: Sequence[Host]) -> list[Host]:
     """Return `targets` in an order in which each domain recurs evenly."""
     by_domain: dict[str, list[Host]] = {}
     for host in targets:
         by_domain.setdefault(host.failure_domain, []).append(host)
-    placed: list[tuple[float, str, Host]] = []
+    positioned: list[tuple[float, str, Host]] = []
     for domain, hosts in by_domain.items():
         hosts.sort(key=lambda host: place_score(ORDER_KEY, host.process_id))
-        placed += [
+        positioned += [
             ((number + 0.5) / len(hosts), domain, host)
             for number, host in enumerate(hosts)
         ]
-    return [host for _, _, host in sorted(placed, key=lambda place: place[:2])]
+    return [host for _, _, host in sorted(positioned, key=lambda item: item[:2])]
--- a/src/trefoilpaddle/roles/operators.py
+++ b/src/trefoilpaddle/roles/operators.py
@@ -249,7 +249,7 @@
     async def _explain(self, request: web.Request) -> web.Response:
         request_id = request.match_info["request_id"]
         gatherer = TimelineGatherer(
-            asker=self._asker,
+            queries=self._asker,
             hosts=self._process.published.hosts,
             own_process_id=self._process.identity.process_id,
             own_target=self._process.identity.target,
@@ -266,7 +266,7 @@
         if request.query.get("scope") == "own":
             return _json(self.status())
         fleet = await gather_status(
-            asker=self._asker,
+            queries=self._asker,
             own=self.status(),
             hosts=self._process.published.hosts,
             catalogue=self._process.published.catalogue,
--- a/tests/chain/test_fleet_settled.py
+++ b/tests/chain/test_fleet_settled.py
@@ -25,7 +25,9 @@
         self.fleet = Fleet(process=process("own"), seeds=())
 
     def hear(self, name: str, incarnation: int, millicores: int) -> None:
-        self.fleet.membership.hear([member(name, incarnation, millicores=millicores)])
+        self.fleet.membership.apply_records(
+            [member(name, incarnation, millicores=millicores)]
+        )
 
     def settles_after_s(self) -> float:
         """Let weak hosts join every step; return when the gateway is settled."""
@@ -52,7 +54,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         rig = Rig(monkeypatch)
-        rig.fleet.membership.leave()
+        rig.fleet.membership.announce_leaving()
         assert not rig.fleet.is_settled()
 
     # All hosts are back after a loss of power: the strong ones in half a second, the
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -47,7 +47,7 @@
     side_of: Callable[[str], object] = field(default=lambda name: 0)
     names: dict[Address, str] = field(default_factory=dict)
 
-    def is_cut(self, one: str, other: str) -> bool:
+    def is_partitioned(self, one: str, other: str) -> bool:
         return self.side_of(one) != self.side_of(other)
 
     def heal(self) -> None:
@@ -56,24 +56,26 @@
     def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
         write, open_link = Connection.write, Link._open
 
-        def cut_write(own: Connection, message: Message, *, call: int = 0) -> bool:
-            if self.is_cut(
+        def partitioned_write(
+            own: Connection, message: Message, *, call: int = 0
+        ) -> bool:
+            if self.is_partitioned(
                 own.own.process_id, own.peer.process_id or own.own.process_id
             ):
                 return True
             return write(own, message, call=call)
 
         @contextlib.asynccontextmanager
-        async def cut_open(link: Link) -> AsyncIterator[Connection | None]:
+        async def partitioned_open(link: Link) -> AsyncIterator[Connection | None]:
             own = link._own_hello().process_id
-            if self.is_cut(own, self.names.get(link.address, own)):
+            if self.is_partitioned(own, self.names.get(link.address, own)):
                 yield None
                 return
             async with open_link(link) as connection:
                 yield connection
 
-        monkeypatch.setattr(Connection, "write", cut_write)
-        monkeypatch.setattr(Link, "_open", cut_open)
+        monkeypatch.setattr(Connection, "write", partitioned_write)
+        monkeypatch.setattr(Link, "_open", partitioned_open)
 
 
 class FakeFleet:
--- a/tests/peer_helpers.py
+++ b/tests/peer_helpers.py
@@ -34,7 +34,7 @@
     )
 
 
-def beat() -> Heartbeat:
+def heartbeat() -> Heartbeat:
     """Return a heartbeat that says nothing in particular."""
     return Heartbeat(load=Load(n_slots=1))
 
@@ -43,7 +43,7 @@
     """Return a server on a port that the kernel picks."""
     options.setdefault("address", Address(ip="127.0.0.1", port=0))
     options.setdefault("own_hello", hello_of("server", incarnation=10))
-    options.setdefault("own_heartbeat", beat)
+    options.setdefault("own_heartbeat", heartbeat)
     return PeerServer(**options)
 
 
@@ -51,7 +51,7 @@
 async def link_to(address: Address, **options: Any) -> AsyncIterator[Link]:
     """Yield a started link; stop it at the end."""
     options.setdefault("own_hello", hello_of("client", incarnation=20))
-    options.setdefault("own_heartbeat", beat)
+    options.setdefault("own_heartbeat", heartbeat)
     options.setdefault("on_message", lambda link, message: None)
     link = Link(address=address, **options)
     link.start()
@@ -86,7 +86,7 @@
             case error:
                 raise AssertionError(error)
 
-    async def ended(self) -> None:
+    async def wait_closed(self) -> None:
         """Return once the other side has closed the connection."""
         async with asyncio.timeout(WAIT_CAP_S):
             with contextlib.suppress(OSError):
--- a/tests/test_config_schedules.py
+++ b/tests/test_config_schedules.py
@@ -65,7 +65,7 @@
         revision = max(0, len(self.log) - n_stale)
         known = state.items.revision
         last = {item.key: item for item in self.log[known:revision]}
-        state.take(last.values(), revision=revision, source="service")
+        state.apply(last.values(), revision=revision, source="service")
 
     def newest_at(self, revision: int) -> dict[str, int]:
         """Return the revision of each key's newest version at a revision."""
@@ -111,7 +111,7 @@
 
 
 @dataclass
-class WireTo:
+class FakeLink:
     """Stands for a link to `node`; an answer can be lost."""
 
     node: Node
@@ -127,7 +127,7 @@
 
 
 async def pull(node: Node, other: Node, *, is_lossy: bool = False) -> bool:
-    return await node.peers.pull(cast(Link, WireTo(other, is_lossy)))
+    return await node.peers.pull(cast(Link, FakeLink(other, is_lossy)))
 
 
 numbers = st.integers(0, N_PROCESSES - 1)
@@ -154,7 +154,7 @@
         case "deliver" if any(node.outbox for node in nodes):
             sent = [delta for node in nodes for delta in node.outbox]
             delta = sent[args[1] % len(sent)]
-            nodes[args[0]].peers._take_push(delta, "peer")
+            nodes[args[0]].peers._apply_push(delta, "peer")
         case "restart" if args[0] != args[1]:
             nodes[args[0]] = new_node()
             await pull(nodes[args[0]], nodes[args[1]])
@@ -171,9 +171,9 @@
             assert node.published.catalogue.revision >= revision
         for node in nodes:
             assert newest_of(node) == service.newest_at(node.state.items.revision)
-            whole = CatalogueBuilder().put_in_force(copy.deepcopy(node.state.items))
-            assert whole.catalogue == node.published.catalogue
-            assert whole.held_back == node.state.held_back
+            rebuilt = CatalogueBuilder().put_in_force(copy.deepcopy(node.state.items))
+            assert rebuilt.catalogue == node.published.catalogue
+            assert rebuilt.held_back == node.state.held_back
         if kind == "restart":
             asked = nodes[args[1]].published.catalogue.revision
             assert nodes[args[0]].published.catalogue.revision >= asked
--- a/tests/test_explain_record.py
+++ b/tests/test_explain_record.py
@@ -65,7 +65,7 @@
 async def timeline_of(f: Fleet, view: OperatorsView, request_id: str) -> Timeline:
     process = gateway_process(f)
     gatherer = TimelineGatherer(
-        asker=OperatorQueries(peers=process.peers),
+        queries=OperatorQueries(peers=process.peers),
         hosts=process.published.hosts,
         own_process_id=process.identity.process_id,
         own_target="",
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -85,7 +85,7 @@
                 peer.writer.write_eof()
             answer = await self._link.ask(Bar(attempt_id=b"good"), timeout_s=20)
             assert answer.unwrap() == BarAnswer(attempt_id=b"good")
-            await peer.ended()
+            await peer.wait_closed()
         assert self._link.connection is connection
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -96,9 +96,9 @@
 
         monkeypatch.setattr(membership, "probe_link", link)
         own = Membership(process=process("a"), seeds=())
-        meeting = asyncio.create_task(own.meet("127.0.0.1:9"))
+        meeting = asyncio.create_task(own.exchange_at("127.0.0.1:9"))
         await asyncio.sleep(0)
-        own.hear([member("b", 1)])
+        own.apply_records([member("b", 1)])
         opened.set()
         assert await meeting
         known = {record.process_id for record in asked[0].members}
@@ -220,7 +220,9 @@
                 )
             )
             links = list(paused.process.peers.links.values())
-            monkeypatch.setattr(paused.feed.wake, "_tick_s", time.monotonic() - 10.0)
+            monkeypatch.setattr(
+                paused.feed.pause_detector, "_checked_s", time.monotonic() - 10.0
+            )
             assert not paused.feed.is_known()
             assert paused.feed.directory.sidecars("a") == []
             assert not any(link.is_heard() for link in links)
@@ -268,7 +270,7 @@
         # them of one another as news, on links that were not open yet, and these were
         # lost: until digests had differed twice, seconds later, both groups read the
         # store, and scheduled the same stage workers.
-        monkeypatch.setattr(membership, "ROUND_S", 3600.0)
+        monkeypatch.setattr(membership, "COMPARE_PERIOD_S", 3600.0)
         async with contextlib.AsyncExitStack() as stack:
             processes = [gateway(name) for name in "wxyz"]
             for each in processes:
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -53,7 +53,7 @@
             raw_peer(server.address),
             raw_peer(server.address) as third,
         ):
-            await third.ended()
+            await third.wait_closed()
 
     async def test_an_open_listener_that_raises_leaks_no_connection(self) -> None:
         def on_open(connection: Connection) -> None:
@@ -186,14 +186,14 @@
         # be served by a process that believes that it has stopped.
         opened: list[Connection] = []
         server = server_of(on_open=opened.append)
-        async with raw_listener(RawPeer.ended):
+        async with raw_listener(RawPeer.wait_closed):
             context = server.listening()
             await context.__aenter__()
             async with raw_peer(server.address) as peer:
                 await peer.receive()
                 await context.__aexit__(None, None, None)
                 peer.send(hello_of("late")())
-                await peer.ended()
+                await peer.wait_closed()
         assert not opened
 
     async def test_an_answerer_that_hangs_gives_its_place_back(
@@ -262,21 +262,21 @@
         server = server_of()
         async with server.listening(), raw_peer(server.address) as peer:
             peer.send(hello_of(process_id)())
-            await peer.ended()
+            await peer.wait_closed()
             assert not server.connections
 
     async def test_another_version_is_refused(self) -> None:
         server = server_of()
         async with server.listening(), raw_peer(server.address) as peer:
             peer.send(Hello(version=99, process_id="p"))
-            await peer.ended()
+            await peer.wait_closed()
 
     @pytest.mark.usefixtures("fast")
     async def test_a_hello_that_never_comes_is_not_awaited_for_ever(self) -> None:
         server = server_of()
         async with server.listening(), raw_peer(server.address) as peer:
             peer.writer.write(encode(hello_of("p")())[:7])
-            await peer.ended()
+            await peer.wait_closed()
 
 
 class TestAddress:
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import AsyncIterator
 
-from tests.peer_helpers import beat, hello_of, server_of
+from tests.peer_helpers import heartbeat, hello_of, server_of
 from tests.waiting import until
 from trefoilpaddle.coordination.requests.target_view import TargetViews
 from trefoilpaddle.protocol.gen.stage.ttypes import Hello
@@ -24,7 +24,7 @@
 async def own_peers() -> AsyncIterator[Peers]:
     peers = Peers(
         own_hello=hello_of("g1-gateway", incarnation=20),
-        own_heartbeat=beat,
+        own_heartbeat=heartbeat,
         on_message=lambda link, message: None,
     )
     async with peers.open():
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -8,8 +8,8 @@
 
 from tests.peer_helpers import (
     RawPeer,
-    beat,
     echo,
+    heartbeat,
     hello_of,
     link_to,
     raw_listener,
@@ -208,7 +208,7 @@
         # alive and hold the port against the sidecar's restart.
         async def serve(peer: RawPeer) -> None:
             peer.send(hello_of("client", incarnation=20)())
-            await peer.ended()
+            await peer.wait_closed()
 
         async with raw_listener(serve) as address, link_to(address) as link:
             answer = await link.ask(Bar(), timeout_s=0.3)
@@ -237,7 +237,7 @@
         # and takes bytes, but no heartbeat comes.
         async def serve(peer: RawPeer) -> None:
             peer.send(hello_of("paused")())
-            await peer.ended()
+            await peer.wait_closed()
 
         changes: list[bool] = []
         async with (
@@ -263,7 +263,7 @@
             n_dialled += 1
             peer.send(hello_of("sidecar", incarnation=n_dialled)())
             peer.send(Closing())
-            await peer.ended()
+            await peer.wait_closed()
 
         async with raw_listener(serve) as address, link_to(address):
             await until(lambda: n_dialled > 1, cap_s=5.0)
@@ -302,7 +302,7 @@
             n_made += 1
             if n_made == 2:
                 raise RuntimeError("load cannot be read")
-            return beat()
+            return heartbeat()
 
         server = server_of()
         async with (
