--- a/src/trefoilpaddle/coordination/configuration/__init__.py
+++ b/src/trefoilpaddle/coordination/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The catalogue: read, checked, spread among peers, put in force."""
+"""The catalogue: read, validated, spread among peers and activated."""
--- a/src/trefoilpaddle/coordination/configuration/config_feed.py
+++ b/src/trefoilpaddle/coordination/configuration/config_feed.py
@@ -1,4 +1,4 @@
-"""Keeps catalogue, host list and members of one process up to date."""
+"""Keeps the catalogue, the host list and the members of a process up to date."""
 
 import asyncio
 import contextlib
@@ -21,24 +21,28 @@
 from .reader_selection import ReaderSelection
 
 START_WAIT_S: Final = 10.0
-"""Longest wait at the start for a first catalogue."""
+"""Longest wait for a first catalogue when the process starts."""
 
 
 class ConfigFeed:
-    """What keeps one process up to date; made by `config_feed`.
+    """Components that keep one process up to date; created by `config_feed`.
 
     Attributes
     ----------
     state : ConfigState
-        Revision, held back changes, age of the last read.
+        Known versions, changes held back and age of the last read.
     membership : Membership
-        Who is there.
+        The members of the fleet.
     directory : LiveDirectory
-        Who can be given work and where a process is found.
+        Lookups of sidecars that accept work and of process addresses.
     pause_detector : PauseDetector
-        Knows whether this process has just been paused.
+        Detects that this process has been paused.
+    config_peers : ConfigPeers
+        Exchanges configuration with peers.
+    reader : ConfigReader
+        Reads the platform while this process is selected for it.
     client : PlatformClient
-        Counts the reads of the platform.
+        Client of the platform; counts the reads.
     """
 
     __slots__ = (
@@ -111,35 +115,35 @@
         )
 
     def is_known(self) -> bool:
-        """Return True while a catalogue is in force and peers have been asked.
+        """Return True while a catalogue is active and peers have been queried.
 
-        While False take no work: at the start nothing is known yet, and a
-        process that was paused must ask before it goes on.
+        While False the process must not accept work: at its start it knows
+        nothing yet, and after a pause it must query peers before it continues.
         """
         return self.state.known.is_set() and not self.pause_detector.is_pause_pending()
 
     def is_ready(self) -> bool:
-        """Return True while new work may be sent here.
+        """Return True while new work may be sent to this process.
 
-        That is while `is_known`, and once the links to the other role have
-        been there, or are waited for no longer.
+        This requires `is_known`, and that the links to the other role have once
+        been open or that the wait for them has ended.
         """
         return self.is_known() and self._link_readiness.is_ready()
 
     async def start(self) -> None:
-        """Ask peers, then the platform."""
+        """Query peers, then the platform."""
         self.membership.update_children()
         await self._startup_sync.run()
 
     async def resync_after_pauses(self) -> None:
-        """Ask peers again after each pause, until cancelled."""
+        """Query peers again after each pause, until cancelled."""
         while True:
             await self._has_resumed.wait()
             self._has_resumed.clear()
             await self._startup_sync.run()
 
     def tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for as long as the process does."""
+        """Return the coroutines that run for the lifetime of the process."""
         return [
             self.pause_detector.run(),
             self._monitor.run(),
@@ -155,10 +159,10 @@
         ]
 
     def _resume_after_pause(self, gap_s: float) -> None:
-        """Drop what may be stale after a pause.
+        """Discard state that may be stale after a pause.
 
         Sockets hold heartbeats from before and during the pause, which would
-        pass for fresh ones; only a new connection says who is there now.
+        be taken for recent ones; only a new connection shows which peers are up.
         """
         self._process.journal.record(
             Decision(
@@ -183,10 +187,11 @@
     peers: PeerSettings,
     start_wait_s: float = START_WAIT_S,
 ) -> AsyncIterator[ConfigFeed]:
-    """Keep `process` fed while the context is open; it must be running.
+    """Keep `process`, which must be running, up to date while the context is open.
 
-    Entering waits until a catalogue is in force, at most `start_wait_s`; after
-    that the role must not say ready before ``is_known()``.
+    Entering waits for up to `start_wait_s` for the start queries and for up to
+    `start_wait_s` again until a catalogue is known. The role must not report that
+    it is ready before ``is_known()`` returns True.
     """
     async with (
         platform_client(
--- a/src/trefoilpaddle/coordination/configuration/config_peers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_peers.py
@@ -1,4 +1,4 @@
-"""Configuration between peers: differences flooded, the rest asked for."""
+"""Exchange of configuration between peers: changes are pushed, gaps are pulled."""
 
 import asyncio
 import contextlib
@@ -33,24 +33,24 @@
 )
 
 PUSH_BYTES: Final = 16 * 1024
-"""Larger differences are announced only, so each process fetches them once."""
+"""Larger changes are only announced, so that each process fetches them once."""
 
 PULL_TIMEOUT_S: Final = 2.0
-"""Longest wait for one page of a peer."""
+"""Longest wait for one page from a peer."""
 
 PULL_PERIOD_S: Final = 2.0
-"""Time between two questions to neighbours about what they know."""
+"""Mean time between two periodic pulls from children."""
 
 FETCH_DELAY_S: Final = 0.2
-"""Wait after hearing of a newer revision, for a flood that is on its way."""
+"""Wait after a heartbeat with a newer revision, for a push that is in transit."""
 
 MAX_PAGES: Final = 1000
-"""Pages taken from one peer; bounds one that never comes to its end."""
+"""Largest number of pages read from one peer, in case its list never ends."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NewerPeer:
-    """A process that knows something newer, and how new."""
+    """A process that has newer configuration, and its revisions."""
 
     process_id: str
     revision: int
@@ -58,16 +58,16 @@
 
 
 class ConfigPeers:
-    """Passes on what is news here and fetches what is known elsewhere.
+    """Pushes changes to peers and pulls versions that are not known here.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     state : ConfigState
-        What is known here.
+        The configuration known here.
     membership : Membership
-        Whom to tell and whom to ask.
+        The children to push to and pull from, and addresses of members.
     """
 
     __slots__ = (
@@ -94,7 +94,7 @@
         state.subscribe(self._push)
 
     async def answer(self, request: ConfigPull, peer: Hello) -> ConfigDelta:
-        """Answer a peer that asks for what it does not know."""
+        """Respond to a peer that requests versions that it does not know."""
         items = self._state.items
         if len(request.shard_digests) == N_SHARDS:
             items_to_send = items.differing(
@@ -112,7 +112,7 @@
         return delta
 
     async def pull(self, link: Link) -> bool:
-        """Take from a peer all that is not known here; True if it answered."""
+        """Fetch from a peer all that is not known here; return True if it responded."""
         async with self._pull_lock:
             delta = await self._fetch(link, self._new_request())
             if delta is None:
@@ -124,10 +124,10 @@
             return await self._fetch(link, request) is not None
 
     async def _fetch(self, link: Link, request: ConfigPull) -> ConfigDelta | None:
-        """Ask page by page, take all as one change and return the last page.
+        """Fetch page by page, apply all as one change and return the last page.
 
-        Between two pages a key can be missing whose newest version comes on the
-        second; what stood in force in between would never have been published.
+        Applying single pages could activate a state that was never published: a
+        key whose newest version is on a later page would be missing from it.
         """
         items: list[PublishedItem] = []
         for _ in range(MAX_PAGES):
@@ -143,7 +143,7 @@
         return None
 
     async def pull_periodically(self) -> None:
-        """Ask one child after the other what it knows, until cancelled."""
+        """Pull from the responsive children in turn, until cancelled."""
         number = 0
         while True:
             await asyncio.sleep(PULL_PERIOD_S * random.uniform(0.75, 1.25))
@@ -155,12 +155,12 @@
                 await self.pull(responsive[number % len(responsive)])
 
     async def fetch_newer(self) -> None:
-        """Fetch from whoever was heard to be newer, until cancelled."""
+        """Pull from peers that are known to be newer, until cancelled."""
         while True:
             await self._has_newer_peer.wait()
             self._has_newer_peer.clear()
             newer = self._newer_peer
-            # Several peers announce one change; the first fetch takes it.
+            # Several peers announce the same change; the first pull fetches it.
             if newer is None or not self._is_behind(newer):
                 continue
             async with self._link_to(newer.process_id) as link:
@@ -169,7 +169,7 @@
 
     @contextlib.asynccontextmanager
     async def _link_to(self, process_id: str) -> AsyncIterator[Link | None]:
-        """Yield an open link to a member, or a temporary one, or None."""
+        """Yield an open or a temporary link to a member, or None without an address."""
         record = self._membership.table.records.get(process_id)
         address = Address.parse(record.address if record else "").ok()
         if address is None:
@@ -183,7 +183,7 @@
             yield temporary
 
     def _push(self, change: ConfigChange) -> None:
-        """Send a change to the children, or tell them that there is one."""
+        """Send a change to the children, or only announce it if it is large."""
         changed = [
             item for key in change.keys for item in self._state.items.versions(key)
         ]
@@ -213,7 +213,7 @@
     async def _request_page(
         self, link: Link, request: ConfigPull
     ) -> Result[ConfigDelta, PeerError]:
-        # A fault here would end the loop that asks, and with it the process.
+        # An exception here would end the calling loop, and with it the process.
         match await link.ask(request, timeout_s=PULL_TIMEOUT_S):
             case Ok(ConfigDelta() as delta):
                 return Ok(delta)
@@ -240,8 +240,8 @@
     def _has_other_versions(self, delta: ConfigDelta) -> bool:
         """Return True if a peer at the same revision holds other versions.
 
-        It shows where one process knows the last good value of a rejected
-        change and another, which started later, does not.
+        This happens if one process knows the last valid value below a rejected
+        change and another process, which started later, does not.
         """
         items = self._state.items
         return delta.revision == items.revision and delta.digest != items.digest
@@ -260,7 +260,7 @@
             self._schedule_fetch(message.load.config_revision, link.peer.process_id)
 
     def _apply_push(self, delta: ConfigDelta, source: str) -> None:
-        """Take a difference that builds on what is known; else ask for the rest."""
+        """Apply a pushed change if its base is known; pull what is still missing."""
         state = self._state
         if delta.read_age_ms >= 0:
             state.record_read(delta.read_age_ms / 1000)
@@ -295,10 +295,10 @@
 
 
 def _first_page(items: Iterator[PublishedItem]) -> tuple[list[PublishedItem], bool]:
-    """Return items up to the page's size, and whether more follow.
+    """Return the items of one page, and whether more items follow.
 
-    The versions of one key are never parted: the next page is asked for by the
-    revision of the last item.
+    The versions of one key are never split between pages: the next page is
+    requested by the revision of the last item.
     """
     page: list[PublishedItem] = []
     size_bytes = 0
--- a/src/trefoilpaddle/coordination/configuration/config_readers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_readers.py
@@ -1,4 +1,4 @@
-"""Reads the configuration service and the host list while this process reads."""
+"""Reads the configuration service and the host list on the selected processes."""
 
 import asyncio
 import random
@@ -15,20 +15,20 @@
 from .reader_selection import ReaderSelection
 
 RECHECK_S: Final = 0.5
-"""Time between two looks at whether this process reads now."""
+"""Mean time between two checks of whether this process should read."""
 
 BACKOFF_MIN_S: Final = 0.1
-"""First wait after a read that failed."""
+"""First wait after a failed read."""
 
 BACKOFF_MAX_S: Final = 2.0
-"""Longest wait after reads that failed."""
+"""Base of the longest wait after consecutive failed reads."""
 
 MAX_PAGES: Final = 1000
-"""Pages taken in one read; bounds a service that never comes to its end."""
+"""Largest number of pages in one read, in case the service's list never ends."""
 
 
 class Backoff:
-    """Growing waits with jitter, so that many readers do not retry in step."""
+    """Exponential backoff with jitter, so that many readers do not retry in step."""
 
     __slots__ = ("_wait_s",)
 
@@ -36,30 +36,30 @@
         self._wait_s = BACKOFF_MIN_S
 
     def reset(self) -> None:
-        """Begin again with the shortest wait."""
+        """Restart with the shortest wait."""
         self._wait_s = BACKOFF_MIN_S
 
     async def wait(self) -> None:
-        """Wait, longer each time up to ``BACKOFF_MAX_S``."""
+        """Wait, with a base that doubles each time up to ``BACKOFF_MAX_S``."""
         await asyncio.sleep(self._wait_s * random.uniform(0.5, 1.5))
         self._wait_s = min(BACKOFF_MAX_S, 2 * self._wait_s)
 
 
 class ConfigReader:
-    """Takes what the platform publishes into a `ConfigState`.
+    """Applies what the platform publishes to a `ConfigState`.
 
     Parameters
     ----------
     client : PlatformClient
-        Calls the platform.
+        Client of the platform.
     state : ConfigState
-        Takes what is read.
+        Receives the values and host lists read.
     platform : PlatformSettings
-        How often to read.
+        Provides the polling period.
     journal : Journal
-        Told when the service is lost and when it is back.
+        Records when the service becomes unavailable and when it recovers.
     selection : ReaderSelection
-        Says whether this process reads now.
+        Decides whether this process should read.
     """
 
     __slots__ = ("_client", "_is_lost", "_journal", "_platform", "_selection", "_state")
@@ -85,7 +85,7 @@
         return self._selection.is_reader()
 
     async def watch_values(self) -> None:
-        """Take each change of a value while this process reads."""
+        """Apply each published change of a value while this process should read."""
         backoff = Backoff()
         while True:
             if not self._selection.should_read():
@@ -96,14 +96,14 @@
                 await backoff.wait()
 
     async def watch_hosts(self) -> None:
-        """Read the host list every ``poll_s`` while this process reads."""
+        """Read the host list about every ``poll_s`` while this process should read."""
         while True:
             if self._selection.should_read():
                 await self.read_hosts()
             await asyncio.sleep(self._platform.poll_s * random.uniform(0.8, 1.2))
 
     async def read_values(self) -> bool:
-        """Wait for one change, or ``poll_s``; return False if it failed."""
+        """Wait up to ``poll_s`` for a change and apply it; return False on failure."""
         known = self._state.items.revision
         if known == 0:
             answer = await self._client.values(after=0)
@@ -119,7 +119,7 @@
                 return False
 
     async def read_hosts(self) -> bool:
-        """Read the host list once; return False if it failed."""
+        """Read and apply the host list once; return False on failure."""
         match await self._client.hosts():
             case Ok(data):
                 self._state.apply_hosts(data, source="platform")
@@ -128,11 +128,11 @@
                 return False
 
     async def _apply_all(self, page: ValuesPage) -> bool:
-        """Take a page and all that follow it as one change.
+        """Apply a page and all that follow it as one change.
 
-        A page that was cut is no state that ever was: a key whose newest
-        version stands on a later page is missing from it. Nothing is put in
-        force before the last page has come.
+        A truncated page is not a state that was ever published: a key whose newest
+        version is on a later page is missing from it. So nothing is activated
+        before the last page has been received.
         """
         items = [_item(value) for value in page.values]
         for _ in range(MAX_PAGES):
@@ -154,10 +154,10 @@
         return True
 
     def _record_stale(self, offered: int, known: int) -> None:
-        """Tell that the service is behind what is in force.
+        """Record that the service offers an older revision than the active one.
 
-        It does not count as read, so that other processes try as well; changes
-        published at revisions that were used before are not seen by anyone.
+        The service does not count as read then, so that other processes try as
+        well. No process sees changes published at revisions that were used before.
         """
         self._record_lost(
             PeerError(
--- a/src/trefoilpaddle/coordination/configuration/config_start.py
+++ b/src/trefoilpaddle/coordination/configuration/config_start.py
@@ -1,4 +1,4 @@
-"""What a process asks before it acts: peers first, the platform after."""
+"""Queries of a process before it accepts work: peers first, then the platform."""
 
 import asyncio
 import random
@@ -15,29 +15,32 @@
 from .config_state import ConfigState
 
 N_RESPONSES: Final = 2
-"""Peers whose word is taken for the highest revision."""
+"""Responses of peers after which the highest revision counts as known."""
 
 N_CONCURRENT_QUERIES: Final = 6
+"""Number of peers queried at the same time."""
+
 MAX_QUERIED: Final = 12
-"""Peers tried before this process goes by what the platform says alone."""
+"""Largest number of peers queried before this process relies on the platform."""
 
 
 class StartupSync:
-    """Learns members and the highest revision from peers, then reads if it must.
+    """Fetches members and configuration from peers, then reads if necessary.
 
-    A configuration service that is stale or down when a process starts, or
-    wakes late, offers less than the fleet already has in force. Peers know it.
+    A configuration service that is stale or unavailable when a process starts or
+    resumes after a pause offers an older revision than the one that is active in
+    the fleet. Peers know the active one.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     membership : Membership
-        Knows seeds, listed hosts and members.
+        Provides seeds, listed hosts and members.
     state : ConfigState
-        What is known here.
+        The configuration known here.
     config_peers : ConfigPeers
-        Fetches from a peer.
+        Pulls configuration from a peer.
     reader : ConfigReader
         Reads the platform.
     """
@@ -60,7 +63,7 @@
         self._reader = reader
 
     async def run(self) -> None:
-        """Ask until something is known; then say so to the state."""
+        """Query peers, then the platform if needed, and mark the queries as done."""
         if not self._process.published.hosts.hosts:
             await self._reader.read_hosts()
         n_responses = await self._query_peers()
@@ -81,7 +84,7 @@
         return n_responses
 
     def _candidates(self) -> list[str]:
-        """Return addresses to try, those that are surely there first."""
+        """Return the addresses to query in random order, live members first."""
         members = [
             record.address
             for record in self._membership.live()
--- a/src/trefoilpaddle/coordination/configuration/config_state.py
+++ b/src/trefoilpaddle/coordination/configuration/config_state.py
@@ -1,4 +1,4 @@
-"""Puts what was heard in force in this process, whoever it was heard from."""
+"""Activates configuration received from the platform or from peers."""
 
 import asyncio
 import time
@@ -16,21 +16,21 @@
 from ...state.published import Published
 
 MAX_DETAIL_CHARS: Final = 300
-"""Longest text of problems in a decision; more is cut off."""
+"""Longest `detail` text of a recorded decision; longer texts are truncated."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigChange:
-    """A change that has come in force here.
+    """A change that has become active in this process.
 
     Parameters
     ----------
     keys : frozenset of str
-        Keys of which something was news; empty if only the host list changed.
+        Keys with new versions; empty if only the host list changed.
     base_revision : int
-        Revision in force before.
+        Revision that was active before the change.
     source : str
-        Whom it was heard from.
+        The peer that sent it, or ``"platform"``.
     """
 
     keys: frozenset[str]
@@ -42,28 +42,30 @@
 
 
 class ConfigState:
-    """The versions known here and the catalogue that they put in force.
+    """The versions known here and the catalogue that follows from them.
 
     Parameters
     ----------
     published : Published
-        Takes the catalogue and the host list.
+        Receives the active catalogue and host list.
     journal : Journal
-        Told of each change and each version held back.
+        Records each change and each version held back.
 
     Attributes
     ----------
     items : ConfigItems
         The versions known.
     held_back : tuple of HeldBack
-        Published versions that are not in force, and why.
+        Published versions that are not active, and the reasons.
     hosts_json : bytes
-        The host list in force, as published.
+        The active host list, as published.
+    has_queried_peers : bool
+        Whether peers have been queried for the highest revision since the start
+        or the last pause.
     known : asyncio.Event
-        Set while a catalogue is in force and peers have been asked for a newer.
+        Set while a catalogue is active and peers have been queried.
     last_read_s : float or None
-        Monotonic time of the last read of the service, by any process, that
-        this one knows of.
+        Monotonic time of the last known read of the service by any process.
     """
 
     __slots__ = (
@@ -96,10 +98,10 @@
         self._listeners.append(listener)
 
     def set_peers_queried(self, has_queried_peers: bool) -> None:
-        """Note whether peers have been asked for the highest revision.
+        """Record whether peers have been queried for the highest revision.
 
-        A process that starts or wakes late while the service is stale would
-        otherwise serve by a catalogue that the others have left behind.
+        A process that starts, or resumes after a pause, while the service is stale
+        would otherwise use a catalogue that the other processes have replaced.
         """
         self.has_queried_peers = has_queried_peers
         self._update_known()
@@ -111,28 +113,28 @@
             self.known.clear()
 
     def record_read(self, age_s: float) -> None:
-        """Note that some process read the service `age_s` seconds ago."""
+        """Record that some process read the service `age_s` seconds ago."""
         read_at_s = time.monotonic() - age_s
         if self.last_read_s is None or read_at_s > self.last_read_s:
             self.last_read_s = read_at_s
 
     def read_age_s(self) -> float | None:
-        """Return how long ago any known process has read the service."""
+        """Return the time since the last known read of the service, or None."""
         return None if self.last_read_s is None else time.monotonic() - self.last_read_s
 
     def apply(
         self, items: Iterable[PublishedItem], *, revision: int, source: str
     ) -> bool:
-        """Put `items` in force and return True if anything of them was news.
+        """Apply `items`; return True if a version or the revision was new.
 
         Parameters
         ----------
         items : iterable of PublishedItem
-            All that changed up to `revision`, as far as `source` knows.
+            All changes up to `revision` that `source` knows.
         revision : int
-            Where the source stands.
+            Revision of the source.
         source : str
-            Whom it was heard from.
+            The peer that sent them, or ``"platform"``.
         """
         previous_revision = self.items.revision
         keys = self.items.join(items, revision=revision)
@@ -149,7 +151,7 @@
         return True
 
     def apply_hosts(self, data: bytes, *, source: str) -> bool:
-        """Put the host list `data` in force; return False if it is no news."""
+        """Activate the host list `data`; return False if it is invalid or not newer."""
         if data == self.hosts_json:
             return False
         match read_hosts(data):
--- a/src/trefoilpaddle/coordination/configuration/config_wire.py
+++ b/src/trefoilpaddle/coordination/configuration/config_wire.py
@@ -1,4 +1,4 @@
-"""Configuration as it passes between processes."""
+"""Conversion of configuration to and from messages between processes."""
 
 import zlib
 from collections.abc import Iterable, Iterator
@@ -11,13 +11,16 @@
 from ...state.config_items import PublishedItem, Version
 
 PAGE_BYTES: Final = 512 * 1024
-"""Values in one message, but for the last; even of a megabyte it fits a frame."""
+"""Size of the items in one message at which no further key is added.
+
+A message still fits in a frame if its last value is as large as a megabyte.
+"""
 
 PAGE_ITEMS: Final = MAX_ITEMS // 2
-"""Items in one message; a key can add two beyond it."""
+"""Number of items in one message; the last key can add two beyond it."""
 
 MAX_HOSTS_BYTES: Final = 16 * 1024 * 1024
-"""Bound on an unpacked host list."""
+"""Largest size of an unpacked host list."""
 
 
 def to_wire(item: PublishedItem) -> Item:
@@ -41,17 +44,17 @@
 
 
 def n_bytes(items: Iterable[PublishedItem]) -> int:
-    """Return about how many bytes the items take on the wire."""
+    """Return the approximate size of the items in a message, in bytes."""
     return sum(len(item.key) + len(item.version.value or b"") + 8 for item in items)
 
 
 def pack_hosts(hosts_json: bytes) -> bytes:
-    """Return the host list for the wire."""
+    """Return the host list compressed for a message."""
     return zlib.compress(hosts_json)
 
 
 def unpack_hosts(packed: bytes) -> Result[bytes, str]:
-    """Return the host list as published, or why it cannot be unpacked."""
+    """Return the host list as published, or an error text if it cannot be unpacked."""
     unpacker = zlib.decompressobj()
     try:
         data = unpacker.decompress(packed, MAX_HOSTS_BYTES)
--- a/src/trefoilpaddle/coordination/configuration/link_readiness.py
+++ b/src/trefoilpaddle/coordination/configuration/link_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a process that has just started has its links to the other role."""
+"""Readiness of a starting process: whether its links to the other role are open."""
 
 import time
 from collections.abc import Callable
@@ -15,22 +15,22 @@
 from ..own_process import OwnProcess
 
 LINK_WAIT_S: Final = 3.0
-"""After so long ready all the same; the others may be cut off from here."""
+"""Wait after which a process is ready without links; it may be partitioned."""
 
 
 class LinkReadiness:
-    """Remembers whether enough links have been there once.
+    """Remembers whether enough links have once been open.
 
-    A rolling replacement goes on with the next process when this one says
-    ready. Were a sidecar to say so before the gateways have linked to it, a
-    request whose first stages have run could find no target for the next and be
-    lost; were a gateway to say so before it has linked to sidecars, it would
-    refuse its first requests.
+    A rolling replacement continues with the next process when this one reports
+    that it is ready. If a sidecar reported it before the gateways have linked to
+    it, a request whose first stages have run could find no target for the next
+    stage and be lost. If a gateway reported it before it has linked to sidecars,
+    it would refuse its first requests.
 
     Parameters
     ----------
     has_links : callable
-        Returns True if enough links are there now.
+        Returns True if enough links are open now.
     """
 
     __slots__ = ("_has_links", "_is_ready", "_started_s")
@@ -41,7 +41,7 @@
         self._started_s: float | None = None
 
     def is_ready(self) -> bool:
-        """Return True once the links have been there, or after a while."""
+        """Return True once the links have been open, or after ``LINK_WAIT_S``."""
         if self._is_ready:
             return True
         if self._started_s is None:
@@ -52,14 +52,14 @@
 
 
 class SidecarLinks:
-    """Which gateways have linked to this sidecar.
+    """The links of gateways to this sidecar.
 
     Parameters
     ----------
     process : OwnProcess
         The sidecar.
     membership : Membership
-        Knows gateways and other sidecars.
+        Provides the gateways and the other sidecars.
     """
 
     __slots__ = ("_membership", "_process")
@@ -69,7 +69,11 @@
         self._membership = membership
 
     def has_links(self) -> bool:
-        """Return True if all gateways that will use this sidecar have linked."""
+        """Return True if the gateways that will use this sidecar have linked.
+
+        One gateway is enough if the service has more targets than a subset holds:
+        only some of the gateways will use this sidecar then.
+        """
         linked = {
             connection.peer.process_id
             for connection in self._process.server.connections
@@ -94,14 +98,14 @@
 
 
 class GatewayLinks:
-    """Which sidecars this gateway has linked to.
+    """The links of this gateway to sidecars.
 
     Parameters
     ----------
     process : OwnProcess
         The gateway.
     directory : Directory
-        Knows the sidecars.
+        Provides the sidecars.
     """
 
     __slots__ = ("_directory", "_process")
@@ -111,7 +115,7 @@
         self._directory = directory
 
     def has_links(self) -> bool:
-        """Return True if a sidecar of each service that has any is heard."""
+        """Return True if each service that has sidecars has a responsive one."""
         for service in self._process.published.catalogue.services:
             hosts = self._directory.sidecars(service)
             if hosts and not any(self._is_heard(host) for host in hosts):
--- a/src/trefoilpaddle/coordination/configuration/reader_selection.py
+++ b/src/trefoilpaddle/coordination/configuration/reader_selection.py
@@ -1,4 +1,4 @@
-"""Whether this process is one of the few that read the platform."""
+"""Selection of the few processes that read the platform."""
 
 import random
 import time
@@ -12,28 +12,29 @@
 READER_KEY: Final = "config reader"
 
 FALLBACK_READ_AFTER_S: Final = 30.0
-"""With no read known for this long, others than the readers try as well."""
+"""Time without a known read after which processes other than the readers read."""
 
 FALLBACK_READ_PERIOD_S: Final = 45.0
-"""Mean time between two such tries of one process."""
+"""Mean time between two such fallback reads of one process."""
 
 
 class ReaderSelection:
-    """Chooses the readers of the own failure domain, as this process sees it.
+    """Selects the readers of the own failure domain from the members known here.
 
-    Views differ for moments; the price is a few more reads, or for moments a
-    domain without a reader, which then hears from the others.
+    The members known to two processes differ for short times. This costs a few
+    additional reads, or leaves a domain without a reader for a short time, in
+    which it receives changes from other domains.
 
     Parameters
     ----------
     membership : Membership
-        Who is alive.
+        Provides the live members.
     state : ConfigState
-        Knows when the service was last read.
+        Provides the time of the last known read of the service.
     n_readers : int
         Readers per failure domain.
     journal : Journal
-        Told when this process becomes a reader or ceases to be one.
+        Records when this process becomes a reader or ceases to be one.
     """
 
     __slots__ = (
@@ -95,11 +96,11 @@
         )
 
     def _is_fallback_due(self) -> bool:
-        """Return True now and then while nobody seems to be reading.
+        """Return True at random intervals while no read of the service is known.
 
-        It shows when all readers are cut off from the service, while others
-        are not; the tries are so rare that a service which is down for all is
-        not called by the whole fleet at once.
+        The fallback applies if all readers are disconnected from the service while
+        other processes are not. It is rare enough that a service which is
+        unavailable to all is not called by the whole fleet at once.
         """
         age_s = self._state.read_age_s()
         if age_s is not None and age_s < FALLBACK_READ_AFTER_S:
--- a/src/trefoilpaddle/coordination/explaining/__init__.py
+++ b/src/trefoilpaddle/coordination/explaining/__init__.py
@@ -1,1 +1,1 @@
-"""What peers know of a request or of the fleet, gathered for operators."""
+"""Gathering of request timelines and fleet status from peers for operators."""
--- a/src/trefoilpaddle/coordination/explaining/status_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/status_gather.py
@@ -13,7 +13,7 @@
 from ..requests.operator_queries import OperatorQueries
 
 MAX_CONCURRENT_QUERIES: Final = 32
-"""Processes that are asked at the same time."""
+"""Largest number of processes queried at the same time."""
 
 
 async def gather_status(
@@ -23,7 +23,19 @@
     hosts: HostList,
     catalogue: Catalogue,
 ) -> FleetStatus:
-    """Return the status of all processes on `hosts` that answer."""
+    """Return the status of this process and of all on `hosts` that respond.
+
+    Parameters
+    ----------
+    queries : OperatorQueries
+        Queries other processes.
+    own : ProcessStatus
+        Status of this process.
+    hosts : HostList
+        The active host list.
+    catalogue : Catalogue
+        The active catalogue, with the entries.
+    """
     others = [host for host in hosts.hosts if host.process_id != own.process_id]
     limit = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
--- a/src/trefoilpaddle/coordination/explaining/timeline_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/timeline_gather.py
@@ -1,4 +1,4 @@
-"""Gathers a request's timeline from every process that took part in it."""
+"""Gathers the timeline of a request from the processes that took part in it."""
 
 import asyncio
 import time
@@ -14,26 +14,26 @@
 from ..requests.operator_queries import OperatorQueries, ReportedSteps
 
 MAX_QUERIED: Final = 64
-"""Most processes asked about one request."""
+"""Largest number of other processes queried about one request."""
 
 
 class TimelineGatherer:
-    """Asks for one request; use a new one for each.
+    """Gathers the timeline of one request; create a new instance for each.
 
-    The process that the id names knows which sidecars and gateways took part;
-    those are asked next. When that process is gone, all listed ones are asked,
-    up to ``MAX_QUERIED``: a sidecar remembers its own part.
+    The process that the request id names knows which sidecars and gateways took
+    part; those are queried next. If that process is not available, all listed
+    processes are queried, up to ``MAX_QUERIED``: a sidecar records its own steps.
 
     Parameters
     ----------
     queries : OperatorQueries
-        Asks other processes.
+        Queries other processes.
     hosts : HostList
-        The list in force.
+        The active host list.
     own_process_id, own_target : str
-        This process, whose steps are known without asking, and its target.
+        This process, whose steps are known without a query, and its target.
     own_incarnation : int
-        Which start of it this is.
+        Incarnation of this process.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         self._queried = {own_process_id}
 
     async def gather(self, request_id: str, own_steps: Iterable[Step]) -> Timeline:
-        """Return the request's timeline, with what is missing from it."""
+        """Return the timeline of the request, with the processes that are missing."""
         own_report = Heard(
             names=_names(self._own_process_id, self._own_target),
             steps=tuple(own_steps),
@@ -133,7 +133,7 @@
         return answer
 
     def _named(self) -> list[Host]:
-        """Return who is named in the steps so far and was not asked yet."""
+        """Return the processes named in the steps so far that were not queried yet."""
         names = {step.peer for report in self._reports for step in report.steps}
         named = [
             host
--- a/src/trefoilpaddle/coordination/members/__init__.py
+++ b/src/trefoilpaddle/coordination/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: members, links between them, silence and waking."""
+"""Fleet membership: member records, links to peers, failure and pause detection."""
--- a/src/trefoilpaddle/coordination/members/directory.py
+++ b/src/trefoilpaddle/coordination/members/directory.py
@@ -1,4 +1,4 @@
-"""Who can be given work and where a process is found."""
+"""Directories of the sidecars that accept work and of process addresses."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -17,19 +17,19 @@
 
 
 class Directory(Protocol):
-    """Answers the two questions that routing asks about other processes."""
+    """Lookups of other processes that routing needs."""
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that may be given new work."""
+        """Return the sidecars of `service` to which new work may be sent."""
         ...
 
     def host(self, process_id: str) -> Host | None:
-        """Return where a process is found, or None if it is not known."""
+        """Return the host entry of a process, or None if it is unknown."""
         ...
 
 
 class PublishedDirectory:
-    """Directory that knows only the published host list."""
+    """Directory that uses only the published host list."""
 
     __slots__ = ("_published",)
 
@@ -37,11 +37,11 @@
         self._published = published
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that the list calls live."""
+        """Return the sidecars of `service` that the host list marks as live."""
         return self._published.hosts.sidecars(service)
 
     def host(self, process_id: str) -> Host | None:
-        """Return the listed host of `process_id`, or None."""
+        """Return the host list entry of `process_id`, or None if it has none."""
         for host in self._published.hosts.hosts:
             if host.process_id == process_id:
                 return host
@@ -49,22 +49,24 @@
 
 
 class LiveDirectory:
-    """Directory that joins the published list with what members say.
+    """Directory that combines the published host list with the member records.
 
-    The list lags: it names hosts that are gone and lacks new ones. A sidecar
-    gets new work unless the list or the sidecar itself says that it is leaving,
-    or members say that it is dead or silent while this process does not hear it
-    either. Whoever is named may still be refused by its link: a peer that has
-    been silent for ``SILENCE_S`` gets nothing new.
+    The host list is delayed: it contains hosts that were removed and lacks new
+    ones. A sidecar gets new work unless the host list or its member record
+    marks it as leaving, its member record marks it as dead, or it is suspected
+    and this process receives nothing from it either. The link to a returned
+    sidecar may still reject the work: a peer that has been unresponsive for
+    ``SILENCE_S`` gets no new work.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     membership : Membership
-        What members say.
+        The member records.
     pause_detector : PauseDetector
-        Asked first, so that a pause is dealt with before anything is chosen.
+        Checked before each lookup of sidecars, so that a pause of this process
+        is handled before outdated records are used.
     """
 
     __slots__ = (
@@ -91,7 +93,7 @@
         self._versions = (-1, -1)
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that may be given new work."""
+        """Return the sidecars of `service` to which new work may be sent."""
         if self._pause_detector.is_pause_pending():
             self._pause_detector.check()
         self._discard_outdated()
@@ -101,7 +103,10 @@
         return [host for host in self._subsets[service] if self._is_usable(host)]
 
     def host(self, process_id: str) -> Host | None:
-        """Return where a process is found, or None if it is not known."""
+        """Return the host entry of a process, or None if it is unknown.
+
+        The address of a member that is not dead replaces the published one.
+        """
         record = self._membership.table.records.get(process_id)
         listed = self._listed(process_id)
         if record is None or record.state is MemberState.DEAD:
@@ -111,7 +116,7 @@
         return replace(listed, peer_address=record.address)
 
     def is_wanted(self, address: Address) -> bool:
-        """Return True if the link to `address` serves a chosen sidecar."""
+        """Return True if `address` belongs to a sidecar of a current subset."""
         text = str(address)
         return any(
             host.peer_address == text
@@ -138,7 +143,7 @@
         return subset(self._membership.own.process_id, gateways, targets)
 
     def _candidates(self, service: str) -> Iterator[Host]:
-        """Yield the sidecars of `service`, listed ones first."""
+        """Yield the candidate sidecars of `service`, published ones first."""
         records = self._membership.table.records
         listed = self._process.published.hosts.hosts
         for host in listed:
--- a/src/trefoilpaddle/coordination/members/duty_rank.py
+++ b/src/trefoilpaddle/coordination/members/duty_rank.py
@@ -1,4 +1,4 @@
-"""Which gateways do first what a few do for all: keeping cells, reading the store."""
+"""Rank of gateways for duties that a few perform for all: cells, store reads."""
 
 from dataclasses import dataclass
 
@@ -7,27 +7,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class DutyRank:
-    """How early a member comes among those that could take a duty.
+    """Rank of a member among the candidates for a duty; the lowest comes first.
 
     Parameters
     ----------
-    negative_log2_millicores : int
-        Negative binary order of its processor, so that the strongest is least.
+    negative_bit_length : int
+        Negative bit length of its processor capacity in millicores, so that the
+        member with the largest capacity has the lowest rank.
     incarnation : int
-        Of its start; greater the later it was.
+        Incarnation of the process; a later start has a greater one.
     """
 
-    negative_log2_millicores: int
+    negative_bit_length: int
     incarnation: int
 
 
 def duty_rank(member: MemberRecord) -> DutyRank:
-    """Return the order in which members take a duty, the first first.
+    """Return the rank by which members are ordered for a duty, lowest first.
 
-    Only a host with twice the processor goes before an older one: each
-    change loses what the one before knew.
+    A newer member precedes an older one only if its processor capacity, rounded
+    down to a power of two, is larger: each change of the holder of a duty loses
+    the state that the previous holder had gathered.
     """
     return DutyRank(
-        negative_log2_millicores=-member.millicores.bit_length(),
+        negative_bit_length=-member.millicores.bit_length(),
         incarnation=member.incarnation,
     )
--- a/src/trefoilpaddle/coordination/members/member_wire.py
+++ b/src/trefoilpaddle/coordination/members/member_wire.py
@@ -1,4 +1,4 @@
-"""Member records as they pass between processes."""
+"""Conversion of member records to and from messages between processes."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -31,7 +31,7 @@
 
 
 def from_wire(members: Iterable[Member]) -> Iterator[MemberRecord]:
-    """Yield the record of each member, leaving out what cannot be one."""
+    """Yield the record of each well-formed member; skip malformed ones."""
     for member in members:
         if not _is_well_formed(member):
             continue
@@ -62,7 +62,7 @@
 
 
 def digests_to_wire(table: MemberTable) -> list[DomainDigest]:
-    """Return the digest of each failure domain as messages."""
+    """Return one message per failure domain with its digest."""
     return [
         DomainDigest(failure_domain=domain, digest=digest)
         for domain, digest in table.digests.items()
@@ -70,5 +70,5 @@
 
 
 def digests_from_wire(digests: Iterable[DomainDigest]) -> dict[str, int]:
-    """Return digests by failure domain."""
-    return {one.failure_domain: one.digest for one in digests}
+    """Return the received digests by failure domain."""
+    return {item.failure_domain: item.digest for item in digests}
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -1,4 +1,8 @@
-"""Who is there: news flooded to a few peers, digests compared now and then."""
+"""Fleet membership by gossip: changes are flooded, digests are compared.
+
+Each process sends changes to a few peers at once. Periodic comparisons of
+digests with these peers repair what the flooding missed.
+"""
 
 import asyncio
 import random
@@ -23,25 +27,31 @@
 from .probe import probe_link
 
 COMPARE_PERIOD_S: Final = 2.0
-"""Time between two comparisons of digests."""
+"""Mean time between two periodic comparisons of digests."""
 
 FLOOD_DELAY_S: Final = 0.05
-"""News of this long goes out together; a lost failure domain is one message."""
+"""Changes within this time are sent in one message.
+
+The loss of a failure domain, which changes many records, takes one message.
+"""
 
 REQUEST_TIMEOUT_S: Final = 1.0
-"""Longest wait for a link to open, and for an answer on it."""
+"""Longest wait for a link to open, and for a response on it."""
 
 LINK_CHECK_PERIOD_S: Final = 0.1
-"""Time between looks whether a link to a child has opened.
+"""Time between two checks for newly opened links to children.
 
-Half of the time for which a gateway that starts waits for news of the others.
+Half of the time for which a starting gateway waits for changes of the others.
 """
 
 N_ROUNDS_PER_UNKNOWN_ADDRESS: Final = 3
-"""Rounds between two meetings with a listed process that is no live member."""
+"""Comparison rounds between two exchanges with a process that is no live member."""
 
 N_MISMATCHES: Final = 2
-"""Rounds in which digests may differ, for news on its way, before a comparison."""
+"""Consecutive mismatches of digests after which members are exchanged.
+
+A single mismatch may come from changes that are still in transit.
+"""
 
 EVENT_OF: Final = {
     MemberState.LIVE: Event.MEMBER_JOINED,
@@ -52,23 +62,25 @@
 
 
 class Membership:
-    """This process's view of the others.
+    """This process's view of the members of the fleet.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     seeds : tuple of str
-        Addresses to try before any other is known.
+        Addresses to contact while no other member is known.
 
     Attributes
     ----------
     table : MemberTable
-        What is known; this process included.
+        The newest record of each process, this one included.
     children : list of MemberRecord
-        The members to which this process keeps links for news.
+        The members to which this process keeps links and sends changes.
+    own : MemberRecord
+        The record of this process.
     last_change_s : dict of str to float
-        Monotonic time of the last news of each process.
+        Monotonic time of the last change of each process's record.
     """
 
     __slots__ = (
@@ -124,7 +136,7 @@
         )
 
     def apply_records(self, records: Iterable[MemberRecord]) -> None:
-        """Take in what a peer says and pass on what was news."""
+        """Apply records received from a peer and forward those that were new."""
         for record in records:
             if record.process_id == self.own.process_id:
                 self._refute_outdated(record)
@@ -132,26 +144,26 @@
                 self._record_change(record)
 
     def report_state(self, process_id: str, state: MemberState) -> None:
-        """Say of another process what this one has found out itself."""
+        """Set and spread the state of another process as observed by this one."""
         record = self.table.say(process_id, state)
         if record is not None:
             self._record_change(record)
 
     def forget(self, process_id: str) -> None:
-        """Drop what is known of a process."""
+        """Remove the record of a process."""
         self.table.forget(process_id)
         self.last_change_s.pop(process_id, None)
 
     def announce_leaving(self) -> None:
-        """Say that this process is leaving."""
+        """Announce to the fleet that this process is leaving."""
         self._set_own(
             replace(self.own, state=MemberState.LEAVING, beat=self.own.beat + 1)
         )
 
     def live(self) -> Sequence[MemberRecord]:
-        """Return the members that are neither silent nor leaving, self included.
+        """Return the members in state LIVE, this process included.
 
-        The same object until one of them changes.
+        The same object is returned until a record changes.
         """
         if self._live_version != self.table.version:
             self._live_version = self.table.version
@@ -165,15 +177,15 @@
     def unknown_addresses(self) -> list[str]:
         """Return addresses of listed hosts and seeds that are not live members.
 
-        They are where the other side of a healed partition is found, and whom
-        a process that knows nobody asks first.
+        They lead to the other side of a network partition that has ended, and
+        are contacted first by a process that knows no other member.
         """
         known = {record.address for record in self.live()} | {self.own.address}
         listed = self._process.published.peer_addresses()
         return sorted({*self._seeds, *listed} - known)
 
     async def answer(self, request: Gossip, peer: Hello) -> GossipAnswer:
-        """Answer a peer that compares digests."""
+        """Respond to a peer that compares digests or exchanges members."""
         differing = self.table.differing(digests_from_wire(request.domains))
         self.apply_records(from_wire(request.members))
         members: list[MemberRecord] = []
@@ -187,7 +199,7 @@
         )
 
     def update_children(self) -> bool:
-        """Choose the children anew if the members changed; True if it did."""
+        """Update the children if a member changed; return True if one had."""
         if self.table.version == self._children_version:
             return False
         self._children_version = self.table.version
@@ -199,7 +211,7 @@
         return True
 
     def child_links(self) -> list[Link]:
-        """Return the link to each child whose address can be read."""
+        """Return the link to each child that has a valid address."""
         links = []
         for child in self.children:
             match Address.parse(child.address):
@@ -210,7 +222,7 @@
         return links
 
     async def flood_updates(self) -> None:
-        """Send news to the children as it comes, until cancelled."""
+        """Send changed records to the children as they occur, until cancelled."""
         while True:
             await self._has_updates.wait()
             await asyncio.sleep(FLOOD_DELAY_S)
@@ -222,11 +234,12 @@
                 link.send(message)
 
     async def compare_new_links(self) -> None:
-        """Compare with each child once its link is open, until cancelled.
+        """Compare digests with each child once its link has opened, until cancelled.
 
-        News that are said before are lost: who starts hears of the others before it
-        has links to them. Two groups that only it knew stayed apart until digests
-        had differed twice, and both took on what only one should do.
+        Changes that are sent before a link is open are lost: a starting process
+        receives records of the others before it has links to them. Otherwise two
+        groups that only this process knew would stay separate until digests had
+        differed twice, and both would take duties that only one should have.
         """
         compared: dict[Address, Connection] = {}
         while True:
@@ -241,7 +254,7 @@
             await asyncio.sleep(LINK_CHECK_PERIOD_S)
 
     async def compare_periodically(self) -> None:
-        """Compare digests with one child after the other until cancelled."""
+        """Compare digests with the children in turn, until cancelled."""
         number = 0
         while True:
             await asyncio.sleep(COMPARE_PERIOD_S * random.uniform(0.75, 1.25))
@@ -253,13 +266,13 @@
                 await self.exchange_with_unknown()
 
     async def exchange_with_unknown(self) -> None:
-        """Exchange members with one listed process that is not a live member."""
+        """Exchange members with a random listed host or seed that is no live member."""
         addresses = self.unknown_addresses()
         if addresses:
             await self.exchange_at(random.choice(addresses))
 
     async def exchange_at(self, address_text: str) -> bool:
-        """Exchange all members with the process at an address; True if it answered."""
+        """Exchange all members with the process at an address; True if it responded."""
         match Address.parse(address_text):
             case Ok(address):
                 async with probe_link(self._process, address) as link:
@@ -270,11 +283,12 @@
                 return False
 
     async def _is_open_in_time(self, link: Link) -> bool:
-        """Wait until a link is open; False if that takes too long.
+        """Wait until a link is open; return False if that takes too long.
 
-        What is said on it is put together only then. A process that listens a
-        little later than others was told what was known before these answered: it
-        knew one member for seconds, and took on duties that others had.
+        The records to send are collected only after that. A process that starts to
+        listen a little later than others would otherwise be sent the records known
+        before those had responded: it would know one member for seconds, and take
+        duties that others have.
         """
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
@@ -284,12 +298,12 @@
         return True
 
     async def announce_planned_stop(self) -> None:
-        """Say that this process is leaving once its planned stop has begun."""
+        """Announce that this process is leaving once its planned stop has begun."""
         await self._process.stopping.wait()
         self.announce_leaving()
 
     async def _compare(self, link: Link, *, n_mismatches: int = N_MISMATCHES) -> None:
-        """Ask for a digest; exchange members if it has differed so often in a row."""
+        """Compare digests; exchange members on the `n_mismatches`-th mismatch."""
         members = [to_wire(self.own), *self._suspicion_of_peer(link)]
         request = Gossip(
             sender=self.own.process_id, members=members, digest=self.table.digest
@@ -305,7 +319,7 @@
             await self.exchange(link, known=answer.unwrap())
 
     def _suspicion_of_peer(self, link: Link) -> list[Message]:
-        """Return the record of the link's peer if it should overrule it."""
+        """Return the peer's record if it is suspected, for the peer to refute it."""
         peer = link.peer
         record = self.table.records.get(peer.process_id) if peer else None
         if record is None or record.state is not MemberState.SUSPECT:
@@ -313,14 +327,15 @@
         return [to_wire(record)]
 
     async def exchange(self, link: Link, known: GossipAnswer | None = None) -> bool:
-        """Exchange members with a peer; return True if it answered.
+        """Exchange members with a peer; return True if it responded.
 
         Parameters
         ----------
         link : Link
-            To the peer.
+            Link to the peer.
         known : GossipAnswer, optional
-            Its digests; only members of failure domains that differ are sent.
+            Digests of the peer; only members of failure domains whose digests
+            differ are sent. All members are sent without it.
         """
         differing = set(self.table.digests)
         if known is not None:
@@ -342,7 +357,7 @@
     async def _request(
         self, link: Link, request: Gossip
     ) -> Result[GossipAnswer, PeerError]:
-        # A fault here would end the loop that asks, and with it the process.
+        # An exception here would end the calling loop, and with it the process.
         match await link.ask(request, timeout_s=REQUEST_TIMEOUT_S):
             case Ok(GossipAnswer() as answer):
                 return Ok(answer)
@@ -352,10 +367,10 @@
                 return Err(error)
 
     def _refute_outdated(self, record: MemberRecord) -> None:
-        """Overrule what is said of this process if it is not so.
+        """Refute a record of this process that overrules the own one.
 
-        After a restart or a pause the others may go on saying what was true of
-        an earlier start, or that this process is silent.
+        After a restart or a pause the others may still hold a record of an earlier
+        incarnation, or one that marks this process as suspected.
         """
         if record == self.own or not record.overrules(self.own):
             return
@@ -381,10 +396,10 @@
         self._queue_update(record)
 
     def _redial_now(self, record: MemberRecord) -> None:
-        """Have a waiting link dial a process that has just come back.
+        """Make a waiting link dial a process that is live again.
 
-        Its link may wait up to a second before the next try; when one target
-        after the other is replaced, the next would leave before that.
+        The link may wait up to a second before its next attempt; in a rolling
+        replacement of targets the next target would leave before that.
         """
         match Address.parse(record.address):
             case Ok(address):
--- a/src/trefoilpaddle/coordination/members/overlay.py
+++ b/src/trefoilpaddle/coordination/members/overlay.py
@@ -1,4 +1,4 @@
-"""Which peers a process keeps a link to, so that news reaches all in a few hops."""
+"""Gossip overlay: the peers that a process links to, for few hops between any two."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -7,7 +7,7 @@
 from ...state.rendezvous import highest
 
 FAN_OUT: Final = 4
-"""Links that each process opens for news and for watching over peers."""
+"""Links that each process opens to spread changes and to monitor peers."""
 
 RING_KEY: Final = "ring"
 
@@ -17,18 +17,19 @@
 ) -> list[str]:
     """Return the members to which the process `own` keeps links.
 
-    One is the next on a ring, so each member is watched by at least one other;
-    the rest are chosen by rendezvous, so paths are short and one member more or
-    less changes few links. At most `fan_out` are returned; all when they are few.
+    One is the successor on a hash ring, so each member is monitored by at least
+    one other; the rest are chosen by rendezvous hashing, so paths are short and
+    a joining or leaving member changes few links. All others are returned if
+    there are at most `fan_out`.
 
     Parameters
     ----------
     own : str
-        Process id.
+        Process id of this process.
     members : iterable of str
-        Process ids that are not dead, with or without `own`.
+        Process ids of the members that are not dead, with or without `own`.
     fan_out : int
-        Most links.
+        Largest number of links.
     """
     others = sorted(set(members) - {own})
     if len(others) <= fan_out:
--- a/src/trefoilpaddle/coordination/members/pause_detector.py
+++ b/src/trefoilpaddle/coordination/members/pause_detector.py
@@ -1,4 +1,4 @@
-"""Notices that this process was paused, before it acts on what it believed."""
+"""Detection of pauses of this process, before it acts on outdated state."""
 
 import time
 from collections.abc import Callable
@@ -8,30 +8,32 @@
 from ...transport.aligned import aligned_sleep
 
 CHECK_PERIOD_S: Final = 0.25
-"""Time between two looks at the clock."""
+"""Time between two checks of the clock."""
 
 PAUSE_MIN_S: Final = SILENCE_S - HEARTBEAT_S
-"""A gap between ticks from which on this process counts as paused.
+"""Gap between two checks above which this process counts as paused.
 
-What lies unread in a socket is then at most this old and one heartbeat older,
-within the silence that takes a peer out of use.
+After a shorter gap, an unread heartbeat in a socket is at most this gap plus one
+heartbeat period old, which is within the ``SILENCE_S`` after which a peer gets no
+new work.
 """
 
 OnPause = Callable[[float], None]
 
 
 class PauseDetector:
-    """Ticks on the event loop and measures the gaps on the monotonic clock.
+    """Checks the monotonic clock from the event loop and detects gaps.
 
-    A paused process (a stopped one, a frozen virtual machine) finds after it
-    wakes old heartbeats in its sockets and takes them for fresh. It shows as a
-    gap between ticks. `is_pause_pending` compares the clock itself, so that a
-    task which runs before the next tick learns of the gap as well.
+    A process that was paused (stopped, or in a frozen virtual machine) finds old
+    heartbeats in its sockets when it resumes and would take them for recent ones.
+    The pause is visible as a gap between two checks. `is_pause_pending` reads the
+    clock itself, so that a task that runs before the next check sees the gap too.
 
     Parameters
     ----------
     on_pause : callable
-        Called once with each gap in seconds; drops what may be stale.
+        Called once for each gap, with its length in seconds, to discard state
+        that may be stale.
     clock : callable
         Monotonic clock in seconds.
     """
@@ -46,18 +48,18 @@
         self._checked_s = clock()
 
     def is_pause_pending(self) -> bool:
-        """Return True while a pause has not been dealt with yet."""
+        """Return True while a pause has not been handled yet."""
         return self._clock() - self._checked_s > PAUSE_MIN_S
 
     def check(self) -> None:
-        """Deal with a pause if there was one, then begin the next interval."""
+        """Handle a pause if there was one, then start the next interval."""
         gap_s = self._clock() - self._checked_s
         if gap_s > PAUSE_MIN_S:
             self._on_pause(gap_s)
         self._checked_s = self._clock()
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             self.check()
             await aligned_sleep(CHECK_PERIOD_S)
--- a/src/trefoilpaddle/coordination/members/peer_monitor.py
+++ b/src/trefoilpaddle/coordination/members/peer_monitor.py
@@ -1,4 +1,4 @@
-"""Watches over a few peers: quick to suspect, slow to forget."""
+"""Failure detection for a few peers: quick to suspect, slow to remove."""
 
 import time
 from collections.abc import Callable
@@ -15,38 +15,38 @@
 from .membership import Membership
 
 CHECK_PERIOD_S: Final = 0.25
-"""Time between two looks at the watched links."""
+"""Time between two checks of the monitored links."""
 
 CONNECT_GRACE_S: Final = 1.0
-"""Time that a new link has to connect before its silence counts."""
+"""Time that a new link has to connect before its peer can be suspected."""
 
 DEAD_AFTER_S: Final = 30.0
-"""Age at which a member that is still suspected is said to be dead."""
+"""Time after which a member that is still suspected is reported as dead."""
 
 LEFT_AFTER_S: Final = 120.0
-"""Age at which a member that said it leaves is said to be dead."""
+"""Time after which a member that announced its leaving is reported as dead."""
 
 FORGET_AFTER_S: Final = 600.0
-"""Age at which a dead member is forgotten."""
+"""Time after which the record of a dead member is removed."""
 
 IDLE_LINK_S: Final = 120.0
 """Time without use after which a link is closed."""
 
 SWEEP_PERIOD_S: Final = 5.0
-"""Time between two sweeps of old members and idle links."""
+"""Time between two sweeps for expired members and idle links."""
 
 
 class PeerMonitor:
-    """Keeps the links to the children open and says when one falls silent.
+    """Keeps the links to the children open and reports unresponsive ones.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     membership : Membership
-        Told of silence; says who the children are.
+        Provides the children; receives the states reported.
     is_wanted : callable
-        Returns True for an address to which the role wants a link kept.
+        Returns True for an address to which the role needs a link.
     """
 
     __slots__ = ("_check_from_s", "_is_wanted", "_membership", "_process", "_watched_s")
@@ -65,14 +65,14 @@
         self._check_from_s = 0.0
 
     def postpone_checks(self) -> None:
-        """Judge nobody's silence until it is really theirs.
+        """Suspect no peer until all links have had time to reconnect.
 
-        To a process that was paused itself all others look silent.
+        To a process that was paused itself, all others look unresponsive.
         """
         self._check_from_s = time.monotonic() + SILENCE_S + CONNECT_GRACE_S
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor until cancelled."""
         next_sweep_s = time.monotonic() + SWEEP_PERIOD_S
         while True:
             now_s = time.monotonic()
@@ -114,7 +114,7 @@
                 return None
 
     def expire_members(self, now_s: float) -> None:
-        """Take suspects for dead and forget the dead, each after a long while."""
+        """Report long-suspected and leaving members as dead; remove long-dead ones."""
         for record in list(self._membership.table.records.values()):
             if record.process_id == self._membership.own.process_id:
                 continue
@@ -130,10 +130,10 @@
                     continue
 
     async def _close_idle_links(self, now_s: float) -> None:
-        """Close links that nobody has used for long.
+        """Close links that have not been used for ``IDLE_LINK_S``.
 
-        Each open link costs heartbeats both ways, and one to a dead host
-        redials for ever; both would pile up as hosts come and go.
+        An open link costs heartbeats in both directions, and a link to a dead
+        host redials without end; both would accumulate as hosts come and go.
         """
         kept = {child.address for child in self._membership.children}
         for address, link in list(self._process.peers.links.items()):
--- a/src/trefoilpaddle/coordination/members/probe.py
+++ b/src/trefoilpaddle/coordination/members/probe.py
@@ -1,4 +1,4 @@
-"""A link for a few questions to a process that may not be there."""
+"""Temporary links to processes that may not exist any more."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -10,15 +10,15 @@
 
 
 def _ignore_message(link: Link, message: Message) -> None:
-    """Drop what a probed process says unasked."""
+    """Drop a message of the probed process that responds to no request."""
 
 
 @contextlib.asynccontextmanager
 async def probe_link(process: OwnProcess, address: Address) -> AsyncIterator[Link]:
     """Yield a link to `address` that is closed when the context ends.
 
-    Kept apart from the links of `Peers`, which redial for ever: a host list
-    that names dead hosts would leave one such link for each.
+    It is not one of the links of `Peers`, which redial without end: a host list
+    that contains dead hosts would leave one such link for each.
     """
     link = Link(
         address=address,
--- a/src/trefoilpaddle/coordination/members/subset.py
+++ b/src/trefoilpaddle/coordination/members/subset.py
@@ -1,4 +1,4 @@
-"""Which of a service's targets one gateway keeps links to."""
+"""Deterministic subsets of a service's targets, one for each gateway."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -7,7 +7,7 @@
 from ...state.hosts import Host
 
 N_SUBSET: Final = 10
-"""Targets of one service that a gateway keeps links to; all when there are fewer."""
+"""Largest number of targets of one service to which a gateway keeps links."""
 
 ORDER_KEY: Final = "subset"
 
@@ -17,18 +17,18 @@
 ) -> list[Host]:
     """Return at most `n` of `targets` for the gateway `own`.
 
-    The targets stand in one order that mixes the failure domains evenly; each
-    gateway takes `n` in a row, beginning where its place among the gateways
-    says. So each target is in as many subsets as any other, give or take one,
-    each subset is spread over the domains like the whole, and one gateway or
-    target more moves each subset by a place or two.
+    The targets are put in one order that interleaves the failure domains evenly.
+    Each gateway takes `n` consecutive targets, from a start that is proportional
+    to its rank among the gateways. So the numbers of subsets that contain a target
+    differ by about one, each subset is spread over the domains like all targets,
+    and one more gateway or target shifts each subset by one or two positions.
 
     Parameters
     ----------
     own : str
-        Process id.
+        Process id of this gateway.
     gateways : sequence of str
-        Process ids of all gateways, as published; `own` is added if missing.
+        Process ids of all published gateways; `own` is added if missing.
     targets : sequence of Host
         Sidecars of one service.
     n : int
@@ -43,7 +43,7 @@
 
 
 def interleave_domains(targets: Sequence[Host]) -> list[Host]:
-    """Return `targets` in an order in which each domain recurs evenly."""
+    """Return `targets` in an order that spreads each domain's targets evenly."""
     by_domain: dict[str, list[Host]] = {}
     for host in targets:
         by_domain.setdefault(host.failure_domain, []).append(host)
@@ -51,7 +51,7 @@
     for domain, hosts in by_domain.items():
         hosts.sort(key=lambda host: place_score(ORDER_KEY, host.process_id))
         positioned += [
-            ((number + 0.5) / len(hosts), domain, host)
-            for number, host in enumerate(hosts)
+            ((index + 0.5) / len(hosts), domain, host)
+            for index, host in enumerate(hosts)
         ]
     return [host for _, _, host in sorted(positioned, key=lambda item: item[:2])]
--- a/src/trefoilpaddle/coordination/own_process.py
+++ b/src/trefoilpaddle/coordination/own_process.py
@@ -1,4 +1,4 @@
-"""What coordination needs of the process that it runs in."""
+"""Protocols of the process that the coordination modules run in."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,15 +17,15 @@
 
 
 class OwnIdentity(Protocol):
-    """Who the process is."""
+    """Identity of the process."""
 
     @property
     def process_id(self) -> str:
-        """Stable over restarts."""
+        """Identifier that is stable across restarts."""
 
     @property
     def incarnation(self) -> int:
-        """New at each start."""
+        """Number that is new at each start of the process."""
 
     @property
     def role(self) -> str:
@@ -33,7 +33,7 @@
 
     @property
     def failure_domain(self) -> str:
-        """Where it stands."""
+        """Failure domain of the process."""
 
     @property
     def region(self) -> str:
@@ -41,39 +41,39 @@
 
     @property
     def service(self) -> str:
-        """Of a sidecar."""
+        """Service of a sidecar; empty for a gateway."""
 
     @property
     def target(self) -> str:
-        """Of a sidecar."""
+        """Target of a sidecar; empty for a gateway."""
 
     @property
     def millicores(self) -> int:
-        """Processor that it may use, in thousandths of a core; 0 if untold."""
+        """Processor capacity in thousandths of a core; 0 if unknown."""
 
 
 class OwnProcess(Protocol):
-    """The process, as far as coordination deals with it."""
+    """The process that the coordination modules run in."""
 
     @property
     def identity(self) -> OwnIdentity:
-        """Who it is."""
+        """Identity of the process."""
 
     @property
     def journal(self) -> Journal:
-        """Takes its decisions."""
+        """Records the decisions of the process."""
 
     @property
     def published(self) -> "Published":
-        """The catalogue and the host list in force."""
+        """The active catalogue and host list."""
 
     @property
     def peers(self) -> Peers:
-        """The links that it dials."""
+        """The links that the process dials."""
 
     @property
     def server(self) -> PeerServer:
-        """Where its peers reach it."""
+        """The server that accepts connections of peers."""
 
     @property
     def stopping(self) -> asyncio.Event:
@@ -81,14 +81,14 @@
 
     @property
     def link_listeners(self) -> list[Callable[[Link, Message], None]]:
-        """Called with each message on a dialled link that answers nothing."""
+        """Called with each message on a dialled link that responds to no request."""
 
     @property
     def message_listeners(self) -> list[Callable[[Connection, Message], None]]:
-        """Called with each message from a dialling peer that asks nothing."""
+        """Called with each message from a dialling peer that is not a request."""
 
     def hello(self) -> Hello:
-        """Return what this process says of itself on a new connection."""
+        """Return the message that introduces this process on a new connection."""
 
     def heartbeat(self) -> Heartbeat:
         """Return the heartbeat to send now."""
