--- a/src/trefoilpaddle/coordination/configuration/link_readiness.py
+++ b/src/trefoilpaddle/coordination/configuration/link_readiness.py
@@ -118,11 +118,11 @@
         """Return True if each service that has sidecars has a responsive one."""
         for service in self._process.published.catalogue.services:
             hosts = self._directory.sidecars(service)
-            if hosts and not any(self._is_heard(host) for host in hosts):
+            if hosts and not any(self._is_responsive(host) for host in hosts):
                 return False
         return True
 
-    def _is_heard(self, host: Host) -> bool:
+    def _is_responsive(self, host: Host) -> bool:
         match Address.parse(host.peer_address):
             case Ok(address):
                 link = self._process.peers.links.get(address)
--- a/src/trefoilpaddle/coordination/members/directory.py
+++ b/src/trefoilpaddle/coordination/members/directory.py
@@ -116,7 +116,7 @@
         return replace(listed, peer_address=record.address)
 
     def is_wanted(self, address: Address) -> bool:
-        """Return True if `address` belongs to a sidecar of a current subset."""
+        """Return True if `address` belongs to a sidecar of a chosen subset."""
         text = str(address)
         return any(
             host.peer_address == text
--- a/tests/fake_fleet.py
+++ b/tests/fake_fleet.py
@@ -1,4 +1,4 @@
-"""Real peers in one event loop, over loopback, with a network that can be cut."""
+"""Real peers in one event loop over loopback, with a network to partition."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 @dataclass(kw_only=True)
 class FakePeer:
-    """One running process: what it is made of and what it decided."""
+    """A running process with its configuration feed and recorded decisions."""
 
     process: Process
     feed: ConfigFeed
@@ -42,7 +42,7 @@
 
 @dataclass(kw_only=True)
 class Network:
-    """Drops every frame between two sides while they are cut, without a sound."""
+    """Silently drops every frame between two sides of a partition."""
 
     side_of: Callable[[str], object] = field(default=lambda name: 0)
     names: dict[Address, str] = field(default_factory=dict)
@@ -79,7 +79,7 @@
 
 
 class FakeFleet:
-    """Starts and stops peers beside one platform."""
+    """Starts and stops peers that use one platform."""
 
     def __init__(self, *, platform: FakePlatform, network: Network) -> None:
         self.platform = platform
@@ -100,7 +100,7 @@
         seeds: tuple[str, ...] | None = None,
         **settings: Any,
     ) -> FakePeer:
-        """Start a gateway that knows `seeds`; those running if None."""
+        """Start a gateway with `seeds`, by default the first three running peers."""
         stack = contextlib.AsyncExitStack()
         journal = Journal(process_id=host, n_records=9, format=LogFormat.KEY_VALUE)
         decisions: list[Decision] = []
@@ -132,7 +132,7 @@
         return peer
 
     async def stop(self, name: str) -> None:
-        """Stop a peer; for the others it is dead at once."""
+        """Stop a peer at once, without announcing to the others that it leaves."""
         del self.peers[name]
         await self._stops[name].aclose()
 
@@ -152,7 +152,7 @@
 async def fake_fleet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> AsyncIterator[FakeFleet]:
-    """Yield an empty fleet beside a serving platform; stop all at the end."""
+    """Yield an empty fleet with a running platform; stop all peers at the end."""
     network = Network()
     network.install(monkeypatch)
     async with FakePlatform().serving() as platform:
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,4 +1,4 @@
-"""A small configuration service and host list for tests, with faults."""
+"""Fake configuration service and host list with failures, for tests."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class FakePlatform:
-    """Publishes values and hosts; a test writes its attributes."""
+    """Serves values and hosts; tests set its attributes."""
 
     def __init__(self) -> None:
         self.values: dict[str, tuple[int, object]] = {}
@@ -26,7 +26,7 @@
         self._changed = asyncio.Event()
 
     def publish(self, key: str, value: object) -> int:
-        """Set `key`, None to delete it, and return the revision."""
+        """Set `key`, or delete it if `value` is None, and return the revision."""
         self.revision += 1
         self.values[key] = (self.revision, value)
         self._changed.set()
@@ -34,7 +34,7 @@
         return self.revision
 
     def freeze(self) -> None:
-        """Go on offering what is published now, whatever is published later."""
+        """Keep serving the present state, whatever is published later."""
         self.frozen = self._page(0)
 
     def _page(self, after: int) -> bytes:
@@ -74,14 +74,14 @@
         return web.Response(body=orjson.dumps(self.hosts))
 
     def settings(self, *, poll_s: float = 0.2, n_readers: int = 1) -> PlatformSettings:
-        """Return settings that lead here."""
+        """Return settings that refer to this platform."""
         return PlatformSettings(
             config_url=self.url, hosts_url=self.url, poll_s=poll_s, n_readers=n_readers
         )
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator["FakePlatform"]:
-        """Answer on a free port while the context is open."""
+        """Serve on a free port while the context is open."""
         app = web.Application()
         app.router.add_get("/v1/values", self.read)
         app.router.add_get("/v1/watch", self.watch)
--- a/tests/peer_helpers.py
+++ b/tests/peer_helpers.py
@@ -1,4 +1,4 @@
-"""Small parts that the transport tests share: hellos, raw peers, waiting."""
+"""Helpers of the transport tests: hello messages, servers, links and raw peers."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 def hello_of(process_id: str, *, incarnation: int = 1) -> Callable[[], Hello]:
-    """Return what makes the hello of a test process."""
+    """Return a function that creates the hello message of a test process."""
     return lambda: Hello(
         version=PROTOCOL_VERSION,
         process_id=process_id,
@@ -35,12 +35,12 @@
 
 
 def heartbeat() -> Heartbeat:
-    """Return a heartbeat that says nothing in particular."""
+    """Return a heartbeat with minimal load data."""
     return Heartbeat(load=Load(n_slots=1))
 
 
 def server_of(**options: Any) -> PeerServer:
-    """Return a server on a port that the kernel picks."""
+    """Return a server on a port that the kernel selects."""
     options.setdefault("address", Address(ip="127.0.0.1", port=0))
     options.setdefault("own_hello", hello_of("server", incarnation=10))
     options.setdefault("own_heartbeat", heartbeat)
@@ -62,7 +62,7 @@
 
 
 class RawPeer:
-    """A peer driven by hand: says only what the test makes it say."""
+    """A peer that sends only the messages that a test passes to it."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -75,7 +75,7 @@
         self.writer.write(encode(message, call=call))
 
     async def receive(self) -> list[Frame]:
-        """Return the next frames; none when the other side has closed."""
+        """Return the next frames; an empty list if the other side has closed."""
         try:
             data = await self.reader.read(1 << 16)
         except OSError:
@@ -95,7 +95,7 @@
 
 
 async def answer_to(peer: RawPeer, *, call: int) -> Message | None:
-    """Return the answer to a question; None if the other side closes before it."""
+    """Return the response to a call; None if the other side closes before it."""
     async with asyncio.timeout(WAIT_CAP_S):
         while frames := await peer.receive():
             for frame in frames:
@@ -106,7 +106,7 @@
 
 @contextlib.asynccontextmanager
 async def raw_peer(address: Address) -> AsyncIterator[RawPeer]:
-    """Yield a raw connection to `address`."""
+    """Yield a raw peer that is connected to `address`."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     try:
         yield RawPeer(reader, writer)
@@ -141,6 +141,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def echo(question: Bar, peer: Hello) -> BarAnswer:
-    """Answer a question with the id that it holds."""
-    return BarAnswer(attempt_id=question.attempt_id)
+async def echo(request: Bar, peer: Hello) -> BarAnswer:
+    """Respond to a request with the attempt id that it contains."""
+    return BarAnswer(attempt_id=request.attempt_id)
--- a/tests/test_config_build.py
+++ b/tests/test_config_build.py
@@ -1,4 +1,4 @@
-"""Verdicts on published versions: the same whatever the order they come in."""
+"""Acceptance of published versions, independent of the order of their arrival."""
 
 import orjson
 from hypothesis import given
@@ -23,7 +23,7 @@
     return PublishedItem(key=key, version=Version(revision=revision, value=data))
 
 
-WHOLE = [
+COMPLETE = [
     item("service/search", 1, SERVICE),
     item("pipeline/draft", 2, PIPELINE),
     item("account/officer", 3, ACCOUNT),
@@ -32,12 +32,12 @@
 
 
 class TestBuildCatalogue:
-    def test_a_whole_catalogue_has_no_problems(self) -> None:
-        values = {one.key: one.version.value or b"" for one in WHOLE}
+    def test_complete_catalogue_has_no_problems(self) -> None:
+        values = {one.key: one.version.value or b"" for one in COMPLETE}
         catalogue = build_catalogue(values).unwrap()
         assert list(catalogue.entries) == ["drafts"]
 
-    def test_every_fault_is_told_with_its_key(self) -> None:
+    def test_every_problem_names_its_key(self) -> None:
         values = {
             "service/search": b'{"kind": "pol"}',
             "pipeline/draft": orjson.dumps(PIPELINE),
@@ -47,16 +47,16 @@
         problems = build_catalogue(values).unwrap_err()
         assert {problem.source for problem in problems} == set(values)
 
-    def test_a_newer_schema_is_refused_by_name(self) -> None:
+    def test_newer_schema_is_refused_with_its_number(self) -> None:
         values = {"service/search": orjson.dumps(SERVICE | {"schema": 2})}
         (problem,) = build_catalogue(values).unwrap_err()
         assert "schema 2" in problem.detail
 
 
 class TestHoldingBack:
-    def test_a_bad_change_is_rejected_whole_and_the_last_good_stays(self) -> None:
+    def test_invalid_change_is_held_back_and_the_last_valid_value_stays(self) -> None:
         items, builder = ConfigItems(), CatalogueBuilder()
-        items.join(WHOLE, revision=4)
+        items.join(COMPLETE, revision=4)
         builder.put_in_force(items)
         items.join([item("entry/drafts", 5, ENTRY | {"weight": -1})], revision=5)
         selection = builder.put_in_force(items)
@@ -66,29 +66,29 @@
         assert (held.key, held.revision, held.stays) == ("entry/drafts", 5, 4)
         assert held.problems[0].key == "weight"
 
-    def test_deleting_what_is_in_use_is_held_back_until_it_is_not(self) -> None:
+    def test_deletion_of_a_used_key_is_held_back_while_it_is_used(self) -> None:
         items, builder = ConfigItems(), CatalogueBuilder()
-        items.join(WHOLE, revision=4)
+        items.join(COMPLETE, revision=4)
         builder.put_in_force(items)
         items.join([item("service/search", 5, None)], revision=5)
         selection = builder.put_in_force(items)
         assert "search" in selection.catalogue.services
         assert "draft" in selection.catalogue.pipelines
         assert selection.held_back[0].key == "service/search"
-        gone = [item("entry/drafts", 6, None), item("pipeline/draft", 7, None)]
-        items.join(gone, revision=7)
+        deleted = [item("entry/drafts", 6, None), item("pipeline/draft", 7, None)]
+        items.join(deleted, revision=7)
         selection = builder.put_in_force(items)
         assert not selection.held_back
         assert not selection.catalogue.services
 
-    def test_a_late_joiner_takes_the_last_good_value_from_a_peer(self) -> None:
+    def test_late_joiner_takes_the_last_valid_value_from_a_peer(self) -> None:
         early, builder = ConfigItems(), CatalogueBuilder()
-        early.join(WHOLE, revision=4)
+        early.join(COMPLETE, revision=4)
         builder.put_in_force(early)
         early.join([item("entry/drafts", 5, {"owner": "X"})], revision=5)
         expected = builder.put_in_force(early)
         late = ConfigItems()
-        late.join([*WHOLE[:3], item("entry/drafts", 5, {"owner": "X"})], revision=5)
+        late.join([*COMPLETE[:3], item("entry/drafts", 5, {"owner": "X"})], revision=5)
         assert not CatalogueBuilder().put_in_force(late).catalogue.entries
         late.join(early.since(0), revision=early.revision)
         assert CatalogueBuilder().put_in_force(late) == expected
@@ -117,7 +117,7 @@
 
 class TestOrder:
     @given(changes=changes, data=st.data())
-    def test_processes_that_exchange_what_they_know_come_to_the_same(
+    def test_processes_that_exchange_versions_converge(
         self, changes: list[tuple[str, object]], data: st.DataObject
     ) -> None:
         published = [
--- a/tests/test_config_feed.py
+++ b/tests/test_config_feed.py
@@ -1,4 +1,4 @@
-"""The feed of one process: what is published comes in force and never reverts."""
+"""Configuration feed of one process: activation of changes, service outages."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class TestConfigFeed:
-    async def test_what_is_published_comes_in_force(
+    async def test_published_changes_become_active(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with fake_fleet(monkeypatch) as fleet:
@@ -22,10 +22,10 @@
             fleet.platform.publish("service/c", {"kind": "?"})
             await until(lambda: peer.revision == 3)
             assert list(peer.process.published.catalogue.services) == ["a", "b"]
-            noted = {Event.CONFIG_IN_FORCE, Event.CONFIG_REJECTED}
-            await until(lambda: noted <= peer.events())
+            expected = {Event.CONFIG_IN_FORCE, Event.CONFIG_REJECTED}
+            await until(lambda: expected <= peer.events())
 
-    async def test_a_start_with_the_service_down_waits_and_says_not_known(
+    async def test_start_while_the_service_is_down_waits_and_is_not_known(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with fake_fleet(monkeypatch) as fleet:
@@ -35,5 +35,5 @@
             assert not peer.feed.is_known()
             fleet.platform.is_down = False
             await until(peer.feed.is_known)
-            noted = {Event.CONFIG_SOURCE_LOST, Event.CONFIG_SOURCE_BACK}
-            await until(lambda: noted <= peer.events())
+            expected = {Event.CONFIG_SOURCE_LOST, Event.CONFIG_SOURCE_BACK}
+            await until(lambda: expected <= peer.events())
--- a/tests/test_config_operators.py
+++ b/tests/test_config_operators.py
@@ -1,4 +1,4 @@
-"""Operators who race each other, a split fleet and a paused reader."""
+"""Concurrent changes by operators, and a reader that is paused."""
 
 import pytest
 
@@ -20,12 +20,12 @@
     return peer.process.published.catalogue.entries["e"].weight
 
 
-class TestRaces:
-    async def test_of_two_changes_of_one_entry_the_later_is_in_force(
+class TestConcurrentChanges:
+    async def test_latest_of_several_changes_of_one_entry_is_active_everywhere(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Two operators change one entry at the same time. The service puts one
-        # after the other; every process must end with the same one.
+        # Operators change one entry at the same time. The service orders the
+        # changes; every process must end with the last one.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             fleet.platform.publish("pipeline/p", PIPELINE)
@@ -37,12 +37,12 @@
             await until(lambda: {peer.revision for peer in peers} == {10})
             assert {weight(peer) for peer in peers} == {8.0}
 
-    async def test_one_retires_what_another_begins_to_use(
+    async def test_deletion_of_a_pipeline_that_a_new_entry_uses_is_held_back(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # One operator retires a pipeline while another publishes an entry that
-        # names it. Whichever came later is held back whole, everywhere, and
-        # says why; it comes in force by itself once it can.
+        # One operator deletes a pipeline while another publishes an entry that
+        # names it. The later change is held back in every process, with the reason,
+        # and becomes active by itself once it is valid.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             fleet.platform.publish("pipeline/p", PIPELINE)
@@ -65,12 +65,12 @@
 
 
 class TestPausedReader:
-    async def test_another_reads_and_the_paused_one_reverts_nothing(
+    async def test_another_process_reads_and_the_paused_reader_reverts_nothing(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The only reader of the domain is paused while its connections stay
-        # open. A change must come in force all the same; when the reader goes
-        # on it has an older revision, and nobody may take that over.
+        # The only reader of the domain is paused while its connections stay open.
+        # A change must still become active. The reader has an older revision when
+        # it resumes, and no other process may return to that.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             for number in range(4):
--- a/tests/test_config_peers.py
+++ b/tests/test_config_peers.py
@@ -1,4 +1,4 @@
-"""Configuration between peers, with a service that fails."""
+"""Exchange of configuration between peers, also while the service fails."""
 
 import pytest
 
@@ -9,8 +9,8 @@
 SERVICE = {"kind": "pool"}
 
 
-class TestSpread:
-    async def test_one_reads_and_all_have_it(
+class TestPropagation:
+    async def test_one_process_reads_and_all_receive_the_change(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with fake_fleet(monkeypatch) as fleet:
@@ -18,8 +18,8 @@
             for number in range(6):
                 await fleet.start(f"h{number}")
             peers = list(fleet.peers.values())
-            # A busy machine can make a peer look dead for a moment, and another
-            # then reads besides; they agree on one reader as soon as it is heard.
+            # On a busy machine a peer can be suspected for a short time, in which
+            # another process reads too; one reader is left once the peer responds.
             await until(lambda: sum(p.feed.reader.is_reading() for p in peers) == 1)
             fleet.platform.publish("service/b", SERVICE)
             await until(
@@ -29,7 +29,7 @@
             reader = next(p for p in peers if p.feed.reader.is_reading())
             assert reader.feed.client.n_reads > 1
 
-    async def test_a_large_value_reaches_all(
+    async def test_large_values_reach_all(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         large = {
@@ -62,13 +62,13 @@
             assert set(late.process.published.catalogue.pipelines) == {"p1", "p2", "p3"}
 
 
-class TestServiceFaults:
-    async def test_restart_beside_a_stale_service_does_not_revert(
+class TestServiceFailures:
+    async def test_restart_while_the_service_is_stale_does_not_revert(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A change is in force everywhere; then the service is restored from an
-        # old copy and offers less. A process restarts and would, going by the
-        # service alone, serve by the old entry while all others use the new.
+        # A change is active everywhere; then the service is restored from an old
+        # backup without it. A restarted process that used the service alone would
+        # use the old value while all others use the new one.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             fleet.platform.freeze()
@@ -87,12 +87,12 @@
             lost = Event.CONFIG_SOURCE_LOST
             await until(lambda: any(lost in peer.events() for peer in peers))
 
-    async def test_service_down_for_long_is_seen_and_survived(
+    async def test_outage_of_the_service_is_recorded_and_tolerated(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The service goes down. Nothing that is in force is lost, a process
-        # that starts meanwhile takes its catalogue from a peer, and a change
-        # made when the service is back reaches all.
+        # During an outage of the service the active configuration must stay, and a
+        # process that starts must take its catalogue from a peer. A change made
+        # after the service has recovered must reach all.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             first = await fleet.start("h0")
--- a/tests/test_config_schedules.py
+++ b/tests/test_config_schedules.py
@@ -51,7 +51,7 @@
 
 
 class Service:
-    """The configuration service; can serve an older state of itself."""
+    """The configuration service; can also return an older state."""
 
     def __init__(self) -> None:
         self.log: list[PublishedItem] = []
@@ -68,7 +68,7 @@
         state.apply(last.values(), revision=revision, source="service")
 
     def newest_at(self, revision: int) -> dict[str, int]:
-        """Return the revision of each key's newest version at a revision."""
+        """Return the revision of each key's newest version up to a revision."""
         return {item.key: item.version.revision for item in self.log[:revision]}
 
 
@@ -79,7 +79,7 @@
 
 @dataclass
 class Node:
-    """One process: real state and exchange, nothing else."""
+    """A process that has only the real configuration state and exchange."""
 
     state: ConfigState
     peers: ConfigPeers
@@ -112,7 +112,7 @@
 
 @dataclass
 class FakeLink:
-    """Stands for a link to `node`; an answer can be lost."""
+    """Fake link to `node` on which a response can be lost."""
 
     node: Node
     is_lossy: bool = False
@@ -143,7 +143,7 @@
 )
 
 
-async def take_step(kind: str, args: Any, nodes: list[Node], service: Service) -> None:
+async def apply_step(kind: str, args: Any, nodes: list[Node], service: Service) -> None:
     match kind:
         case "publish":
             service.publish(*args)
@@ -166,7 +166,7 @@
     nodes = [new_node() for _ in range(N_PROCESSES)]
     for kind, args in schedule:
         before = [(node, node.published.catalogue.revision) for node in nodes]
-        await take_step(kind, args, nodes, service)
+        await apply_step(kind, args, nodes, service)
         for node, revision in before:
             assert node.published.catalogue.revision >= revision
         for node in nodes:
@@ -175,8 +175,8 @@
             assert rebuilt.catalogue == node.published.catalogue
             assert rebuilt.held_back == node.state.held_back
         if kind == "restart":
-            asked = nodes[args[1]].published.catalogue.revision
-            assert nodes[args[0]].published.catalogue.revision >= asked
+            known = nodes[args[1]].published.catalogue.revision
+            assert nodes[args[0]].published.catalogue.revision >= known
     service.read(nodes[0].state, n_stale=0)
     for _ in range(2):
         for node in nodes:
@@ -193,20 +193,21 @@
 class TestSchedules:
     @given(schedule=st.lists(steps, min_size=30, max_size=60))
     @settings(max_examples=150)
-    def test_no_revision_falls_and_all_come_to_the_same(
+    def test_revisions_never_decrease_and_all_processes_converge(
         self, schedule: list[tuple[str, Any]]
     ) -> None:
-        # Operators change and delete what hangs together while messages are
-        # lost, come late or twice, the service serves an older state, and
-        # processes restart. A user would see two gateways serve by different
-        # entries for ever, or a change undone.
+        # Operators change and delete values that depend on each other while messages
+        # are lost, delayed or duplicated, the service returns an older state, and
+        # processes restart. After a failure two gateways would use different entries
+        # permanently, or a change would be reverted.
         asyncio.run(run(schedule))
 
 
 class TestFaultyPeer:
-    async def test_a_foreign_answer_is_none(self) -> None:
-        # As of members (tests/test_membership.py): a question for configuration is
-        # answered by something else. The fault ended the process that had asked.
+    async def test_response_of_unexpected_type_fails_the_pull(self) -> None:
+        # A peer responds to a request for configuration with a message of another
+        # type, as to one for members in tests/test_membership.py. The exception
+        # ended the requesting process.
         async def ask(message: Any, *, timeout_s: float) -> Result[Message, PeerError]:
             return Ok(BarAnswer())
 
--- a/tests/test_explain_record.py
+++ b/tests/test_explain_record.py
@@ -1,4 +1,4 @@
-"""What ``explain`` tells agrees with the targets' own record, also under faults."""
+"""Timelines of ``explain`` match the runs recorded by targets, also under faults."""
 
 import asyncio
 from collections.abc import Iterable
@@ -55,7 +55,7 @@
 
 
 def show_to_operators(f: Fleet) -> OperatorsView:
-    """Let every process answer operators; return the gateway's view."""
+    """Enable operator queries at every process; return the gateway's view."""
     for slot in f.slots:
         assert slot.process is not None
         OperatorsView(process=slot.process, is_ready=lambda: True)
@@ -79,7 +79,7 @@
 
 
 def check(timeline: Timeline, told: Told, runs: list[Run]) -> None:
-    """Compare one timeline with what the caller was told and the targets ran."""
+    """Compare a timeline with the answer to the caller and the runs at the targets."""
     assert not timeline.absences
     steps = timeline.steps
     assert any(step.event == Event.REQUEST_ANSWERED for step in steps) == (
@@ -89,27 +89,29 @@
     started = attempts(steps, Event.STARTED)
     ran = {run.attempt_id for run in runs}
     assert ran <= started
-    # A start that was withdrawn before its first byte left is no run.
+    # A start that was withdrawn before its first byte was sent is no run.
     assert started - ran <= attempts(steps, *WITHDRAWN)
-    whole = [s for s in steps if s.event == Event.FINISHED and not s.reason]
-    assert attempts(whole, Event.FINISHED) <= {r.attempt_id for r in runs if r.is_done}
+    completed = [s for s in steps if s.event == Event.FINISHED and not s.reason]
+    assert attempts(completed, Event.FINISHED) <= {
+        r.attempt_id for r in runs if r.is_done
+    }
 
 
-class TestExplainAgainstTheRecord:
+class TestExplainAgainstTargetRecords:
     @given(pipelines=PIPELINES, faults=FAULTS)
     @settings(
         max_examples=12,
         suppress_health_check=list(HealthCheck),
         phases=[Phase.explicit, Phase.generate],
     )
-    def test_the_timeline_is_what_ran(
+    def test_timeline_contains_exactly_the_runs(
         self, pipelines: list[str], faults: list[tuple[str, str, float]]
     ) -> None:
-        """An officer asks why a guarantee took two tries.
+        """Timelines list the runs of requests whose connections broke.
 
-        Connections break while requests run; some are tried elsewhere, some
-        fetched again. A timeline that left out a run, or told one that was not,
-        would send the operator to the wrong target.
+        Connections break while requests run; some requests are retried elsewhere,
+        the results of some are fetched again. A timeline that lacks a run, or has
+        one that did not take place, would lead operators to the wrong target.
         """
         asyncio.run(self._compare(pipelines, faults))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members: joins, silence, partitions and pauses."""
+"""Membership: joins, unresponsive peers, partitions and paused processes."""
 
 import asyncio
 import contextlib
@@ -48,7 +48,7 @@
 
 
 class TestJoining:
-    async def test_a_process_that_the_list_lacks_is_known_to_all(
+    async def test_unlisted_process_becomes_known_to_all(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async with fake_fleet(monkeypatch) as fleet:
@@ -57,11 +57,11 @@
                 await fleet.start(f"h{number}", failure_domain=f"d{number % 2}")
             await until(lambda: all_know_all(fleet))
 
-    async def test_a_list_that_names_a_dead_host_and_lacks_a_new_one(
+    async def test_host_list_with_a_dead_host_and_without_a_new_one(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # h1 dies, h2 comes in its stead, and the list goes on naming h1 alone.
-        # Who knows only the list would send to h1 and never find h2.
+        # h2 replaces the dead h1, but the host list still contains h1 and lacks h2.
+        # A process that used only the list would send to h1 and never find h2.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             first = await fleet.start("h0")
@@ -75,19 +75,19 @@
             assert first.feed.directory.host("h2-gateway") is not None
             await until(lambda: live(new) == live(first))
 
-    async def test_who_is_met_late_hears_of_all_who_are_known_by_then(
+    async def test_late_listener_is_sent_all_members_known_when_its_link_opens(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A gateway starts and asks its seeds, one of which listens a little later.
-        # What it says to that one was put together before the others had answered:
-        # the late one knew only this gateway for seconds, and read the store as the
-        # third of two, as it had not heard of the readers.
+        # A gateway starts and queries its seeds, one of which starts to listen a
+        # little later. The records sent to that seed were collected before the others
+        # had responded: for seconds it knew only this gateway and not the two readers
+        # of the store, and read the store as a third one.
         opened = asyncio.Event()
-        asked: list[Gossip] = []
+        requests: list[Gossip] = []
 
-        async def ask(question: Gossip, *, timeout_s: float) -> Ok[GossipAnswer]:
+        async def ask(request: Gossip, *, timeout_s: float) -> Ok[GossipAnswer]:
             await opened.wait()
-            asked.append(question)
+            requests.append(request)
             return Ok(GossipAnswer())
 
         @asynccontextmanager
@@ -96,22 +96,23 @@
 
         monkeypatch.setattr(membership, "probe_link", link)
         own = Membership(process=process("a"), seeds=())
-        meeting = asyncio.create_task(own.exchange_at("127.0.0.1:9"))
+        exchange = asyncio.create_task(own.exchange_at("127.0.0.1:9"))
         await asyncio.sleep(0)
         own.apply_records([member("b", 1)])
         opened.set()
-        assert await meeting
-        known = {record.process_id for record in asked[0].members}
+        assert await exchange
+        known = {record.process_id for record in requests[0].members}
         assert known == {"a", "b"}
 
 
 class TestPartition:
-    async def test_changes_on_one_side_reach_the_other_after_the_split(
+    async def test_changes_on_one_side_reach_the_other_after_a_partition(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The fleet splits in two halves that both go on. The platform is
-        # reachable from one half only; operators change an entry meanwhile.
-        # After the split all have the change, and no revision ever fell.
+        # A partition splits the fleet in two halves that both keep running. Only
+        # one half reaches the platform, where a value changes meanwhile. After the
+        # partition all processes must have the change, and the revision of the
+        # other half must not change before.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             for number in range(3):
@@ -144,11 +145,11 @@
             await until(lambda: fleet.is_settled() and side_b[0].revision == 2)
             await until(lambda: all_know_all(fleet))
 
-    async def test_sides_that_have_forgotten_each_other_meet_by_the_list(
+    async def test_host_list_reconnects_sides_that_have_no_links_to_each_other(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A split lasted so long that each side holds the other for dead. When
-        # it ends nobody has a link across; only the list still names them.
+        # A partition lasted so long that each side has removed the other as dead.
+        # When it ends there is no link between them; only the host list has both.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             for side in ("a", "b"):
@@ -166,8 +167,8 @@
     async def test_a_dead_reader_is_replaced(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The only reader of a domain is killed. A change published after that
-        # comes in force all the same, because another takes its place.
+        # The only reader of a domain stops. A change published after that must
+        # still become active, because another process takes its place.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             for number in range(4):
@@ -175,7 +176,7 @@
             await until(lambda: all_know_all(fleet))
             readers = [p for p in fleet.peers.values() if p.feed.reader.is_reading()]
             assert len(readers) == 1
-            # Who read before may still wait in its last watch; let that end.
+            # A previous reader may still wait in its last watch request; let it end.
             n_reads = readers[0].feed.client.n_reads
             await until(lambda: readers[0].feed.client.n_reads > n_reads + 4)
             await fleet.stop(readers[0].name)
@@ -185,11 +186,12 @@
                 lambda: {p.revision for p in fleet.peers.values()} == {revision}
             )
 
-    async def test_a_burst_of_restarts_reads_the_service_little(
+    async def test_burst_of_restarts_causes_few_reads_of_the_service(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Every process is replaced, one right after the other. Each asks its
-        # peers; were each to read the service, its rate would be used up.
+        # Every process is replaced, one right after the other. Each must get its
+        # catalogue from peers; reads by all of them would use up the rate limit of
+        # the service.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             for number in range(8):
@@ -202,13 +204,13 @@
             assert sum(peer.feed.client.n_reads for peer in fleet.peers.values()) <= 8
 
 
-class TestWaking:
-    async def test_a_woken_process_asks_before_it_acts(
+class TestPause:
+    async def test_resumed_process_queries_peers_before_it_accepts_work(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A process is paused; meanwhile a change comes in force. When it wakes,
-        # its sockets hold old heartbeats and its catalogue is the old one. It
-        # would serve by them, unless it notices the gap and asks first.
+        # When a paused process resumes, its sockets hold old heartbeats and its
+        # catalogue may be outdated. It would use both if it did not detect the pause
+        # and query peers first.
         async with fake_fleet(monkeypatch) as fleet:
             fleet.platform.publish("service/a", SERVICE)
             paused = await fleet.start("h0")
@@ -247,7 +249,7 @@
 
 
 def gateway(name: str) -> Process:
-    """Return a process that has members and nothing else."""
+    """Return a gateway process without the components of its role."""
     return Process(
         identity=Identity(
             process_id=name,
@@ -262,14 +264,14 @@
 
 
 class TestStart:
-    async def test_two_groups_that_one_joins_know_one_another_at_once(
+    async def test_process_that_joins_two_groups_merges_them_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Two gateways know each other; a third has started and knows nobody, as they
-        # gave it up before it listened. A fourth asks all three at a time. It told
-        # them of one another as news, on links that were not open yet, and these were
-        # lost: until digests had differed twice, seconds later, both groups read the
-        # store, and scheduled the same stage workers.
+        # Two gateways know each other; a third knows no other, as their contact
+        # attempts ended before it listened. A fourth queries all three at once. The
+        # changes that it sent them about each other were lost, as its links were not
+        # open yet: until digests had differed twice, seconds later, both groups read
+        # the store and scheduled the same stage workers.
         monkeypatch.setattr(membership, "COMPARE_PERIOD_S", 3600.0)
         async with contextlib.AsyncExitStack() as stack:
             processes = [gateway(name) for name in "wxyz"]
@@ -290,14 +292,14 @@
 
 
 class TestFaultyPeer:
-    async def test_a_foreign_answer_ends_nothing(self) -> None:
-        # A peer answers a comparison of members by something else, as one of a later
-        # or faulty release may. The fault ended the task that compares, with it the
-        # gateway, and cut off all requests that it held.
-        asked = asyncio.Event()
-
-        async def answer(question: Gossip, peer: Hello) -> BarAnswer:
-            asked.set()
+    async def test_response_of_unexpected_type_ends_no_task(self) -> None:
+        # A peer responds to a comparison of members with a message of another type,
+        # as a later or faulty release may. The exception ended the comparing task,
+        # with it the gateway, and interrupted all requests that it held.
+        received = asyncio.Event()
+
+        async def answer(request: Gossip, peer: Hello) -> BarAnswer:
+            received.set()
             return BarAnswer()
 
         server = server_of()
@@ -306,9 +308,9 @@
         async with server.listening(), own.server.listening(), own.peers.open():
             fleet = Fleet(process=own, seeds=(str(server.address),))
             async with fleet.running():
-                await asked.wait()
-                asked.clear()
-                await asked.wait()
+                await received.wait()
+                received.clear()
+                await received.wait()
 
 
 class TestMemberTable:
@@ -318,7 +320,7 @@
         assert not table.join([record(3, MemberState.LIVE)])
         assert table.join([record(4, MemberState.LIVE, incarnation=9)])
 
-    def test_the_dead_count_in_no_digest(self) -> None:
+    def test_dead_members_count_in_no_digest(self) -> None:
         table = MemberTable()
         table.join([record(1, MemberState.LIVE)])
         table.join([record(1, MemberState.DEAD)])
--- a/tests/test_membership_shape.py
+++ b/tests/test_membership_shape.py
@@ -1,4 +1,4 @@
-"""Shape of overlay and subsets: reach, balance, spread and few changes."""
+"""Overlay and subsets: reachability, balance, spread and stability."""
 
 from collections import Counter
 
@@ -22,7 +22,7 @@
 
 class TestOverlay:
     @given(n=st.integers(1, 60))
-    def test_news_from_anyone_reaches_all(self, n: int) -> None:
+    def test_every_member_is_reachable_from_another(self, n: int) -> None:
         names = [f"p{number}" for number in range(n)]
         links = {name: neighbours(name, names) for name in names}
         assert all(len(chosen) <= FAN_OUT for chosen in links.values())
@@ -33,7 +33,7 @@
             reached.update(front)
         assert reached == set(names)
 
-    def test_one_member_more_changes_few_links(self) -> None:
+    def test_one_more_member_changes_few_links(self) -> None:
         names = [f"p{number}" for number in range(200)]
         before = {name: set(neighbours(name, names)) for name in names}
         after = {name: set(neighbours(name, [*names, "new"])) for name in names}
@@ -42,11 +42,11 @@
 
 
 class TestSubset:
-    def test_all_targets_at_todays_size(self) -> None:
+    def test_all_targets_are_chosen_if_they_are_few(self) -> None:
         targets = [sidecar(number) for number in range(9)]
         assert subset("g1", ["g1", "g2"], targets) == targets
 
-    def test_every_target_is_in_as_many_subsets_give_or_take_one(self) -> None:
+    def test_targets_are_in_nearly_equal_numbers_of_subsets(self) -> None:
         gateways = [f"g{number}" for number in range(400)]
         targets = [sidecar(number) for number in range(91)]
         used = Counter(
@@ -65,7 +65,7 @@
             assert len(per_domain) == 5
             assert max(per_domain.values()) <= 5
 
-    def test_one_target_less_changes_few_places(self) -> None:
+    def test_one_less_target_changes_few_subset_members(self) -> None:
         gateways = [f"g{number}" for number in range(40)]
         targets = [sidecar(number) for number in range(91)]
         for gateway in gateways:
