--- a/src/trefoilpaddle/coordination/configuration/config_peers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_peers.py
@@ -45,7 +45,7 @@
 """Wait after a heartbeat with a newer revision, for a push that is in transit."""
 
 MAX_PAGES: Final = 1000
-"""Largest number of pages read from one peer, in case its list never ends."""
+"""Largest n_rounds of pages read from one peer, in case its list never ends."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -144,15 +144,15 @@
 
     async def pull_periodically(self) -> None:
         """Pull from the responsive children in turn, until cancelled."""
-        number = 0
+        n_rounds = 0
         while True:
             await asyncio.sleep(PULL_PERIOD_S * random.uniform(0.75, 1.25))
-            number += 1
+            n_rounds += 1
             responsive = [
                 link for link in self._membership.child_links() if link.is_heard()
             ]
             if responsive:
-                await self.pull(responsive[number % len(responsive)])
+                await self.pull(responsive[n_rounds % len(responsive)])
 
     async def fetch_newer(self) -> None:
         """Pull from peers that are known to be newer, until cancelled."""
--- a/src/trefoilpaddle/coordination/configuration/config_readers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_readers.py
@@ -62,7 +62,14 @@
         Decides whether this process should read.
     """
 
-    __slots__ = ("_client", "_is_lost", "_journal", "_platform", "_selection", "_state")
+    __slots__ = (
+        "_client",
+        "_is_unavailable",
+        "_journal",
+        "_platform",
+        "_selection",
+        "_state",
+    )
 
     def __init__(
         self,
@@ -78,7 +85,7 @@
         self._state = state
         self._platform = platform
         self._journal = journal
-        self._is_lost = False
+        self._is_unavailable = False
 
     def is_reading(self) -> bool:
         """Return True if this process is one of the readers of its domain."""
@@ -103,7 +110,11 @@
             await asyncio.sleep(self._platform.poll_s * random.uniform(0.8, 1.2))
 
     async def read_values(self) -> bool:
-        """Wait up to ``poll_s`` for a change and apply it; return False on failure."""
+        """Read and apply values; return False on failure.
+
+        Reads all values if none are known, otherwise waits up to ``poll_s`` for a
+        change.
+        """
         known = self._state.items.revision
         if known == 0:
             answer = await self._client.values(after=0)
@@ -115,7 +126,7 @@
             case Ok(page):
                 return await self._apply_all(page)
             case Err(error):
-                self._record_lost(error)
+                self._record_unavailable(error)
                 return False
 
     async def read_hosts(self) -> bool:
@@ -142,7 +153,7 @@
                 case Ok(page):
                     items += (_item(value) for value in page.values)
                 case Err(error):
-                    self._record_lost(error)
+                    self._record_unavailable(error)
                     return False
         known = self._state.items.revision
         self._state.apply(items, revision=page.revision, source="platform")
@@ -159,7 +170,7 @@
         The service does not count as read then, so that other processes try as
         well. No process sees changes published at revisions that were used before.
         """
-        self._record_lost(
+        self._record_unavailable(
             PeerError(
                 step="answer",
                 peer="platform",
@@ -169,10 +180,10 @@
             )
         )
 
-    def _record_lost(self, error: PeerError) -> None:
-        if self._is_lost:
+    def _record_unavailable(self, error: PeerError) -> None:
+        if self._is_unavailable:
             return
-        self._is_lost = True
+        self._is_unavailable = True
         self._journal.record(
             Decision(
                 event=Event.CONFIG_SOURCE_LOST,
@@ -183,9 +194,9 @@
         )
 
     def _record_recovered(self) -> None:
-        if not self._is_lost:
+        if not self._is_unavailable:
             return
-        self._is_lost = False
+        self._is_unavailable = False
         self._journal.record(
             Decision(
                 event=Event.CONFIG_SOURCE_BACK,
--- a/src/trefoilpaddle/coordination/configuration/config_state.py
+++ b/src/trefoilpaddle/coordination/configuration/config_state.py
@@ -208,7 +208,9 @@
                     config_revision=held.revision,
                     entry=held.key.removeprefix("entry/"),
                     peer=source,
-                    detail=_truncated("; ".join(str(one) for one in held.problems)),
+                    detail=_truncated(
+                        "; ".join(str(problem) for problem in held.problems)
+                    ),
                     figures=(
                         Figure(name="revision", value=held.revision),
                         Figure(name="stays_revision", value=held.stays),
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -69,7 +69,7 @@
     process : OwnProcess
         The process that it runs in.
     seeds : tuple of str
-        Addresses to contact while no other member is known.
+        Addresses to contact, in particular while no other member is known.
 
     Attributes
     ----------
@@ -244,7 +244,11 @@
         compared: dict[Address, Connection] = {}
         while True:
             links = {link.address: link for link in self.child_links()}
-            compared = {at: was for at, was in compared.items() if at in links}
+            compared = {
+                peer_address: last_connection
+                for peer_address, last_connection in compared.items()
+                if peer_address in links
+            }
             for address, link in links.items():
                 connection = link.connection
                 if connection is None or compared.get(address) is connection:
@@ -255,14 +259,14 @@
 
     async def compare_periodically(self) -> None:
         """Compare digests with the children in turn, until cancelled."""
-        number = 0
+        n_rounds = 0
         while True:
             await asyncio.sleep(COMPARE_PERIOD_S * random.uniform(0.75, 1.25))
-            number += 1
+            n_rounds += 1
             responsive = [link for link in self.child_links() if link.is_heard()]
             if responsive:
-                await self._compare(responsive[number % len(responsive)])
-            if not responsive or number % N_ROUNDS_PER_UNKNOWN_ADDRESS == 0:
+                await self._compare(responsive[n_rounds % len(responsive)])
+            if not responsive or n_rounds % N_ROUNDS_PER_UNKNOWN_ADDRESS == 0:
                 await self.exchange_with_unknown()
 
     async def exchange_with_unknown(self) -> None:
--- a/src/trefoilpaddle/coordination/members/overlay.py
+++ b/src/trefoilpaddle/coordination/members/overlay.py
@@ -35,8 +35,8 @@
     if len(others) <= fan_out:
         return others
     chosen = [_next_on_ring(own, others)]
-    for number in range(fan_out - 1):
-        for member in highest(f"{own}#{number}", others, n=fan_out):
+    for index in range(fan_out - 1):
+        for member in highest(f"{own}#{index}", others, n=fan_out):
             if member not in chosen:
                 chosen.append(member)
                 break
