--- a/src/trefoilpaddle/coordination/configuration/config_feed.py
+++ b/src/trefoilpaddle/coordination/configuration/config_feed.py
@@ -1,4 +1,4 @@
-"""Keeps catalogue, host list and members of one process up to date."""
+"""Keeps the catalogue, the host list and the members of a process up to date."""
 
 import asyncio
 import contextlib
@@ -10,50 +10,54 @@
 from ...transport.platform_http import PlatformClient, platform_client
 from ..members.directory import LiveDirectory
 from ..members.membership import Membership
-from ..members.wake import WakeWatch
-from ..members.watch_peers import PeerWatch
+from ..members.pause_detector import PauseDetector
+from ..members.peer_monitor import PeerMonitor
 from ..own_process import OwnProcess
 from .config_peers import ConfigPeers
 from .config_readers import ConfigReader
-from .config_start import FirstAsk
+from .config_start import StartupSync
 from .config_state import ConfigState
-from .reach import GatewayLinks, Reach, SidecarLinks
-from .reader_turn import ReaderTurn
+from .link_readiness import GatewayLinks, LinkReadiness, SidecarLinks
+from .reader_selection import ReaderSelection
 
 START_WAIT_S: Final = 10.0
-"""Longest wait at the start for a first catalogue."""
+"""Longest wait for a first catalogue when the process starts."""
 
 
 class ConfigFeed:
-    """What keeps one process up to date; made by `config_feed`.
+    """Components that keep one process up to date; created by `config_feed`.
 
     Attributes
     ----------
     state : ConfigState
-        Revision, held back changes, age of the last read.
+        Known versions, changes held back and age of the last read.
     membership : Membership
-        Who is there.
+        The members of the fleet.
     directory : LiveDirectory
-        Who can be given work and where a process is found.
-    wake : WakeWatch
-        Knows whether this process has just been paused.
+        Lookups of sidecars that accept work and of process addresses.
+    pause_detector : PauseDetector
+        Detects that this process has been paused.
+    config_peers : ConfigPeers
+        Exchanges configuration with peers.
+    reader : ConfigReader
+        Reads the platform while this process is selected for it.
     client : PlatformClient
-        Counts the reads of the platform.
+        Client of the platform; counts the reads.
     """
 
     __slots__ = (
-        "_first_ask",
-        "_has_woken",
+        "_has_resumed",
+        "_link_readiness",
+        "_monitor",
         "_process",
-        "_reach",
-        "_watch",
+        "_startup_sync",
         "client",
         "config_peers",
         "directory",
         "membership",
+        "pause_detector",
         "reader",
         "state",
-        "wake",
     )
 
     def __init__(
@@ -65,24 +69,26 @@
         peers: PeerSettings,
     ) -> None:
         self._process = process
-        self._has_woken = asyncio.Event()
+        self._has_resumed = asyncio.Event()
         self.client = client
         self.state = ConfigState(published=process.published, journal=process.journal)
         self.membership = Membership(process=process, seeds=peers.seeds)
-        self.wake = WakeWatch(on_late=self._woke_late)
+        self.pause_detector = PauseDetector(on_pause=self._resume_after_pause)
         self.directory = LiveDirectory(
-            process=process, membership=self.membership, wake=self.wake
+            process=process,
+            membership=self.membership,
+            pause_detector=self.pause_detector,
         )
         links = (
             SidecarLinks(process=process, membership=self.membership)
             if process.identity.service
             else GatewayLinks(process=process, directory=self.directory)
         )
-        self._reach = Reach(has_links=links.has_links)
+        self._link_readiness = LinkReadiness(has_links=links.has_links)
         self.config_peers = ConfigPeers(
             process=process, state=self.state, membership=self.membership
         )
-        turn = ReaderTurn(
+        selection = ReaderSelection(
             membership=self.membership,
             state=self.state,
             n_readers=platform.n_readers,
@@ -93,14 +99,14 @@
             state=self.state,
             platform=platform,
             journal=process.journal,
-            turn=turn,
+            selection=selection,
         )
-        self._watch = PeerWatch(
+        self._monitor = PeerMonitor(
             process=process,
             membership=self.membership,
             is_wanted=self.directory.is_wanted,
         )
-        self._first_ask = FirstAsk(
+        self._startup_sync = StartupSync(
             process=process,
             membership=self.membership,
             state=self.state,
@@ -109,54 +115,54 @@
         )
 
     def is_known(self) -> bool:
-        """Return True while a catalogue is in force and peers have been asked.
+        """Return True while a catalogue is active and peers have been queried.
 
-        While False take no work: at the start nothing is known yet, and a
-        process that was paused must ask before it goes on.
+        While False the process must not accept work: at its start it knows
+        nothing yet, and after a pause it must query peers before it continues.
         """
-        return self.state.known.is_set() and not self.wake.is_late()
+        return self.state.known.is_set() and not self.pause_detector.is_pause_pending()
 
     def is_ready(self) -> bool:
-        """Return True while new work may be sent here.
+        """Return True while new work may be sent to this process.
 
-        That is while `is_known`, and once the links to the other role have
-        been there, or are waited for no longer.
+        This requires `is_known`, and that the links to the other role have once
+        been open or that the wait for them has ended.
         """
-        return self.is_known() and self._reach.is_reached()
+        return self.is_known() and self._link_readiness.is_ready()
 
     async def start(self) -> None:
-        """Ask peers, then the platform."""
-        self.membership.rewire()
-        await self._first_ask.run()
+        """Query peers, then the platform."""
+        self.membership.update_children()
+        await self._startup_sync.run()
 
-    async def ask_again(self) -> None:
-        """Ask peers again after each pause, until cancelled."""
+    async def resync_after_pauses(self) -> None:
+        """Query peers again after each pause, until cancelled."""
         while True:
-            await self._has_woken.wait()
-            self._has_woken.clear()
-            await self._first_ask.run()
+            await self._has_resumed.wait()
+            self._has_resumed.clear()
+            await self._startup_sync.run()
 
     def tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for as long as the process does."""
+        """Return the coroutines that run for the lifetime of the process."""
         return [
-            self.wake.run(),
-            self._watch.run(),
-            self.membership.flood_news(),
+            self.pause_detector.run(),
+            self._monitor.run(),
+            self.membership.flood_updates(),
             self.membership.compare_new_links(),
-            self.membership.compare_rounds(),
-            self.membership.watch_stop(),
-            self.config_peers.compare_rounds(),
-            self.config_peers.catch_up(),
+            self.membership.compare_periodically(),
+            self.membership.announce_planned_stop(),
+            self.config_peers.pull_periodically(),
+            self.config_peers.fetch_newer(),
             self.reader.watch_values(),
             self.reader.watch_hosts(),
-            self.ask_again(),
+            self.resync_after_pauses(),
         ]
 
-    def _woke_late(self, gap_s: float) -> None:
-        """Drop what may be stale after a pause.
+    def _resume_after_pause(self, gap_s: float) -> None:
+        """Discard state that may be stale after a pause.
 
         Sockets hold heartbeats from before and during the pause, which would
-        pass for fresh ones; only a new connection says who is there now.
+        be taken for recent ones; only a new connection shows which peers are up.
         """
         self._process.journal.record(
             Decision(
@@ -166,11 +172,11 @@
                 figures=(Figure(name="gap_s", value=gap_s),),
             )
         )
-        self._watch.woke_late()
+        self._monitor.postpone_checks()
         for link in self._process.peers.links.values():
             link.drop()
-        self.state.set_asked(False)
-        self._has_woken.set()
+        self.state.set_peers_queried(False)
+        self._has_resumed.set()
 
 
 @contextlib.asynccontextmanager
@@ -181,10 +187,11 @@
     peers: PeerSettings,
     start_wait_s: float = START_WAIT_S,
 ) -> AsyncIterator[ConfigFeed]:
-    """Keep `process` fed while the context is open; it must be running.
+    """Keep `process`, which must be running, up to date while the context is open.
 
-    Entering waits until a catalogue is in force, at most `start_wait_s`; after
-    that the role must not say ready before ``is_known()``.
+    Entering waits for up to `start_wait_s` for the start queries and for up to
+    `start_wait_s` again until a catalogue is known. The role must not report that
+    it is ready before ``is_known()`` returns True.
     """
     async with (
         platform_client(
--- a/src/trefoilpaddle/coordination/configuration/config_readers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_readers.py
@@ -1,4 +1,4 @@
-"""Reads the configuration service and the host list while this process reads."""
+"""Reads the configuration service and the host list on the selected processes."""
 
 import asyncio
 import random
@@ -12,23 +12,23 @@
 from ...state.settings import PlatformSettings
 from ...transport.platform_http import PlatformClient, PublishedValue, ValuesPage
 from .config_state import ConfigState
-from .reader_turn import ReaderTurn
+from .reader_selection import ReaderSelection
 
 RECHECK_S: Final = 0.5
-"""Time between two looks at whether this process reads now."""
+"""Mean time between two checks of whether this process should read."""
 
 BACKOFF_MIN_S: Final = 0.1
-"""First wait after a read that failed."""
+"""First wait after a failed read."""
 
 BACKOFF_MAX_S: Final = 2.0
-"""Longest wait after reads that failed."""
+"""Base of the longest wait after consecutive failed reads."""
 
 MAX_PAGES: Final = 1000
-"""Pages taken in one read; bounds a service that never comes to its end."""
+"""Largest number of pages in one read, in case the service's list never ends."""
 
 
 class Backoff:
-    """Growing waits with jitter, so that many readers do not retry in step."""
+    """Exponential backoff with jitter, so that many readers do not retry in step."""
 
     __slots__ = ("_wait_s",)
 
@@ -36,33 +36,40 @@
         self._wait_s = BACKOFF_MIN_S
 
     def reset(self) -> None:
-        """Begin again with the shortest wait."""
+        """Restart with the shortest wait."""
         self._wait_s = BACKOFF_MIN_S
 
     async def wait(self) -> None:
-        """Wait, longer each time up to ``BACKOFF_MAX_S``."""
+        """Wait, with a base that doubles each time up to ``BACKOFF_MAX_S``."""
         await asyncio.sleep(self._wait_s * random.uniform(0.5, 1.5))
         self._wait_s = min(BACKOFF_MAX_S, 2 * self._wait_s)
 
 
 class ConfigReader:
-    """Takes what the platform publishes into a `ConfigState`.
+    """Applies what the platform publishes to a `ConfigState`.
 
     Parameters
     ----------
     client : PlatformClient
-        Calls the platform.
+        Client of the platform.
     state : ConfigState
-        Takes what is read.
+        Receives the values and host lists read.
     platform : PlatformSettings
-        How often to read.
+        Provides the polling period.
     journal : Journal
-        Told when the service is lost and when it is back.
-    turn : ReaderTurn
-        Says whether this process reads now.
+        Records when the service becomes unavailable and when it recovers.
+    selection : ReaderSelection
+        Decides whether this process should read.
     """
 
-    __slots__ = ("_client", "_is_lost", "_journal", "_platform", "_state", "_turn")
+    __slots__ = (
+        "_client",
+        "_is_unavailable",
+        "_journal",
+        "_platform",
+        "_selection",
+        "_state",
+    )
 
     def __init__(
         self,
@@ -71,24 +78,24 @@
         state: ConfigState,
         platform: PlatformSettings,
         journal: Journal,
-        turn: ReaderTurn,
+        selection: ReaderSelection,
     ) -> None:
-        self._turn = turn
+        self._selection = selection
         self._client = client
         self._state = state
         self._platform = platform
         self._journal = journal
-        self._is_lost = False
+        self._is_unavailable = False
 
     def is_reading(self) -> bool:
         """Return True if this process is one of the readers of its domain."""
-        return self._turn.is_reader()
+        return self._selection.is_reader()
 
     async def watch_values(self) -> None:
-        """Take each change of a value while this process reads."""
+        """Apply each published change of a value while this process should read."""
         backoff = Backoff()
         while True:
-            if not self._turn.is_mine():
+            if not self._selection.should_read():
                 await asyncio.sleep(RECHECK_S * random.uniform(0.5, 1.5))
             elif await self.read_values():
                 backoff.reset()
@@ -96,14 +103,18 @@
                 await backoff.wait()
 
     async def watch_hosts(self) -> None:
-        """Read the host list every ``poll_s`` while this process reads."""
+        """Read the host list about every ``poll_s`` while this process should read."""
         while True:
-            if self._turn.is_mine():
+            if self._selection.should_read():
                 await self.read_hosts()
             await asyncio.sleep(self._platform.poll_s * random.uniform(0.8, 1.2))
 
     async def read_values(self) -> bool:
-        """Wait for one change, or ``poll_s``; return False if it failed."""
+        """Read and apply values; return False on failure.
+
+        Reads all values if none are known, otherwise waits up to ``poll_s`` for a
+        change.
+        """
         known = self._state.items.revision
         if known == 0:
             answer = await self._client.values(after=0)
@@ -113,26 +124,26 @@
             )
         match answer:
             case Ok(page):
-                return await self._take_all(page)
+                return await self._apply_all(page)
             case Err(error):
-                self._note_lost(error)
+                self._record_unavailable(error)
                 return False
 
     async def read_hosts(self) -> bool:
-        """Read the host list once; return False if it failed."""
+        """Read and apply the host list once; return False on failure."""
         match await self._client.hosts():
             case Ok(data):
-                self._state.take_hosts(data, source="platform")
+                self._state.apply_hosts(data, source="platform")
                 return True
             case Err(_):
                 return False
 
-    async def _take_all(self, page: ValuesPage) -> bool:
-        """Take a page and all that follow it as one change.
+    async def _apply_all(self, page: ValuesPage) -> bool:
+        """Apply a page and all that follow it as one change.
 
-        A page that was cut is no state that ever was: a key whose newest
-        version stands on a later page is missing from it. Nothing is put in
-        force before the last page has come.
+        A truncated page is not a state that was ever published: a key whose newest
+        version is on a later page is missing from it. So nothing is activated
+        before the last page has been received.
         """
         items = [_item(value) for value in page.values]
         for _ in range(MAX_PAGES):
@@ -142,24 +153,24 @@
                 case Ok(page):
                     items += (_item(value) for value in page.values)
                 case Err(error):
-                    self._note_lost(error)
+                    self._record_unavailable(error)
                     return False
         known = self._state.items.revision
-        self._state.take(items, revision=page.revision, source="platform")
+        self._state.apply(items, revision=page.revision, source="platform")
         if page.revision < known:
-            self._note_stale(page.revision, known)
+            self._record_stale(page.revision, known)
             return True
-        self._note_back()
-        self._state.note_read(0.0)
+        self._record_recovered()
+        self._state.record_read(0.0)
         return True
 
-    def _note_stale(self, offered: int, known: int) -> None:
-        """Tell that the service is behind what is in force.
+    def _record_stale(self, offered: int, known: int) -> None:
+        """Record that the service offers an older revision than the active one.
 
-        It does not count as read, so that other processes try as well; changes
-        published at revisions that were used before are not seen by anyone.
+        The service does not count as read then, so that other processes try as
+        well. No process sees changes published at revisions that were used before.
         """
-        self._note_lost(
+        self._record_unavailable(
             PeerError(
                 step="answer",
                 peer="platform",
@@ -169,10 +180,10 @@
             )
         )
 
-    def _note_lost(self, error: PeerError) -> None:
-        if self._is_lost:
+    def _record_unavailable(self, error: PeerError) -> None:
+        if self._is_unavailable:
             return
-        self._is_lost = True
+        self._is_unavailable = True
         self._journal.record(
             Decision(
                 event=Event.CONFIG_SOURCE_LOST,
@@ -182,10 +193,10 @@
             )
         )
 
-    def _note_back(self) -> None:
-        if not self._is_lost:
+    def _record_recovered(self) -> None:
+        if not self._is_unavailable:
             return
-        self._is_lost = False
+        self._is_unavailable = False
         self._journal.record(
             Decision(
                 event=Event.CONFIG_SOURCE_BACK,
--- a/src/trefoilpaddle/coordination/configuration/config_start.py
+++ b/src/trefoilpaddle/coordination/configuration/config_start.py
@@ -1,4 +1,4 @@
-"""What a process asks before it acts: peers first, the platform after."""
+"""Queries of a process before it accepts work: peers first, then the platform."""
 
 import asyncio
 import random
@@ -14,30 +14,33 @@
 from .config_readers import ConfigReader
 from .config_state import ConfigState
 
-N_ANSWERS: Final = 2
-"""Peers whose word is taken for the highest revision."""
+N_RESPONSES: Final = 2
+"""Responses of peers after which the highest revision counts as known."""
 
-N_AT_ONCE: Final = 6
-N_TRIES: Final = 12
-"""Peers tried before this process goes by what the platform says alone."""
+N_CONCURRENT_QUERIES: Final = 6
+"""Number of peers queried at the same time."""
 
+MAX_QUERIED: Final = 12
+"""Largest number of peers queried before this process relies on the platform."""
 
-class FirstAsk:
-    """Learns members and the highest revision from peers, then reads if it must.
 
-    A configuration service that is stale or down when a process starts, or
-    wakes late, offers less than the fleet already has in force. Peers know it.
+class StartupSync:
+    """Fetches members and configuration from peers, then reads if necessary.
+
+    A configuration service that is stale or unavailable when a process starts or
+    resumes after a pause offers an older revision than the one that is active in
+    the fleet. Peers know the active one.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     membership : Membership
-        Knows seeds, listed hosts and members.
+        Provides seeds, listed hosts and members.
     state : ConfigState
-        What is known here.
+        The configuration known here.
     config_peers : ConfigPeers
-        Fetches from a peer.
+        Pulls configuration from a peer.
     reader : ConfigReader
         Reads the platform.
     """
@@ -60,36 +63,39 @@
         self._reader = reader
 
     async def run(self) -> None:
-        """Ask until something is known; then say so to the state."""
+        """Query peers, then the platform if needed, and mark the queries as done."""
         if not self._process.published.hosts.hosts:
             await self._reader.read_hosts()
-        n_answers = await self._ask_peers()
-        if n_answers == 0 or self._state.items.revision == 0:
+        n_responses = await self._query_peers()
+        if n_responses == 0 or self._state.items.revision == 0:
             await self._reader.read_values()
-        self._state.set_asked(True)
+        self._state.set_peers_queried(True)
 
-    async def _ask_peers(self) -> int:
+    async def _query_peers(self) -> int:
         candidates = self._candidates()
-        n_answers = 0
-        while candidates and n_answers < N_ANSWERS:
-            wave, candidates = candidates[:N_AT_ONCE], candidates[N_AT_ONCE:]
-            answers = await asyncio.gather(*(self._ask(text) for text in wave))
-            n_answers += sum(answers)
-        return n_answers
+        n_responses = 0
+        while candidates and n_responses < N_RESPONSES:
+            batch, candidates = (
+                candidates[:N_CONCURRENT_QUERIES],
+                candidates[N_CONCURRENT_QUERIES:],
+            )
+            responses = await asyncio.gather(*(self._query(text) for text in batch))
+            n_responses += sum(responses)
+        return n_responses
 
     def _candidates(self) -> list[str]:
-        """Return addresses to try, those that are surely there first."""
+        """Return the addresses to query in random order, live members first."""
         members = [
             record.address
             for record in self._membership.live()
             if record.process_id != self._membership.own.process_id
         ]
-        strangers = self._membership.strangers()
+        unknown = self._membership.unknown_addresses()
         random.shuffle(members)
-        random.shuffle(strangers)
-        return (members + strangers)[:N_TRIES]
+        random.shuffle(unknown)
+        return (members + unknown)[:MAX_QUERIED]
 
-    async def _ask(self, address_text: str) -> bool:
+    async def _query(self, address_text: str) -> bool:
         match Address.parse(address_text):
             case Ok(address):
                 async with probe_link(self._process, address) as link:
--- a/src/trefoilpaddle/coordination/configuration/config_state.py
+++ b/src/trefoilpaddle/coordination/configuration/config_state.py
@@ -1,4 +1,4 @@
-"""Puts what was heard in force in this process, whoever it was heard from."""
+"""Activates configuration received from the platform or from peers."""
 
 import asyncio
 import time
@@ -15,22 +15,22 @@
 from ...state.journal import Decision, Event, Figure, Journal
 from ...state.published import Published
 
-MAX_NOTED_CHARS: Final = 300
-"""Longest text of problems in a decision; more is cut off."""
+MAX_DETAIL_CHARS: Final = 300
+"""Longest `detail` text of a recorded decision; longer texts are truncated."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class News:
-    """A change that has come in force here.
+class ConfigChange:
+    """A change that has become active in this process.
 
     Parameters
     ----------
     keys : frozenset of str
-        Keys of which something was news; empty if only the host list changed.
+        Keys with new versions; empty if only the host list changed.
     base_revision : int
-        Revision in force before.
+        Revision that was active before the change.
     source : str
-        Whom it was heard from.
+        The peer that sent it, or ``"platform"``.
     """
 
     keys: frozenset[str]
@@ -38,32 +38,34 @@
     source: str
 
 
-OnNews = Callable[[News], None]
+ChangeListener = Callable[[ConfigChange], None]
 
 
 class ConfigState:
-    """The versions known here and the catalogue that they put in force.
+    """The versions known here and the catalogue that follows from them.
 
     Parameters
     ----------
     published : Published
-        Takes the catalogue and the host list.
+        Receives the active catalogue and host list.
     journal : Journal
-        Told of each change and each version held back.
+        Records each change and each version held back.
 
     Attributes
     ----------
     items : ConfigItems
         The versions known.
     held_back : tuple of HeldBack
-        Published versions that are not in force, and why.
+        Published versions that are not active, and the reasons.
     hosts_json : bytes
-        The host list in force, as published.
+        The active host list, as published.
+    has_queried_peers : bool
+        Whether peers have been queried for the highest revision since the start
+        or the last pause.
     known : asyncio.Event
-        Set while a catalogue is in force and peers have been asked for a newer.
-    read_s : float or None
-        Monotonic time of the last read of the service, by any process, that
-        this one knows of.
+        Set while a catalogue is active and peers have been queried.
+    last_read_s : float or None
+        Monotonic time of the last known read of the service by any process.
     """
 
     __slots__ = (
@@ -71,85 +73,85 @@
         "_journal",
         "_listeners",
         "_published",
-        "has_asked",
+        "has_queried_peers",
         "held_back",
         "hosts_json",
         "items",
         "known",
-        "read_s",
+        "last_read_s",
     )
 
     def __init__(self, *, published: Published, journal: Journal) -> None:
         self._published = published
         self._journal = journal
         self._builder = CatalogueBuilder()
-        self._listeners: list[OnNews] = []
+        self._listeners: list[ChangeListener] = []
         self.items = ConfigItems()
         self.held_back: tuple[HeldBack, ...] = ()
         self.hosts_json = b""
-        self.has_asked = False
+        self.has_queried_peers = False
         self.known = asyncio.Event()
-        self.read_s: float | None = None
+        self.last_read_s: float | None = None
 
-    def subscribe(self, listener: OnNews) -> None:
+    def subscribe(self, listener: ChangeListener) -> None:
         """Call `listener` after each change."""
         self._listeners.append(listener)
 
-    def set_asked(self, has_asked: bool) -> None:
-        """Note whether peers have been asked for the highest revision.
+    def set_peers_queried(self, has_queried_peers: bool) -> None:
+        """Record whether peers have been queried for the highest revision.
 
-        A process that starts or wakes late while the service is stale would
-        otherwise serve by a catalogue that the others have left behind.
+        A process that starts, or resumes after a pause, while the service is stale
+        would otherwise use a catalogue that the other processes have replaced.
         """
-        self.has_asked = has_asked
-        self._set_known()
+        self.has_queried_peers = has_queried_peers
+        self._update_known()
 
-    def _set_known(self) -> None:
-        if self.has_asked and self.items.revision > 0:
+    def _update_known(self) -> None:
+        if self.has_queried_peers and self.items.revision > 0:
             self.known.set()
         else:
             self.known.clear()
 
-    def note_read(self, age_s: float) -> None:
-        """Note that some process read the service `age_s` seconds ago."""
-        at_s = time.monotonic() - age_s
-        if self.read_s is None or at_s > self.read_s:
-            self.read_s = at_s
+    def record_read(self, age_s: float) -> None:
+        """Record that some process read the service `age_s` seconds ago."""
+        read_at_s = time.monotonic() - age_s
+        if self.last_read_s is None or read_at_s > self.last_read_s:
+            self.last_read_s = read_at_s
 
     def read_age_s(self) -> float | None:
-        """Return how long ago any known process has read the service."""
-        return None if self.read_s is None else time.monotonic() - self.read_s
+        """Return the time since the last known read of the service, or None."""
+        return None if self.last_read_s is None else time.monotonic() - self.last_read_s
 
-    def take(
+    def apply(
         self, items: Iterable[PublishedItem], *, revision: int, source: str
     ) -> bool:
-        """Put `items` in force and return True if anything of them was news.
+        """Apply `items`; return True if a version or the revision was new.
 
         Parameters
         ----------
         items : iterable of PublishedItem
-            All that changed up to `revision`, as far as `source` knows.
+            All changes up to `revision` that `source` knows.
         revision : int
-            Where the source stands.
+            Revision of the source.
         source : str
-            Whom it was heard from.
+            The peer that sent them, or ``"platform"``.
         """
-        was_revision = self.items.revision
+        previous_revision = self.items.revision
         keys = self.items.join(items, revision=revision)
-        if not keys and self.items.revision == was_revision:
+        if not keys and self.items.revision == previous_revision:
             return False
-        was_held_back = self.held_back
+        previous_held_back = self.held_back
         selection = self._builder.put_in_force(self.items, keys)
         self.held_back = selection.held_back
         if self._published.set_catalogue(selection.catalogue):
-            self._note_in_force(keys, source)
-        self._note_held_back(was_held_back, source)
-        self._set_known()
-        self._tell(frozenset(keys), was_revision, source)
+            self._record_active(keys, source)
+        self._record_held_back(previous_held_back, source)
+        self._update_known()
+        self._notify(frozenset(keys), previous_revision, source)
         return True
 
-    def take_hosts(self, data: bytes, *, source: str) -> bool:
-        """Put the host list `data` in force; return False if it is no news."""
+    def apply_hosts(self, data: bytes, *, source: str) -> bool:
+        """Activate the host list `data`; return False if it is invalid or not newer."""
         if data == self.hosts_json:
             return False
         match read_hosts(data):
@@ -173,21 +175,21 @@
                 ),
             )
         )
-        self._tell(frozenset(), self.items.revision, source)
+        self._notify(frozenset(), self.items.revision, source)
         return True
 
-    def _tell(self, keys: frozenset[str], base_revision: int, source: str) -> None:
-        news = News(keys=keys, base_revision=base_revision, source=source)
+    def _notify(self, keys: frozenset[str], base_revision: int, source: str) -> None:
+        change = ConfigChange(keys=keys, base_revision=base_revision, source=source)
         for listener in self._listeners:
-            listener(news)
+            listener(change)
 
-    def _note_in_force(self, keys: set[str], source: str) -> None:
+    def _record_active(self, keys: set[str], source: str) -> None:
         self._journal.record(
             Decision(
                 event=Event.CONFIG_IN_FORCE,
                 config_revision=self.items.revision,
                 peer=source,
-                detail=_shortened(", ".join(sorted(keys))),
+                detail=_truncated(", ".join(sorted(keys))),
                 figures=(
                     Figure(name="revision", value=self.items.revision),
                     Figure(name="n_changed", value=len(keys)),
@@ -195,8 +197,8 @@
             )
         )
 
-    def _note_held_back(self, was: tuple[HeldBack, ...], source: str) -> None:
-        known = {(held.key, held.revision) for held in was}
+    def _record_held_back(self, previous: tuple[HeldBack, ...], source: str) -> None:
+        known = {(held.key, held.revision) for held in previous}
         for held in self.held_back:
             if (held.key, held.revision) in known:
                 continue
@@ -206,7 +208,9 @@
                     config_revision=held.revision,
                     entry=held.key.removeprefix("entry/"),
                     peer=source,
-                    detail=_shortened("; ".join(str(one) for one in held.problems)),
+                    detail=_truncated(
+                        "; ".join(str(problem) for problem in held.problems)
+                    ),
                     figures=(
                         Figure(name="revision", value=held.revision),
                         Figure(name="stays_revision", value=held.stays),
@@ -215,7 +219,7 @@
             )
 
 
-def _shortened(text: str) -> str:
-    if len(text) <= MAX_NOTED_CHARS:
+def _truncated(text: str) -> str:
+    if len(text) <= MAX_DETAIL_CHARS:
         return text
-    return text[: MAX_NOTED_CHARS - 1] + "…"
+    return text[: MAX_DETAIL_CHARS - 1] + "…"
--- a/src/trefoilpaddle/coordination/configuration/reader_turn.py
+++ b/src/trefoilpaddle/coordination/configuration/reader_selection.py
@@ -1,4 +1,4 @@
-"""Whether this process is one of the few that read the platform."""
+"""Selection of the few processes that read the platform."""
 
 import random
 import time
@@ -11,29 +11,30 @@
 
 READER_KEY: Final = "config reader"
 
-STEP_IN_AFTER_S: Final = 30.0
-"""With no read known for this long, others than the readers try as well."""
+FALLBACK_READ_AFTER_S: Final = 30.0
+"""Time without a known read after which processes other than the readers read."""
 
-STEP_IN_EVERY_S: Final = 45.0
-"""Mean time between two such tries of one process."""
+FALLBACK_READ_PERIOD_S: Final = 45.0
+"""Mean time between two such fallback reads of one process."""
 
 
-class ReaderTurn:
-    """Chooses the readers of the own failure domain, as this process sees it.
+class ReaderSelection:
+    """Selects the readers of the own failure domain from the members known here.
 
-    Views differ for moments; the price is a few more reads, or for moments a
-    domain without a reader, which then hears from the others.
+    The members known to two processes differ for short times. This costs a few
+    additional reads, or leaves a domain without a reader for a short time, in
+    which it receives changes from other domains.
 
     Parameters
     ----------
     membership : Membership
-        Who is alive.
+        Provides the live members.
     state : ConfigState
-        Knows when the service was last read.
+        Provides the time of the last known read of the service.
     n_readers : int
         Readers per failure domain.
     journal : Journal
-        Told when this process becomes a reader or ceases to be one.
+        Records when this process becomes a reader or ceases to be one.
     """
 
     __slots__ = (
@@ -41,7 +42,7 @@
         "_journal",
         "_membership",
         "_n_readers",
-        "_next_try_s",
+        "_next_fallback_s",
         "_state",
         "_version",
     )
@@ -60,7 +61,7 @@
         self._journal = journal
         self._is_reader = False
         self._version = -1
-        self._next_try_s = time.monotonic() + _spread_s()
+        self._next_fallback_s = time.monotonic() + _fallback_delay_s()
 
     def is_reader(self) -> bool:
         """Return True if this process is one of the readers of its domain."""
@@ -69,18 +70,18 @@
             self._choose()
         return self._is_reader
 
-    def is_mine(self) -> bool:
+    def should_read(self) -> bool:
         """Return True if this process should read now."""
-        return self.is_reader() or self._steps_in()
+        return self.is_reader() or self._is_fallback_due()
 
     def _choose(self) -> None:
         own = self._membership.own
-        places = [
+        candidates = [
             record.process_id
             for record in self._membership.live()
             if record.failure_domain == own.failure_domain
         ]
-        readers = highest(READER_KEY, places, n=self._n_readers)
+        readers = highest(READER_KEY, candidates, n=self._n_readers)
         is_reader = own.process_id in readers
         if is_reader == self._is_reader:
             return
@@ -94,22 +95,22 @@
             )
         )
 
-    def _steps_in(self) -> bool:
-        """Return True now and then while nobody seems to be reading.
+    def _is_fallback_due(self) -> bool:
+        """Return True at random intervals while no read of the service is known.
 
-        It shows when all readers are cut off from the service, while others
-        are not; the tries are so rare that a service which is down for all is
-        not called by the whole fleet at once.
+        The fallback applies if all readers are disconnected from the service while
+        other processes are not. It is rare enough that a service which is
+        unavailable to all is not called by the whole fleet at once.
         """
         age_s = self._state.read_age_s()
-        if age_s is not None and age_s < STEP_IN_AFTER_S:
+        if age_s is not None and age_s < FALLBACK_READ_AFTER_S:
             return False
         now_s = time.monotonic()
-        if now_s < self._next_try_s:
+        if now_s < self._next_fallback_s:
             return False
-        self._next_try_s = now_s + _spread_s()
+        self._next_fallback_s = now_s + _fallback_delay_s()
         return True
 
 
-def _spread_s() -> float:
-    return STEP_IN_EVERY_S * random.uniform(0.5, 1.5)
+def _fallback_delay_s() -> float:
+    return FALLBACK_READ_PERIOD_S * random.uniform(0.5, 1.5)
--- a/src/trefoilpaddle/coordination/members/directory.py
+++ b/src/trefoilpaddle/coordination/members/directory.py
@@ -1,4 +1,4 @@
-"""Who can be given work and where a process is found."""
+"""Directories of the sidecars that accept work and of process addresses."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -12,24 +12,24 @@
 from ...transport.connection import Address
 from ..own_process import OwnProcess
 from .membership import Membership
+from .pause_detector import PauseDetector
 from .subset import subset
-from .wake import WakeWatch
 
 
 class Directory(Protocol):
-    """Answers the two questions that routing asks about other processes."""
+    """Lookups of other processes that routing needs."""
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that may be given new work."""
+        """Return the sidecars of `service` to which new work may be sent."""
         ...
 
     def host(self, process_id: str) -> Host | None:
-        """Return where a process is found, or None if it is not known."""
+        """Return the host entry of a process, or None if it is unknown."""
         ...
 
 
 class PublishedDirectory:
-    """Directory that knows only the published host list."""
+    """Directory that uses only the published host list."""
 
     __slots__ = ("_published",)
 
@@ -37,11 +37,11 @@
         self._published = published
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that the list calls live."""
+        """Return the sidecars of `service` that the host list marks as live."""
         return self._published.hosts.sidecars(service)
 
     def host(self, process_id: str) -> Host | None:
-        """Return the listed host of `process_id`, or None."""
+        """Return the host list entry of `process_id`, or None if it has none."""
         for host in self._published.hosts.hosts:
             if host.process_id == process_id:
                 return host
@@ -49,48 +49,64 @@
 
 
 class LiveDirectory:
-    """Directory that joins the published list with what members say.
+    """Directory that combines the published host list with the member records.
 
-    The list lags: it names hosts that are gone and lacks new ones. A sidecar
-    gets new work unless the list or the sidecar itself says that it is leaving,
-    or members say that it is dead or silent while this process does not hear it
-    either. Whoever is named may still be refused by its link: a peer that has
-    been silent for ``SILENCE_S`` gets nothing new.
+    The host list is delayed: it contains hosts that were removed and lacks new
+    ones. A sidecar gets new work unless the host list or its member record
+    marks it as leaving, its member record marks it as dead, or it is suspected
+    and this process receives nothing from it either. The link to a returned
+    sidecar may still reject the work: a peer that has been unresponsive for
+    ``SILENCE_S`` gets no new work.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     membership : Membership
-        What members say.
-    wake : WakeWatch
-        Asked first, so that a pause is dealt with before anything is chosen.
+        The member records.
+    pause_detector : PauseDetector
+        Checked before each lookup of sidecars, so that a pause of this process
+        is handled before outdated records are used.
     """
 
-    __slots__ = ("_chosen", "_current", "_membership", "_process", "_versions", "_wake")
+    __slots__ = (
+        "_current_services",
+        "_membership",
+        "_pause_detector",
+        "_process",
+        "_subsets",
+        "_versions",
+    )
 
     def __init__(
-        self, *, process: OwnProcess, membership: Membership, wake: WakeWatch
+        self,
+        *,
+        process: OwnProcess,
+        membership: Membership,
+        pause_detector: PauseDetector,
     ) -> None:
         self._process = process
         self._membership = membership
-        self._wake = wake
-        self._chosen: dict[str, list[Host]] = {}
-        self._current: set[str] = set()
+        self._pause_detector = pause_detector
+        self._subsets: dict[str, list[Host]] = {}
+        self._current_services: set[str] = set()
         self._versions = (-1, -1)
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that may be given new work."""
-        if self._wake.is_late():
-            self._wake.tick()
-        self._renew()
-        if service not in self._current:
-            self._chosen[service] = self._choose(service)
-            self._current.add(service)
-        return [host for host in self._chosen[service] if self._is_usable(host)]
+        """Return the sidecars of `service` to which new work may be sent."""
+        if self._pause_detector.is_pause_pending():
+            self._pause_detector.check()
+        self._discard_outdated()
+        if service not in self._current_services:
+            self._subsets[service] = self._choose(service)
+            self._current_services.add(service)
+        return [host for host in self._subsets[service] if self._is_usable(host)]
 
     def host(self, process_id: str) -> Host | None:
-        """Return where a process is found, or None if it is not known."""
+        """Return the host entry of a process, or None if it is unknown.
+
+        The address of a member that is not dead replaces the published one.
+        """
         record = self._membership.table.records.get(process_id)
         listed = self._listed(process_id)
         if record is None or record.state is MemberState.DEAD:
@@ -100,22 +116,22 @@
         return replace(listed, peer_address=record.address)
 
     def is_wanted(self, address: Address) -> bool:
-        """Return True if the link to `address` serves a chosen sidecar."""
+        """Return True if `address` belongs to a sidecar of a chosen subset."""
         text = str(address)
         return any(
             host.peer_address == text
-            for hosts in self._chosen.values()
+            for hosts in self._subsets.values()
             for host in hosts
         )
 
-    def _renew(self) -> None:
+    def _discard_outdated(self) -> None:
         versions = (
             self._membership.table.version,
             self._process.published.hosts.revision,
         )
         if versions != self._versions:
             self._versions = versions
-            self._current.clear()
+            self._current_services.clear()
 
     def _choose(self, service: str) -> list[Host]:
         gateways = [
@@ -127,20 +143,20 @@
         return subset(self._membership.own.process_id, gateways, targets)
 
     def _candidates(self, service: str) -> Iterator[Host]:
-        """Yield the sidecars of `service`, listed ones first."""
+        """Yield the candidate sidecars of `service`, published ones first."""
         records = self._membership.table.records
         listed = self._process.published.hosts.hosts
         for host in listed:
             if host.role != "sidecar" or host.service != service:
                 continue
             record = records.get(host.process_id)
-            if host.state is HostState.LIVE and not _is_gone(record):
+            if host.state is HostState.LIVE and not _is_leaving_or_dead(record):
                 yield replace(host, peer_address=record.address) if record else host
         names = {host.process_id for host in listed}
         for record in records.values():
             if record.role != "sidecar" or record.service != service:
                 continue
-            if record.process_id not in names and not _is_gone(record):
+            if record.process_id not in names and not _is_leaving_or_dead(record):
                 yield _host_of(record)
 
     def _is_usable(self, host: Host) -> bool:
@@ -161,7 +177,7 @@
         return None
 
 
-def _is_gone(record: MemberRecord | None) -> bool:
+def _is_leaving_or_dead(record: MemberRecord | None) -> bool:
     if record is None:
         return False
     return record.state in {MemberState.LEAVING, MemberState.DEAD}
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -1,4 +1,8 @@
-"""Who is there: news flooded to a few peers, digests compared now and then."""
+"""Fleet membership by gossip: changes are flooded, digests are compared.
+
+Each process sends changes to a few peers at once. Periodic comparisons of
+digests with these peers repair what the flooding missed.
+"""
 
 import asyncio
 import random
@@ -22,26 +26,32 @@
 from .overlay import neighbours
 from .probe import probe_link
 
-ROUND_S: Final = 2.0
-"""Time between two comparisons of digests."""
+COMPARE_PERIOD_S: Final = 2.0
+"""Mean time between two periodic comparisons of digests."""
 
 FLOOD_DELAY_S: Final = 0.05
-"""News of this long goes out together; a lost failure domain is one message."""
+"""Changes within this time are sent in one message.
+
+The loss of a failure domain, which changes many records, takes one message.
+"""
 
-ASK_TIMEOUT_S: Final = 1.0
-"""Longest wait for a link to open, and for an answer on it."""
+REQUEST_TIMEOUT_S: Final = 1.0
+"""Longest wait for a link to open, and for a response on it."""
 
-LINK_LOOK_S: Final = 0.1
-"""Time between looks whether a link to a child has opened.
+LINK_CHECK_PERIOD_S: Final = 0.1
+"""Time between two checks for newly opened links to children.
 
-Half of the time for which a gateway that starts waits for news of the others.
+Half of the time for which a starting gateway waits for changes of the others.
 """
 
-N_ROUNDS_PER_STRANGER: Final = 3
-"""Rounds between two meetings with a listed process that is no live member."""
+N_ROUNDS_PER_UNKNOWN_ADDRESS: Final = 3
+"""Comparison rounds between two exchanges with a process that is no live member."""
 
 N_MISMATCHES: Final = 2
-"""Rounds in which digests may differ, for news on its way, before a comparison."""
+"""Consecutive mismatches of digests after which members are exchanged.
+
+A single mismatch may come from changes that are still in transit.
+"""
 
 EVENT_OF: Final = {
     MemberState.LIVE: Event.MEMBER_JOINED,
@@ -52,56 +62,58 @@
 
 
 class Membership:
-    """This process's view of the others.
+    """This process's view of the members of the fleet.
 
     Parameters
     ----------
     process : OwnProcess
         The process that it runs in.
     seeds : tuple of str
-        Addresses to try before any other is known.
+        Addresses to contact, in particular while no other member is known.
 
     Attributes
     ----------
     table : MemberTable
-        What is known; this process included.
+        The newest record of each process, this one included.
     children : list of MemberRecord
-        The members to which this process keeps links for news.
-    since_s : dict of str to float
-        Monotonic time of the last news of each process.
+        The members to which this process keeps links and sends changes.
+    own : MemberRecord
+        The record of this process.
+    last_change_s : dict of str to float
+        Monotonic time of the last change of each process's record.
     """
 
     __slots__ = (
-        "_chosen",
-        "_has_news",
+        "_child_ids",
+        "_children_version",
+        "_has_updates",
         "_live",
         "_live_version",
         "_n_mismatches",
-        "_news",
-        "_present",
+        "_pending_updates",
+        "_present_ids",
         "_process",
         "_seeds",
-        "_table_version",
         "children",
+        "last_change_s",
         "own",
-        "since_s",
         "table",
     )
 
     def __init__(self, *, process: OwnProcess, seeds: tuple[str, ...]) -> None:
         self._process = process
         self._seeds = seeds
-        self._news: dict[str, MemberRecord] = {}
-        self._has_news = asyncio.Event()
+        self._pending_updates: dict[str, MemberRecord] = {}
+        self._has_updates = asyncio.Event()
         self._n_mismatches = 0
-        self._table_version = -1
+        self._children_version = -1
         self._live: Sequence[MemberRecord] = ()
         self._live_version = -1
-        self._present: frozenset[str] = frozenset()
-        self._chosen: list[str] = []
+        self._present_ids: frozenset[str] = frozenset()
+        self._child_ids: list[str] = []
         self.table = MemberTable()
         self.children: list[MemberRecord] = []
-        self.since_s: dict[str, float] = {}
+        self.last_change_s: dict[str, float] = {}
         self.own = self._first_record()
         self._set_own(self.own)
         process.server.answer(Gossip, self.answer)
@@ -123,35 +135,35 @@
             millicores=identity.millicores,
         )
 
-    def hear(self, records: Iterable[MemberRecord]) -> None:
-        """Take in what a peer says and pass on what was news."""
+    def apply_records(self, records: Iterable[MemberRecord]) -> None:
+        """Apply records received from a peer and forward those that were new."""
         for record in records:
             if record.process_id == self.own.process_id:
-                self._hear_of_self(record)
+                self._refute_outdated(record)
             elif self.table.join([record]):
-                self._note(record)
+                self._record_change(record)
 
-    def say(self, process_id: str, state: MemberState) -> None:
-        """Say of another process what this one has found out itself."""
+    def report_state(self, process_id: str, state: MemberState) -> None:
+        """Set and spread the state of another process as observed by this one."""
         record = self.table.say(process_id, state)
         if record is not None:
-            self._note(record)
+            self._record_change(record)
 
     def forget(self, process_id: str) -> None:
-        """Drop what is known of a process."""
+        """Remove the record of a process."""
         self.table.forget(process_id)
-        self.since_s.pop(process_id, None)
+        self.last_change_s.pop(process_id, None)
 
-    def leave(self) -> None:
-        """Say that this process is leaving."""
+    def announce_leaving(self) -> None:
+        """Announce to the fleet that this process is leaving."""
         self._set_own(
             replace(self.own, state=MemberState.LEAVING, beat=self.own.beat + 1)
         )
 
     def live(self) -> Sequence[MemberRecord]:
-        """Return the members that are neither silent nor leaving, self included.
+        """Return the members in state LIVE, this process included.
 
-        The same object until one of them changes.
+        The same object is returned until a record changes.
         """
         if self._live_version != self.table.version:
             self._live_version = self.table.version
@@ -162,44 +174,44 @@
             )
         return self._live
 
-    def strangers(self) -> list[str]:
+    def unknown_addresses(self) -> list[str]:
         """Return addresses of listed hosts and seeds that are not live members.
 
-        They are where the other side of a healed partition is found, and whom
-        a process that knows nobody asks first.
+        They lead to the other side of a network partition that has ended, and
+        are contacted first by a process that knows no other member.
         """
         known = {record.address for record in self.live()} | {self.own.address}
         listed = self._process.published.peer_addresses()
         return sorted({*self._seeds, *listed} - known)
 
-    async def answer(self, question: Gossip, peer: Hello) -> GossipAnswer:
-        """Answer a peer that compares digests."""
-        differing = self.table.differing(digests_from_wire(question.domains))
-        self.hear(from_wire(question.members))
+    async def answer(self, request: Gossip, peer: Hello) -> GossipAnswer:
+        """Respond to a peer that compares digests or exchanges members."""
+        differing = self.table.differing(digests_from_wire(request.domains))
+        self.apply_records(from_wire(request.members))
         members: list[MemberRecord] = []
-        if question.domains:
+        if request.domains:
             members = self.table.in_domains(differing)
-        is_equal = question.digest == self.table.digest
+        is_equal = request.digest == self.table.digest
         return GossipAnswer(
             members=[to_wire(record) for record in members],
             digest=self.table.digest,
             domains=[] if is_equal else digests_to_wire(self.table),
         )
 
-    def rewire(self) -> bool:
-        """Choose the children anew if the members changed; True if it did."""
-        if self.table.version == self._table_version:
+    def update_children(self) -> bool:
+        """Update the children if a member changed; return True if one had."""
+        if self.table.version == self._children_version:
             return False
-        self._table_version = self.table.version
+        self._children_version = self.table.version
         present = {record.process_id: record for record in self.table.present()}
-        if present.keys() != self._present:
-            self._present = frozenset(present)
-            self._chosen = neighbours(self.own.process_id, present)
-        self.children = [present[process_id] for process_id in self._chosen]
+        if present.keys() != self._present_ids:
+            self._present_ids = frozenset(present)
+            self._child_ids = neighbours(self.own.process_id, present)
+        self.children = [present[process_id] for process_id in self._child_ids]
         return True
 
     def child_links(self) -> list[Link]:
-        """Return the link to each child whose address can be read."""
+        """Return the link to each child that has a valid address."""
         links = []
         for child in self.children:
             match Address.parse(child.address):
@@ -209,90 +221,98 @@
                     continue
         return links
 
-    async def flood_news(self) -> None:
-        """Send news to the children as it comes, until cancelled."""
+    async def flood_updates(self) -> None:
+        """Send changed records to the children as they occur, until cancelled."""
         while True:
-            await self._has_news.wait()
+            await self._has_updates.wait()
             await asyncio.sleep(FLOOD_DELAY_S)
-            self._has_news.clear()
-            members = [to_wire(record) for record in self._news.values()]
-            self._news = {}
+            self._has_updates.clear()
+            members = [to_wire(record) for record in self._pending_updates.values()]
+            self._pending_updates = {}
             message = Gossip(sender=self.own.process_id, members=members)
             for link in self.child_links():
                 link.send(message)
 
     async def compare_new_links(self) -> None:
-        """Compare with each child once its link is open, until cancelled.
+        """Compare digests with each child once its link has opened, until cancelled.
 
-        News that are said before are lost: who starts hears of the others before it
-        has links to them. Two groups that only it knew stayed apart until digests
-        had differed twice, and both took on what only one should do.
+        Changes that are sent before a link is open are lost: a starting process
+        receives records of the others before it has links to them. Otherwise two
+        groups that only this process knew would stay separate until digests had
+        differed twice, and both would take duties that only one should have.
         """
         compared: dict[Address, Connection] = {}
         while True:
             links = {link.address: link for link in self.child_links()}
-            compared = {at: was for at, was in compared.items() if at in links}
+            compared = {
+                peer_address: last_connection
+                for peer_address, last_connection in compared.items()
+                if peer_address in links
+            }
             for address, link in links.items():
                 connection = link.connection
                 if connection is None or compared.get(address) is connection:
                     continue
                 compared[address] = connection
                 await self._compare(link, n_mismatches=1)
-            await asyncio.sleep(LINK_LOOK_S)
+            await asyncio.sleep(LINK_CHECK_PERIOD_S)
 
-    async def compare_rounds(self) -> None:
-        """Compare digests with one child after the other until cancelled."""
-        number = 0
+    async def compare_periodically(self) -> None:
+        """Compare digests with the children in turn, until cancelled."""
+        n_rounds = 0
         while True:
-            await asyncio.sleep(ROUND_S * random.uniform(0.75, 1.25))
-            number += 1
-            heard = [link for link in self.child_links() if link.is_heard()]
-            if heard:
-                await self._compare(heard[number % len(heard)])
-            if not heard or number % N_ROUNDS_PER_STRANGER == 0:
-                await self.meet_stranger()
-
-    async def meet_stranger(self) -> None:
-        """Exchange members with one listed process that is not a live member."""
-        strangers = self.strangers()
-        if strangers:
-            await self.meet(random.choice(strangers))
-
-    async def meet(self, address_text: str) -> bool:
-        """Exchange all members with the process at an address; True if it answered."""
+            await asyncio.sleep(COMPARE_PERIOD_S * random.uniform(0.75, 1.25))
+            n_rounds += 1
+            responsive = [link for link in self.child_links() if link.is_heard()]
+            if responsive:
+                await self._compare(responsive[n_rounds % len(responsive)])
+            if not responsive or n_rounds % N_ROUNDS_PER_UNKNOWN_ADDRESS == 0:
+                await self.exchange_with_unknown()
+
+    async def exchange_with_unknown(self) -> None:
+        """Exchange members with a random listed host or seed that is no live member."""
+        addresses = self.unknown_addresses()
+        if addresses:
+            await self.exchange_at(random.choice(addresses))
+
+    async def exchange_at(self, address_text: str) -> bool:
+        """Exchange all members with the process at an address; True if it responded."""
         match Address.parse(address_text):
             case Ok(address):
                 async with probe_link(self._process, address) as link:
-                    return await self._is_open(link) and await self.exchange(link)
+                    return await self._is_open_in_time(link) and await self.exchange(
+                        link
+                    )
             case Err(_):
                 return False
 
-    async def _is_open(self, link: Link) -> bool:
-        """Wait until a link is open; False if that takes too long.
+    async def _is_open_in_time(self, link: Link) -> bool:
+        """Wait until a link is open; return False if that takes too long.
 
-        What is said on it is put together only then. A process that listens a
-        little later than others was told what was known before these answered: it
-        knew one member for seconds, and took on duties that others had.
+        The records to send are collected only after that. A process that starts to
+        listen a little later than others would otherwise be sent the records known
+        before those had responded: it would know one member for seconds, and take
+        duties that others have.
         """
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await link.opened.wait()
         except TimeoutError:
             return False
         return True
 
-    async def watch_stop(self) -> None:
-        """Say that this process is leaving once its planned stop has begun."""
+    async def announce_planned_stop(self) -> None:
+        """Announce that this process is leaving once its planned stop has begun."""
         await self._process.stopping.wait()
-        self.leave()
+        self.announce_leaving()
 
     async def _compare(self, link: Link, *, n_mismatches: int = N_MISMATCHES) -> None:
-        """Ask for a digest; exchange members if it has differed so often in a row."""
-        members = [to_wire(self.own), *self._suspects_among(link)]
-        question = Gossip(
+        """Compare digests; exchange members on the `n_mismatches`-th mismatch."""
+        members = [to_wire(self.own), *self._suspicion_of_peer(link)]
+        request = Gossip(
             sender=self.own.process_id, members=members, digest=self.table.digest
         )
-        answer = await self._ask(link, question)
+        answer = await self._request(link, request)
         if answer.is_err():
             return
         self._n_mismatches += 1
@@ -302,8 +322,8 @@
             self._n_mismatches = 0
             await self.exchange(link, known=answer.unwrap())
 
-    def _suspects_among(self, link: Link) -> list[Message]:
-        """Return the record of the link's peer if it should overrule it."""
+    def _suspicion_of_peer(self, link: Link) -> list[Message]:
+        """Return the peer's record if it is suspected, for the peer to refute it."""
         peer = link.peer
         record = self.table.records.get(peer.process_id) if peer else None
         if record is None or record.state is not MemberState.SUSPECT:
@@ -311,49 +331,50 @@
         return [to_wire(record)]
 
     async def exchange(self, link: Link, known: GossipAnswer | None = None) -> bool:
-        """Exchange members with a peer; return True if it answered.
+        """Exchange members with a peer; return True if it responded.
 
         Parameters
         ----------
         link : Link
-            To the peer.
+            Link to the peer.
         known : GossipAnswer, optional
-            Its digests; only members of failure domains that differ are sent.
+            Digests of the peer; only members of failure domains whose digests
+            differ are sent. All members are sent without it.
         """
         differing = set(self.table.digests)
         if known is not None:
             differing = self.table.differing(digests_from_wire(known.domains))
         members = self.table.in_domains(differing)
-        question = Gossip(
+        request = Gossip(
             sender=self.own.process_id,
             members=[to_wire(record) for record in members],
             digest=self.table.digest,
             domains=digests_to_wire(self.table),
         )
-        match await self._ask(link, question):
+        match await self._request(link, request):
             case Ok(answer):
-                self.hear(from_wire(answer.members))
+                self.apply_records(from_wire(answer.members))
                 return True
             case Err(_):
                 return False
 
-    async def _ask(
-        self, link: Link, question: Gossip
+    async def _request(
+        self, link: Link, request: Gossip
     ) -> Result[GossipAnswer, PeerError]:
-        # A fault here would end the loop that asks, and with it the process.
-        match await link.ask(question, timeout_s=ASK_TIMEOUT_S):
+        # An exception here would end the calling loop, and with it the process.
+        match await link.ask(request, timeout_s=REQUEST_TIMEOUT_S):
             case Ok(GossipAnswer() as answer):
                 return Ok(answer)
-            case Ok(foreign):
-                return Err(PeerError.of_foreign(foreign, peer=str(link.address)))
+            case Ok(unexpected):
+                return Err(PeerError.of_foreign(unexpected, peer=str(link.address)))
             case Err(error):
                 return Err(error)
 
-    def _hear_of_self(self, record: MemberRecord) -> None:
-        """Overrule what is said of this process if it is not so.
+    def _refute_outdated(self, record: MemberRecord) -> None:
+        """Refute a record of this process that overrules the own one.
 
-        After a restart or a pause the others may go on saying what was true of
-        an earlier start, or that this process is silent.
+        After a restart or a pause the others may still hold a record of an earlier
+        incarnation, or one that marks this process as suspected.
         """
         if record == self.own or not record.overrules(self.own):
             return
@@ -362,10 +383,10 @@
     def _set_own(self, record: MemberRecord) -> None:
         self.own = record
         self.table.join([record])
-        self._spread(record)
+        self._queue_update(record)
 
-    def _note(self, record: MemberRecord) -> None:
-        self.since_s[record.process_id] = time.monotonic()
+    def _record_change(self, record: MemberRecord) -> None:
+        self.last_change_s[record.process_id] = time.monotonic()
         self._process.journal.record(
             Decision(
                 event=EVENT_OF[record.state],
@@ -375,14 +396,14 @@
             )
         )
         if record.state is MemberState.LIVE:
-            self._hurry_link(record)
-        self._spread(record)
+            self._redial_now(record)
+        self._queue_update(record)
 
-    def _hurry_link(self, record: MemberRecord) -> None:
-        """Have a waiting link dial a process that has just come back.
+    def _redial_now(self, record: MemberRecord) -> None:
+        """Make a waiting link dial a process that is live again.
 
-        Its link may wait up to a second before the next try; when one target
-        after the other is replaced, the next would leave before that.
+        The link may wait up to a second before its next attempt; in a rolling
+        replacement of targets the next target would leave before that.
         """
         match Address.parse(record.address):
             case Ok(address):
@@ -392,10 +413,10 @@
             case Err(_):
                 return
 
-    def _spread(self, record: MemberRecord) -> None:
-        self._news[record.process_id] = record
-        self._has_news.set()
+    def _queue_update(self, record: MemberRecord) -> None:
+        self._pending_updates[record.process_id] = record
+        self._has_updates.set()
 
     def _on_peer_message(self, connection: Connection, message: Message) -> None:
         if isinstance(message, Gossip):
-            self.hear(from_wire(message.members))
+            self.apply_records(from_wire(message.members))
--- a/src/trefoilpaddle/coordination/members/overlay.py
+++ b/src/trefoilpaddle/coordination/members/overlay.py
@@ -1,4 +1,4 @@
-"""Which peers a process keeps a link to, so that news reaches all in a few hops."""
+"""Gossip overlay: the peers that a process links to, for few hops between any two."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -7,7 +7,7 @@
 from ...state.rendezvous import highest
 
 FAN_OUT: Final = 4
-"""Links that each process opens for news and for watching over peers."""
+"""Links that each process opens to spread changes and to monitor peers."""
 
 RING_KEY: Final = "ring"
 
@@ -17,33 +17,34 @@
 ) -> list[str]:
     """Return the members to which the process `own` keeps links.
 
-    One is the next on a ring, so each member is watched by at least one other;
-    the rest are chosen by rendezvous, so paths are short and one member more or
-    less changes few links. At most `fan_out` are returned; all when they are few.
+    One is the successor on a hash ring, so each member is monitored by at least
+    one other; the rest are chosen by rendezvous hashing, so paths are short and
+    a joining or leaving member changes few links. All others are returned if
+    there are at most `fan_out`.
 
     Parameters
     ----------
     own : str
-        Process id.
+        Process id of this process.
     members : iterable of str
-        Process ids that are not dead, with or without `own`.
+        Process ids of the members that are not dead, with or without `own`.
     fan_out : int
-        Most links.
+        Largest number of links.
     """
     others = sorted(set(members) - {own})
     if len(others) <= fan_out:
         return others
     chosen = [_next_on_ring(own, others)]
-    for number in range(fan_out - 1):
-        for place in highest(f"{own}#{number}", others, n=fan_out):
-            if place not in chosen:
-                chosen.append(place)
+    for index in range(fan_out - 1):
+        for member in highest(f"{own}#{index}", others, n=fan_out):
+            if member not in chosen:
+                chosen.append(member)
                 break
     return chosen
 
 
 def _next_on_ring(own: str, others: list[str]) -> str:
-    at = place_score(RING_KEY, own)
-    scores = {place: place_score(RING_KEY, place) for place in others}
-    behind = [place for place in others if scores[place] > at]
-    return min(behind or others, key=scores.__getitem__)
+    own_score = place_score(RING_KEY, own)
+    scores = {member: place_score(RING_KEY, member) for member in others}
+    following = [member for member in others if scores[member] > own_score]
+    return min(following or others, key=scores.__getitem__)
--- a/tests/test_config_schedules.py
+++ b/tests/test_config_schedules.py
@@ -51,7 +51,7 @@
 
 
 class Service:
-    """The configuration service; can serve an older state of itself."""
+    """The configuration service; can also return an older state."""
 
     def __init__(self) -> None:
         self.log: list[PublishedItem] = []
@@ -65,10 +65,10 @@
         revision = max(0, len(self.log) - n_stale)
         known = state.items.revision
         last = {item.key: item for item in self.log[known:revision]}
-        state.take(last.values(), revision=revision, source="service")
+        state.apply(last.values(), revision=revision, source="service")
 
     def newest_at(self, revision: int) -> dict[str, int]:
-        """Return the revision of each key's newest version at a revision."""
+        """Return the revision of each key's newest version up to a revision."""
         return {item.key: item.version.revision for item in self.log[:revision]}
 
 
@@ -79,7 +79,7 @@
 
 @dataclass
 class Node:
-    """One process: real state and exchange, nothing else."""
+    """A process that has only the real configuration state and exchange."""
 
     state: ConfigState
     peers: ConfigPeers
@@ -111,8 +111,8 @@
 
 
 @dataclass
-class WireTo:
-    """Stands for a link to `node`; an answer can be lost."""
+class FakeLink:
+    """Fake link to `node` on which a response can be lost."""
 
     node: Node
     is_lossy: bool = False
@@ -127,7 +127,7 @@
 
 
 async def pull(node: Node, other: Node, *, is_lossy: bool = False) -> bool:
-    return await node.peers.pull(cast(Link, WireTo(other, is_lossy)))
+    return await node.peers.pull(cast(Link, FakeLink(other, is_lossy)))
 
 
 numbers = st.integers(0, N_PROCESSES - 1)
@@ -143,7 +143,7 @@
 )
 
 
-async def take_step(kind: str, args: Any, nodes: list[Node], service: Service) -> None:
+async def apply_step(kind: str, args: Any, nodes: list[Node], service: Service) -> None:
     match kind:
         case "publish":
             service.publish(*args)
@@ -154,7 +154,7 @@
         case "deliver" if any(node.outbox for node in nodes):
             sent = [delta for node in nodes for delta in node.outbox]
             delta = sent[args[1] % len(sent)]
-            nodes[args[0]].peers._take_push(delta, "peer")
+            nodes[args[0]].peers._apply_push(delta, "peer")
         case "restart" if args[0] != args[1]:
             nodes[args[0]] = new_node()
             await pull(nodes[args[0]], nodes[args[1]])
@@ -166,17 +166,17 @@
     nodes = [new_node() for _ in range(N_PROCESSES)]
     for kind, args in schedule:
         before = [(node, node.published.catalogue.revision) for node in nodes]
-        await take_step(kind, args, nodes, service)
+        await apply_step(kind, args, nodes, service)
         for node, revision in before:
             assert node.published.catalogue.revision >= revision
         for node in nodes:
             assert newest_of(node) == service.newest_at(node.state.items.revision)
-            whole = CatalogueBuilder().put_in_force(copy.deepcopy(node.state.items))
-            assert whole.catalogue == node.published.catalogue
-            assert whole.held_back == node.state.held_back
+            rebuilt = CatalogueBuilder().put_in_force(copy.deepcopy(node.state.items))
+            assert rebuilt.catalogue == node.published.catalogue
+            assert rebuilt.held_back == node.state.held_back
         if kind == "restart":
-            asked = nodes[args[1]].published.catalogue.revision
-            assert nodes[args[0]].published.catalogue.revision >= asked
+            known = nodes[args[1]].published.catalogue.revision
+            assert nodes[args[0]].published.catalogue.revision >= known
     service.read(nodes[0].state, n_stale=0)
     for _ in range(2):
         for node in nodes:
@@ -193,20 +193,21 @@
 class TestSchedules:
     @given(schedule=st.lists(steps, min_size=30, max_size=60))
     @settings(max_examples=150)
-    def test_no_revision_falls_and_all_come_to_the_same(
+    def test_revisions_never_decrease_and_all_processes_converge(
         self, schedule: list[tuple[str, Any]]
     ) -> None:
-        # Operators change and delete what hangs together while messages are
-        # lost, come late or twice, the service serves an older state, and
-        # processes restart. A user would see two gateways serve by different
-        # entries for ever, or a change undone.
+        # Operators change and delete values that depend on each other while messages
+        # are lost, delayed or duplicated, the service returns an older state, and
+        # processes restart. After a failure two gateways would use different entries
+        # permanently, or a change would be reverted.
         asyncio.run(run(schedule))
 
 
 class TestFaultyPeer:
-    async def test_a_foreign_answer_is_none(self) -> None:
-        # As of members (tests/test_membership.py): a question for configuration is
-        # answered by something else. The fault ended the process that had asked.
+    async def test_response_of_unexpected_type_fails_the_pull(self) -> None:
+        # A peer responds to a request for configuration with a message of another
+        # type, as to one for members in tests/test_membership.py. The exception
+        # ended the requesting process.
         async def ask(message: Any, *, timeout_s: float) -> Result[Message, PeerError]:
             return Ok(BarAnswer())
 
