--- a/src/trefoilpaddle/coordination/chain/fleet.py
+++ b/src/trefoilpaddle/coordination/chain/fleet.py
@@ -10,7 +10,7 @@
 from ...transport.connection import Address
 from ..members.duty_rank import duty_rank
 from ..members.membership import Membership
-from ..members.watch_peers import PeerWatch
+from ..members.peer_monitor import PeerMonitor
 from ..own_process import OwnProcess
 
 DISCOVERY_PERIOD_S: Final = 0.1
@@ -60,7 +60,7 @@
 
     def __init__(self, *, process: OwnProcess, seeds: tuple[str, ...]) -> None:
         self.membership = Membership(process=process, seeds=seeds)
-        self._watch = PeerWatch(
+        self._watch = PeerMonitor(
             process=process, membership=self.membership, is_wanted=_never
         )
         self._max_members = MIN_SHARING_GATEWAYS
@@ -86,7 +86,7 @@
 
     def _known_s(self, member: MemberRecord) -> float:
         """Return since when a gateway is known unchanged; for this one, its start."""
-        return self.membership.since_s.get(member.process_id, self._began_s)
+        return self.membership.last_change_s.get(member.process_id, self._began_s)
 
     def live(self) -> Sequence[MemberRecord]:
         """Return the live gateways, this one included."""
@@ -109,10 +109,10 @@
                 group.create_task(work)
                 for work in (
                     self._watch.run(),
-                    self.membership.flood_news(),
+                    self.membership.flood_updates(),
                     self.membership.compare_new_links(),
-                    self.membership.compare_rounds(),
-                    self.membership.watch_stop(),
+                    self.membership.compare_periodically(),
+                    self.membership.announce_planned_stop(),
                     self._discover(),
                 )
             ]
@@ -130,14 +130,14 @@
         """
         while len(self.membership.live()) < 2:
             # Concurrently, so that an unresponsive seed does not delay the others.
-            unknown_seeds = self.membership.strangers()
+            unknown_seeds = self.membership.unknown_addresses()
             await asyncio.gather(*map(self._contact, unknown_seeds))
             await asyncio.sleep(DISCOVERY_PERIOD_S)
 
     async def _contact(self, address: str) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(DISCOVERY_TIMEOUT_S):
-                await self.membership.meet(address)
+                await self.membership.exchange_at(address)
 
 
 def _never(address: Address) -> bool:
