--- a/src/trefoilpaddle/coordination/requests/attempt_outcomes.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_outcomes.py
@@ -9,7 +9,7 @@
 from ...protocol.reasons import Reason
 from ...state.journal import Event
 from ..targets.stage_journal import StageJournal
-from ..targets.target_calls import CallEnd
+from ..targets.target_calls import CallOutcome
 from .attempts import Attempt, AttemptTable
 
 
@@ -39,7 +39,7 @@
         self._journal = journal
         self._read_load = read_load
 
-    def answered(self, attempt: Attempt, end: CallEnd, *, service_s: float) -> None:
+    def answered(self, attempt: Attempt, end: CallOutcome, *, service_s: float) -> None:
         """End an attempt whose answer is complete; it is held until acknowledged."""
         answer = attempt.stream.answer
         outcome = End(
@@ -56,7 +56,7 @@
             load=self._read_load(),
         )
         self._table.end_ran(attempt, outcome, now_ns=time.monotonic_ns())
-        self._journal.note(
+        self._journal.record(
             Event.FINISHED,
             attempt,
             service_s=service_s,
@@ -72,9 +72,9 @@
         )
         self._table.end_ran(attempt, failure, now_ns=time.monotonic_ns())
         if error.reason is not Reason.CANCELLED:
-            self._journal.error(Event.FINISHED, attempt, error)
+            self._journal.record_error(Event.FINISHED, attempt, error)
             return
-        self._journal.error(Event.CANCELLED, attempt, error)
+        self._journal.record_error(Event.CANCELLED, attempt, error)
         self._table.release(attempt.attempt_id)
 
     def not_run(self, attempt: Attempt, error: NotRun) -> None:
@@ -83,7 +83,7 @@
             error, attempt_id=attempt.attempt_id, load=self._read_load()
         )
         self._table.end_not_run(attempt, failure, now_ns=time.monotonic_ns())
-        self._journal.error(_event_of(error.reason), attempt, error)
+        self._journal.record_error(_event_of(error.reason), attempt, error)
 
 
 def elapsed_s(attempt: Attempt) -> float:
--- a/src/trefoilpaddle/coordination/requests/attempt_run.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_run.py
@@ -14,7 +14,7 @@
 from ...state.journal import Event
 from ...transport.target_http import SendGuard
 from ..targets.stage_journal import StageJournal
-from ..targets.target_calls import CallEnd, TargetCall, TargetCaller
+from ..targets.target_calls import CallOutcome, TargetCall, TargetCaller
 from .attempt_errors import not_started, stopped, unexpected
 from .attempts import Attempt, Phase
 from .streams import AnswerTooLargeError
@@ -58,7 +58,7 @@
 
     async def run(
         self, attempt: Attempt, *, n_running: int
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         """Run `attempt` in its slot and return its outcome.
 
         Cancelling this coroutine stops the call; the error that is then returned
@@ -93,7 +93,7 @@
 
     async def _call(
         self, attempt: Attempt, *, n_running: int
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         start = attempt.start
         attempt.phase = Phase.RUNNING
         guard = SendGuard(may_send=lambda: self._may_send(attempt))
@@ -102,7 +102,7 @@
         attempt.stream.send_uncredited(
             Started(attempt_id=attempt.attempt_id, queued_s=attempt.queued_s())
         )
-        self._journal.note(
+        self._journal.record(
             Event.STARTED,
             attempt,
             queued_s=attempt.queued_s(),
--- a/src/trefoilpaddle/coordination/requests/drain.py
+++ b/src/trefoilpaddle/coordination/requests/drain.py
@@ -26,9 +26,9 @@
     drain_s : float
         Longest wait, in seconds.
     """
-    dispatcher.leave(within_s=drain_s)
+    dispatcher.begin_leaving(within_s=drain_s)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(drain_s):
             await table.wait_empty()
-    dispatcher.give_back_waiting(Reason.LEAVING)
+    dispatcher.reject_queued(Reason.LEAVING)
     return len(table)
--- a/src/trefoilpaddle/coordination/requests/pipeline_run.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -19,7 +19,7 @@
 from ..claims.request_usage import RequestUsage
 from ..targets.stage_body import (
     Json,
-    Material,
+    StageInputs,
     engine_body,
     output_of,
     plain_body,
@@ -81,7 +81,7 @@
         sink : Sink, optional
             Takes the last stage's answer as it arrives, if that stage streams.
         """
-        material = Material(input=request.input)
+        material = StageInputs(input=request.input)
         stages = request.pipeline.stages
         output: Json = None
         with self._predictor.track_upcoming(request) as arrivals:
@@ -100,7 +100,7 @@
         self,
         request: Request,
         index: int,
-        material: Material,
+        material: StageInputs,
         spent: RequestUsage,
         sink: Sink | None,
     ) -> Result[Json, StageError]:
@@ -116,7 +116,7 @@
                 return Err(late)
         work = self._work(request, index, service, material, is_streamed=bool(sink))
         if request.key and not stage.idempotent:
-            work = replace(work, on_late=self._late_callback(stage, spent))
+            work = replace(work, on_unknown_outcome=self._late_callback(stage, spent))
         match await self._runner.run(work, spent=spent, sink=sink):
             case Err(error):
                 self._record_failure(work, error)
@@ -142,7 +142,7 @@
         request: Request,
         index: int,
         service: Service,
-        material: Material,
+        material: StageInputs,
         *,
         is_streamed: bool,
     ) -> StageWork:
@@ -177,7 +177,7 @@
         )
 
     def _body(
-        self, request: Request, stage: Stage, service: Service, material: Material
+        self, request: Request, stage: Stage, service: Service, material: StageInputs
     ) -> tuple[bytes, tuple[int, ...]]:
         """Return the body of a stage call and the hashes of its prompt's prefixes."""
         if service.kind is not ServiceKind.ENGINE:
@@ -213,10 +213,10 @@
     def _late_callback(
         self, stage: Stage, spent: RequestUsage
     ) -> Callable[[StageError], None]:
-        def on_late(error: StageError) -> None:
+        def on_unknown_outcome(error: StageError) -> None:
             spent.answer_early(self._refusal(error, stage, spent))
 
-        return on_late
+        return on_unknown_outcome
 
     def _refusal(self, error: StageError, stage: Stage, spent: RequestUsage) -> Refusal:
         return Refusal(
--- a/src/trefoilpaddle/coordination/requests/retries.py
+++ b/src/trefoilpaddle/coordination/requests/retries.py
@@ -200,7 +200,7 @@
 
     def _may_retry(self, work: StageWork, fault: StageFault, *, n_tried: int) -> bool:
         """Return True if another attempt cannot run work twice nor be too late."""
-        if n_tried >= MAX_ATTEMPTS or fault.has_passed_on:
+        if n_tried >= MAX_ATTEMPTS or fault.is_partly_forwarded:
             return False
         if time.monotonic() + work.expected_s >= work.deadline_s:
             return False
--- a/src/trefoilpaddle/coordination/requests/stage_call.py
+++ b/src/trefoilpaddle/coordination/requests/stage_call.py
@@ -135,8 +135,8 @@
             self.view.link.send(Cancel(attempt_id=attempt.attempt_id))
             raise
 
-        if isinstance(late, Unknown) and self.work.on_late is not None:
-            self.work.on_late(late)
+        if isinstance(late, Unknown) and self.work.on_unknown_outcome is not None:
+            self.work.on_unknown_outcome(late)
             return await self._wait_for_late_answer(attempt, late)
         return self._err(late)
 
@@ -310,4 +310,4 @@
 
     def _err(self, error: StageError) -> Err[StageFault]:
         was_forwarded = self._answer.has_forwarded
-        return Err(StageFault(error=error, has_passed_on=was_forwarded))
+        return Err(StageFault(error=error, is_partly_forwarded=was_forwarded))
--- a/src/trefoilpaddle/coordination/targets/dispatcher.py
+++ b/src/trefoilpaddle/coordination/targets/dispatcher.py
@@ -22,12 +22,12 @@
 from ..requests.attempts import Attempt, AttemptTable, Phase
 from ..requests.drop_timers import DropTimers
 from .intake import Intake
-from .queue_policy import Verdict, judge
+from .queue_policy import QueueDecision, decide_queueing
 from .running_calls import RunningCalls
 from .stage_journal import StageJournal
-from .target_calls import CONNECT_STEP, DOWN_RETRY_S, CallEnd, TargetCaller
+from .target_calls import CONNECT_STEP, DOWN_RETRY_S, CallOutcome, TargetCaller
 
-LOST_GRACE_NS: Final = NS_PER_S
+DISCONNECT_GRACE_NS: Final = NS_PER_S
 """How long waiting work outlives its connection."""
 TIMER_MARGIN_NS: Final = 2_000_000
 """More than a timer of the event loop comes early."""
@@ -113,7 +113,7 @@
             n_queued=len(self._queue),
             n_slots=self._running.limit.n_slots,
             queued_work_s=self._queue.work_s,
-            running_work_s=sum(self._running.left_s(now_ns)),
+            running_work_s=sum(self._running.remaining_s(now_ns)),
             leaving=intake.is_leaving,
             config_revision=intake.revision,
             slowness=self._running.slowness(now_ns),
@@ -127,18 +127,18 @@
         self._max_queue_s = service.max_queue_s
         self.intake.reports_load = service.reports_load
         self._running.limit.set_base(service.n_slots)
-        self.start_waiting()
+        self.start_queued()
 
     def set_target_up(self, *, is_up: bool) -> None:
         """Take whether the target answers; what waits for a dead one goes back."""
         if is_up == self.intake.is_target_up:
             return
         self.intake.is_target_up = is_up
-        self._journal.target(is_up=is_up)
+        self._journal.record_target_state(is_up=is_up)
         if not is_up:
-            self.give_back_waiting(Reason.TARGET_DOWN, retry_after_s=DOWN_RETRY_S)
+            self.reject_queued(Reason.TARGET_DOWN, retry_after_s=DOWN_RETRY_S)
 
-    def leave(self, *, within_s: float) -> None:
+    def begin_leaving(self, *, within_s: float) -> None:
         """Refuse new work, and begin only what can end within that time.
 
         Guards against calls that are begun shortly before the process ends and cut
@@ -153,7 +153,7 @@
 
     def predicted_wait_s(self) -> float:
         """Return the seconds until all that waits should have started."""
-        slots = self._running.slots(time.monotonic_ns())
+        slots = self._running.slot_snapshot(time.monotonic_ns())
         return slots.wait_s(self._queue.work_s)
 
     def expire_at_deadline(self, attempt: Attempt) -> None:
@@ -166,21 +166,21 @@
             attempt, n_waiting=len(self._queue), now_ns=time.monotonic_ns()
         )
 
-    def offer(self, attempt: Attempt, work: Work) -> None:
+    def submit(self, attempt: Attempt, work: Work) -> None:
         """Take in an attempt whose body is whole: start it, queue it or refuse it."""
         now_ns = time.monotonic_ns()
         attempt.work = work
         attempt.phase = Phase.WAITING
         attempt.stop_timer()
-        if self._running.has_free() and not len(self._queue):
+        if self._running.has_free_slot() and not len(self._queue):
             # Through the queue all the same: its owner is charged for the slot.
             self._queue.push(work)
-            self.start_waiting()
+            self.start_queued()
             return
-        verdict = judge(
+        verdict = decide_queueing(
             work,
             queue=self._queue,
-            slots=self._running.slots(now_ns),
+            slots=self._running.slot_snapshot(now_ns),
             now_ns=now_ns,
             max_queue_s=self._max_queue_s,
             refuses_early=self._policy.refuse_early,
@@ -192,11 +192,11 @@
         self._queue.push(work)
         self._announce(attempt, verdict)
         self._set_timer(attempt, work)
-        self.start_waiting()
+        self.start_queued()
 
-    def start_waiting(self) -> None:
+    def start_queued(self) -> None:
         """Start what waits while slots are free."""
-        while self._running.has_free():
+        while self._running.has_free_slot():
             now_ns = time.monotonic_ns()
             work = self._queue.pop(now_ns=now_ns)
             if work is None:
@@ -245,13 +245,13 @@
         elif attempt.task is not None:
             attempt.task.cancel()
 
-    def give_back_waiting(self, reason: Reason, *, retry_after_s: float = 0.0) -> None:
+    def reject_queued(self, reason: Reason, *, retry_after_s: float = 0.0) -> None:
         """Answer all that waits as not run."""
         for attempt in self._table.open_attempts():
             if attempt.phase in (Phase.RECEIVING, Phase.WAITING):
                 self.withdraw(attempt, reason, retry_after_s=retry_after_s)
 
-    def _refuse(self, attempt: Attempt, verdict: Verdict) -> None:
+    def _refuse(self, attempt: Attempt, verdict: QueueDecision) -> None:
         error = NotRun(
             reason=verdict.reason,
             step="queue",
@@ -261,18 +261,18 @@
         )
         self._end_not_run(attempt, error)
 
-    def _displace(self, verdict: Verdict) -> None:
+    def _displace(self, verdict: QueueDecision) -> None:
         for work in verdict.displaced:
             other = self._table.get(work.attempt_id)
             if other is not None:
                 self.withdraw(
                     other,
-                    verdict.displaced_for,
+                    verdict.displaced_reason,
                     detail="it gave way, since not all that waits can be in time",
                     retry_after_s=self.predicted_wait_s(),
                 )
 
-    def _announce(self, attempt: Attempt, verdict: Verdict) -> None:
+    def _announce(self, attempt: Attempt, verdict: QueueDecision) -> None:
         attempt.stream.send_uncredited(
             Queued(
                 attempt_id=attempt.attempt_id,
@@ -280,7 +280,7 @@
                 n_ahead=verdict.n_ahead,
             )
         )
-        self._journal.note(
+        self._journal.record(
             Event.QUEUED,
             attempt,
             n_ahead=verdict.n_ahead,
@@ -338,7 +338,7 @@
     def _is_abandoned(self, attempt: Attempt, *, now_ns: int) -> bool:
         if attempt.stream.connection is not None:
             return False
-        return now_ns - attempt.stream.detached_ns > LOST_GRACE_NS
+        return now_ns - attempt.stream.detached_ns > DISCONNECT_GRACE_NS
 
     async def _run(self, attempt: Attempt) -> None:
         result = await self._runner.run(attempt, n_running=len(self._running))
@@ -350,11 +350,11 @@
         if not self._running.remove(attempt, now_ns=time.monotonic_ns()):
             return
         if attempt.task is not None and attempt.phase is not Phase.DONE:
-            asyncio.get_running_loop().call_soon(self.start_waiting)
+            asyncio.get_running_loop().call_soon(self.start_queued)
             if attempt.cancel_reason:
                 attempt.task.cancel()
 
-    def _end(self, attempt: Attempt, result: Result[CallEnd, StageError]) -> None:
+    def _end(self, attempt: Attempt, result: Result[CallOutcome, StageError]) -> None:
         service_s = elapsed_s(attempt)
         if isinstance(result, Ok):
             self._learn(attempt)
@@ -382,9 +382,9 @@
     def _learn(self, attempt: Attempt) -> None:
         limit = self._running.limit
         n_before = limit.n_slots
-        self._running.learn(attempt, now_ns=time.monotonic_ns())
+        self._running.record_answered(attempt, now_ns=time.monotonic_ns())
         if limit.n_slots != n_before:
-            self._journal.slots(n_before=n_before, n_slots=limit.n_slots)
+            self._journal.record_slots(n_before=n_before, n_slots=limit.n_slots)
 
 
 def _owner_loads(queue: WorkQueue) -> list[OwnerLoad]:
--- a/src/trefoilpaddle/coordination/targets/engine_calls.py
+++ b/src/trefoilpaddle/coordination/targets/engine_calls.py
@@ -14,7 +14,13 @@
 from ...transport.target_http import SendGuard, TargetHttp
 from ..requests.streams import Sink
 from .engine_events import EngineEvents
-from .target_calls import CallEnd, TargetCall, broken, pieces, refusal
+from .target_calls import (
+    CallOutcome,
+    TargetCall,
+    broken_call_error,
+    response_error,
+    split_chunks,
+)
 
 COMPLETIONS_PATH: Final = "/v1/completions"
 RESUME_PAUSES_S: Final = (0.01, 0.05, 0.2, 0.4)
@@ -40,7 +46,7 @@
 
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         """Make `call`, put its tokens into `sink` and say how it ended.
 
         A stream that breaks midway is resumed while the budget lasts: that asks
@@ -55,15 +61,15 @@
                 COMPLETIONS_PATH, body=body, headers=call.headers(), guard=guard
             ) as response:
                 if response.status != 200:
-                    return Err(await refusal(response, peer=self._name))
+                    return Err(await response_error(response, peer=self._name))
                 await _read_stream(response, events, sink)
         except (ClientError, OSError) as error:
             if not guard.is_sent:
-                return Err(broken(error, guard=guard, peer=self._name))
+                return Err(broken_call_error(error, guard=guard, peer=self._name))
         except ValueError as error:
             return Err(self._garbled(str(error)))
-        if events.is_done and events.end is not None:
-            return Ok(events.end)
+        if events.is_done and events.outcome is not None:
+            return Ok(events.outcome)
         return await self._resume(call, events=events, sink=sink)
 
     async def cancel(self, attempt_id: bytes) -> None:
@@ -74,20 +80,20 @@
 
     async def _resume(
         self, call: TargetCall, *, events: EngineEvents, sink: Sink
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         n_tries = 0
         while n_tries < len(RESUME_PAUSES_S) and time.monotonic_ns() < call.deadline_ns:
             await asyncio.sleep(RESUME_PAUSES_S[n_tries])
             n_tokens = events.n_tokens
-            events.restart()
+            events.discard_partial_line()
             try:
                 is_known = await self._read_rest(call, events, sink)
             except (ClientError, OSError):
                 is_known = True
             except ValueError as error:
                 return Err(self._garbled(str(error)))
-            if events.is_done and events.end is not None:
-                return Ok(events.end)
+            if events.is_done and events.outcome is not None:
+                return Ok(events.outcome)
             if not is_known:
                 break
             n_tries = 0 if events.n_tokens > n_tokens else n_tries + 1
@@ -160,7 +166,7 @@
     async for data in response.content.iter_any():
         match events.feed(data):
             case Ok(text):
-                for piece in pieces(text):
+                for piece in split_chunks(text):
                     sink.append(piece)
             case Err(problem):
                 raise ValueError(problem)
--- a/src/trefoilpaddle/coordination/targets/engine_events.py
+++ b/src/trefoilpaddle/coordination/targets/engine_events.py
@@ -5,7 +5,7 @@
 import orjson
 from result import Err, Ok, Result
 
-from .target_calls import CallEnd
+from .target_calls import CallOutcome
 
 DATA_PREFIX: Final = b"data:"
 DONE: Final = b"[DONE]"
@@ -26,15 +26,15 @@
         Tokens received so far, over all connections of the attempt.
     """
 
-    __slots__ = ("_buffer", "end", "is_done", "n_tokens")
+    __slots__ = ("_buffer", "is_done", "n_tokens", "outcome")
 
     def __init__(self) -> None:
         self._buffer = b""
-        self.end: CallEnd | None = None
+        self.outcome: CallOutcome | None = None
         self.is_done = False
         self.n_tokens = 0
 
-    def restart(self) -> None:
+    def discard_partial_line(self) -> None:
         """Forget a line that a broken connection cut off."""
         self._buffer = b""
 
@@ -50,7 +50,7 @@
                 continue
             payload = line[len(DATA_PREFIX) :].strip()
             if payload == DONE:
-                self.is_done = self.end is not None
+                self.is_done = self.outcome is not None
                 break
             try:
                 self._take(orjson.loads(payload), texts)
@@ -71,7 +71,7 @@
         usage = event.get("usage")
         if usage is not None:
             cached = usage.get("prompt_tokens_details") or {}
-            self.end = CallEnd(
+            self.outcome = CallOutcome(
                 cost_s=float(usage.get("cost_s", 0.0)),
                 n_prompt_tokens=int(usage.get("prompt_tokens", 0)),
                 n_tokens=int(usage.get("completion_tokens", self.n_tokens)),
--- a/src/trefoilpaddle/coordination/targets/lifecycle.py
+++ b/src/trefoilpaddle/coordination/targets/lifecycle.py
@@ -28,14 +28,14 @@
         ...
 
 
-class Lifecycle:
+class RequestLifecycle:
     """Admits a request, claims its key, walks it and records its end.
 
     Parameters
     ----------
     predictor : Predictor
         Refuses early what cannot be in time.
-    walker : PipelineRunner
+    pipeline_runner : PipelineRunner
         Runs the stages.
     limiter : Limiter
         Holds the entries' limits.
@@ -51,23 +51,23 @@
         "_journal",
         "_keys",
         "_limiter",
+        "_pipeline_runner",
         "_predictor",
         "_requests",
-        "_walker",
     )
 
     def __init__(
         self,
         *,
         predictor: Predictor,
-        walker: PipelineRunner,
+        pipeline_runner: PipelineRunner,
         limiter: Limiter,
         keys: KeyGuard,
         requests: Requests,
         journal: Journal,
     ) -> None:
         self._predictor = predictor
-        self._walker = walker
+        self._pipeline_runner = pipeline_runner
         self._limiter = limiter
         self._keys = keys
         self._requests = requests
@@ -120,7 +120,7 @@
         )
         is_answered = False
         try:
-            outcome = await self._walker.run(request, spent=spent, sink=sink)
+            outcome = await self._pipeline_runner.run(request, spent=spent, sink=sink)
             is_answered = outcome.is_ok()
             return outcome
         finally:
--- a/src/trefoilpaddle/coordination/targets/queue_policy.py
+++ b/src/trefoilpaddle/coordination/targets/queue_policy.py
@@ -14,34 +14,34 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Slots:
+class SlotSnapshot:
     """The target's slots at this moment.
 
     Parameters
     ----------
     n_slots : int
         Calls that may run at once.
-    left_s : sequence of float
+    remaining_s : sequence of float
         Predicted seconds that each running call still needs.
     slowness : float
         Measured over predicted service time of late.
     """
 
     n_slots: int
-    left_s: Sequence[float]
+    remaining_s: Sequence[float]
     slowness: float
 
     def wait_s(self, ahead_s: float) -> float:
         """Return the seconds until a slot is free for work behind `ahead_s`."""
         return wait_s(
-            left_s=self.left_s,
+            left_s=self.remaining_s,
             n_slots=self.n_slots,
             ahead_s=ahead_s * self.slowness,
         )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Verdict:
+class QueueDecision:
     """What is done with new work.
 
     Parameters
@@ -54,7 +54,7 @@
         When the same work could be taken.
     displaced : tuple of Work
         What gives way to it.
-    displaced_for : Reason
+    displaced_reason : Reason
         Why that gives way.
     """
 
@@ -63,18 +63,18 @@
     n_ahead: int = 0
     retry_after_s: float = 0.0
     displaced: tuple[Work, ...] = ()
-    displaced_for: Reason = Reason.NONE
+    displaced_reason: Reason = Reason.NONE
 
 
-def judge(
+def decide_queueing(
     work: Work,
     *,
     queue: WorkQueue,
-    slots: Slots,
+    slots: SlotSnapshot,
     now_ns: int,
     max_queue_s: float,
     refuses_early: bool,
-) -> Verdict:
+) -> QueueDecision:
     """Return what is done with `work`, before anything was spent on it.
 
     Work that is predicted to miss its time is refused at once with the time
@@ -89,7 +89,7 @@
     waits_s = slots.wait_s(ahead.work_s)
     may_wait_s = (work.latest_start_ns - now_ns) / NS_PER_S
     if not refuses_early or waits_s <= 0.0:
-        return Verdict(wait_s=waits_s, n_ahead=ahead.n_ahead)
+        return QueueDecision(wait_s=waits_s, n_ahead=ahead.n_ahead)
     if waits_s > may_wait_s:
         return _make_room(
             work,
@@ -101,17 +101,17 @@
     excess_s = queue.work_s + work.predicted_s - max_queue_s
     if excess_s > 0.0:
         return _cut_queue(work, queue=queue, slots=slots, excess_s=excess_s)
-    return Verdict(wait_s=waits_s, n_ahead=ahead.n_ahead)
+    return QueueDecision(wait_s=waits_s, n_ahead=ahead.n_ahead)
 
 
 def _make_room(
     work: Work,
     *,
     queue: WorkQueue,
-    slots: Slots,
+    slots: SlotSnapshot,
     ahead_s: float,
     may_wait_s: float,
-) -> Verdict:
+) -> QueueDecision:
     was_s = slots.wait_s(ahead_s)
     displaced: list[Work] = []
     left_s = ahead_s
@@ -120,21 +120,21 @@
         left_s = max(0.0, left_s - other.predicted_s)
         waits_s = slots.wait_s(left_s)
         if waits_s <= may_wait_s:
-            return Verdict(
+            return QueueDecision(
                 wait_s=waits_s,
                 displaced=tuple(displaced),
-                displaced_for=Reason.BROWNOUT,
+                displaced_reason=Reason.BROWNOUT,
             )
     longest = queue.longest_before(work)
     if longest is not None:
         waits_s = slots.wait_s(max(0.0, ahead_s - longest.predicted_s))
         if waits_s <= may_wait_s:
-            return Verdict(
+            return QueueDecision(
                 wait_s=waits_s,
                 displaced=(longest,),
-                displaced_for=Reason.PREDICTED_LATE,
+                displaced_reason=Reason.PREDICTED_LATE,
             )
-    return Verdict(
+    return QueueDecision(
         reason=Reason.PREDICTED_LATE,
         wait_s=was_s,
         retry_after_s=max(MIN_RETRY_S, was_s - may_wait_s),
@@ -142,8 +142,8 @@
 
 
 def _cut_queue(
-    work: Work, *, queue: WorkQueue, slots: Slots, excess_s: float
-) -> Verdict:
+    work: Work, *, queue: WorkQueue, slots: SlotSnapshot, excess_s: float
+) -> QueueDecision:
     displaced: list[Work] = []
     left_s = excess_s
     for other in queue.displaceable(work):
@@ -152,13 +152,13 @@
         displaced.append(other)
         left_s -= other.predicted_s
     if left_s > 0.0:
-        return Verdict(
+        return QueueDecision(
             reason=Reason.QUEUE_FULL,
             retry_after_s=max(MIN_RETRY_S, slots.wait_s(excess_s)),
         )
     is_brownout = any(other.brownout_order < work.brownout_order for other in displaced)
-    return Verdict(
+    return QueueDecision(
         wait_s=slots.wait_s(queue.ahead(work).work_s),
         displaced=tuple(displaced),
-        displaced_for=Reason.BROWNOUT if is_brownout else Reason.SHARE_EXCEEDED,
+        displaced_reason=Reason.BROWNOUT if is_brownout else Reason.SHARE_EXCEEDED,
     )
--- a/src/trefoilpaddle/coordination/targets/running_calls.py
+++ b/src/trefoilpaddle/coordination/targets/running_calls.py
@@ -6,7 +6,7 @@
 from ...state.concurrency import Sample, SlotLimit
 from ...state.slowness import Slowness
 from ..requests.attempts import Attempt
-from .queue_policy import Slots
+from .queue_policy import SlotSnapshot
 
 MIN_LEFT_SHARE: Final = 0.1
 """Part of its prediction that a call is taken to need still, however long it ran."""
@@ -33,7 +33,7 @@
     def __len__(self) -> int:
         return len(self._calls)
 
-    def has_free(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Return True if a call may be started."""
         return len(self._calls) < self.limit.n_slots
 
@@ -50,7 +50,7 @@
         del self._calls[attempt.attempt_id]
         return True
 
-    def learn(self, attempt: Attempt, *, now_ns: int) -> None:
+    def record_answered(self, attempt: Attempt, *, now_ns: int) -> None:
         """Learn from a call that is about to end with an answer."""
         service_s = (now_ns - attempt.started_ns) / NS_PER_S
         predicted_s = attempt.start.predicted_s
@@ -83,7 +83,7 @@
         need_s = max(0.0, attempt.start.predicted_s) * allowed
         return attempt.finish_by_ns - int(need_s * NS_PER_S)
 
-    def left_s(self, now_ns: int) -> list[float]:
+    def remaining_s(self, now_ns: int) -> list[float]:
         """Return the predicted seconds that each call still needs."""
         left_s = []
         for attempt, _ in self._calls.values():
@@ -92,11 +92,11 @@
             left_s.append(max(MIN_LEFT_SHARE * predicted_s, predicted_s - ran_s))
         return left_s
 
-    def slots(self, now_ns: int) -> Slots:
+    def slot_snapshot(self, now_ns: int) -> SlotSnapshot:
         """Return the slots as the queue's policy sees them."""
-        return Slots(
+        return SlotSnapshot(
             n_slots=self.limit.n_slots,
-            left_s=self.left_s(now_ns),
+            remaining_s=self.remaining_s(now_ns),
             slowness=self.slowness(now_ns),
         )
 
--- a/src/trefoilpaddle/coordination/targets/stage_body.py
+++ b/src/trefoilpaddle/coordination/targets/stage_body.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Material:
+class StageInputs:
     """What the stages of one request work on.
 
     Parameters
@@ -29,7 +29,7 @@
     previous: Json = None
 
 
-def plain_body(stage: Stage, material: Material) -> bytes:
+def plain_body(stage: Stage, material: StageInputs) -> bytes:
     """Return the body of a call to a pool or a plain service."""
     return orjson.dumps(_taken(stage, material))
 
@@ -45,7 +45,7 @@
     return orjson.dumps(call)
 
 
-def prompt_of(stage: Stage, material: Material) -> str:
+def prompt_of(stage: Stage, material: StageInputs) -> str:
     """Return the prompt of an engine's stage: its prefix, then what it takes."""
     parts = [stage.prompt_prefix] if stage.prompt_prefix else []
     parts += [_text(value) for value in _taken(stage, material).values()]
@@ -82,7 +82,7 @@
     return f"{checksum(text) & 0xFFFF_FFFF_FFFF_FFFF:016x}"
 
 
-def _taken(stage: Stage, material: Material) -> dict[str, Json]:
+def _taken(stage: Stage, material: StageInputs) -> dict[str, Json]:
     taken: dict[str, Json] = {}
     if stage.takes is not Takes.PREVIOUS:
         taken["input"] = material.input
--- a/src/trefoilpaddle/coordination/targets/stage_journal.py
+++ b/src/trefoilpaddle/coordination/targets/stage_journal.py
@@ -24,15 +24,15 @@
         self._journal = journal
         self._target = target
 
-    def note(self, event: Event, attempt: Attempt, **figures: float) -> None:
+    def record(self, event: Event, attempt: Attempt, **figures: float) -> None:
         """Record a decision with the figures it was made on."""
         self._record(event, attempt.start, figures=figures)
 
-    def error(self, event: Event, attempt: Attempt, error: StageError) -> None:
+    def record_error(self, event: Event, attempt: Attempt, error: StageError) -> None:
         """Record how an attempt ended without an answer."""
-        self.refusal(event, attempt.start, error)
+        self.record_refusal(event, attempt.start, error)
 
-    def refusal(self, event: Event, start: Start, error: StageError) -> None:
+    def record_refusal(self, event: Event, start: Start, error: StageError) -> None:
         """Record why `start` got no answer."""
         figures = {"retry_after_s": error.retry_after_s}
         if isinstance(error, Failed):
@@ -41,7 +41,7 @@
             event, start, reason=error.reason, detail=error.detail, figures=figures
         )
 
-    def expired(self, attempt: Attempt) -> None:
+    def record_expired(self, attempt: Attempt) -> None:
         """Record that a held answer was dropped before it was acknowledged."""
         self._record(
             Event.RESULT_EXPIRED,
@@ -51,12 +51,12 @@
             figures={"n_bytes": attempt.stream.answer.n_bytes},
         )
 
-    def target(self, *, is_up: bool) -> None:
+    def record_target_state(self, *, is_up: bool) -> None:
         """Record that the target answers, or does not any more."""
         event = Event.TARGET_UP if is_up else Event.TARGET_DOWN
         self._journal.record(Decision(event=event, peer=self._target))
 
-    def slots(self, *, n_before: int, n_slots: int) -> None:
+    def record_slots(self, *, n_before: int, n_slots: int) -> None:
         """Record that another number of calls may run at once."""
         self._journal.record(
             Decision(
--- a/src/trefoilpaddle/coordination/targets/stage_server.py
+++ b/src/trefoilpaddle/coordination/targets/stage_server.py
@@ -180,7 +180,7 @@
         if not is_body_intact(attempt):
             self._dispatcher.withdraw(attempt, Reason.CORRUPT)
             return
-        self._dispatcher.offer(attempt, self._work(attempt))
+        self._dispatcher.submit(attempt, self._work(attempt))
 
     def _work(self, attempt: Attempt) -> Work:
         start = attempt.start
@@ -284,7 +284,7 @@
 
     def _refuse(self, connection: Connection, start: Start, error: StageError) -> None:
         self._table.mark_refused(start.attempt_id, now_ns=time.monotonic_ns())
-        self._journal.refusal(Event.REFUSED, start, error)
+        self._journal.record_refusal(Event.REFUSED, start, error)
         is_open = connection.write(
             to_failure(error, attempt_id=start.attempt_id, load=self._dispatcher.load())
         )
--- a/src/trefoilpaddle/coordination/targets/stage_work.py
+++ b/src/trefoilpaddle/coordination/targets/stage_work.py
@@ -43,7 +43,7 @@
         Chained hashes of the prompt's leading blocks.
     is_streamed : bool
         True if the answer is passed on as it comes.
-    on_late : callable, optional
+    on_unknown_outcome : callable, optional
         Told at the deadline that it is unknown whether the work ran; the call is
         then followed on, so that a retry of the request can be given its end.
     """
@@ -64,7 +64,7 @@
     stage_deadline_s: float
     prefix_hashes: tuple[int, ...] = ()
     is_streamed: bool = False
-    on_late: Callable[[StageError], None] | None = None
+    on_unknown_outcome: Callable[[StageError], None] | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -100,12 +100,12 @@
     ----------
     error : StageError
         What is known to have run.
-    has_passed_on : bool
+    is_partly_forwarded : bool
         True if part of the answer has been passed on; it cannot be repeated.
     """
 
     error: StageError
-    has_passed_on: bool = False
+    is_partly_forwarded: bool = False
 
 
 Sink = Callable[[bytes], Awaitable[None]]
--- a/src/trefoilpaddle/coordination/targets/target_calls.py
+++ b/src/trefoilpaddle/coordination/targets/target_calls.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallEnd:
+class CallOutcome:
     """What a target reports of a call that it answered in full."""
 
     cost_s: float = 0.0
@@ -71,7 +71,7 @@
 
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         """Make `call`, put its answer into `sink` and say how it ended."""
         ...
 
@@ -99,18 +99,18 @@
 
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
-    ) -> Result[CallEnd, StageError]:
+    ) -> Result[CallOutcome, StageError]:
         """Make `call`, put its answer into `sink` and say how it ended."""
         try:
             async with self._http.guarded_post(
                 call.path, body=call.body, headers=call.headers(), guard=guard
             ) as response:
                 if response.status != 200:
-                    return Err(await refusal(response, peer=self._name))
+                    return Err(await response_error(response, peer=self._name))
                 await _read_whole(response, sink)
-                return Ok(CallEnd(cost_s=cost_s(response.headers)))
+                return Ok(CallOutcome(cost_s=cost_s(response.headers)))
         except (ClientError, OSError) as error:
-            return Err(broken(error, guard=guard, peer=self._name))
+            return Err(broken_call_error(error, guard=guard, peer=self._name))
 
     async def cancel(self, attempt_id: bytes) -> None:
         """Do nothing: closing the connection is all that such a target takes."""
@@ -122,12 +122,12 @@
         sink.append(await response.read())
         return
     async for data in response.content.iter_any():
-        for piece in pieces(data):
+        for piece in split_chunks(data):
             sink.append(piece)
         await sink.wait_for_space()
 
 
-def pieces(data: bytes) -> Iterator[bytes]:
+def split_chunks(data: bytes) -> Iterator[bytes]:
     """Yield `data` in pieces that fit a chunk."""
     for start in range(0, len(data), CHUNK_BYTES):
         yield data[start : start + CHUNK_BYTES]
@@ -141,7 +141,7 @@
         return 0.0
 
 
-async def refusal(response: ClientResponse, *, peer: str) -> StageError:
+async def response_error(response: ClientResponse, *, peer: str) -> StageError:
     """Return what an answer other than 200 says of the call."""
     await response.read()
     status = response.status
@@ -169,7 +169,7 @@
     return float(text) if text.isdecimal() else DOWN_RETRY_S
 
 
-def broken(error: Exception, *, guard: SendGuard, peer: str) -> StageError:
+def broken_call_error(error: Exception, *, guard: SendGuard, peer: str) -> StageError:
     """Return what is known of a call whose connection broke.
 
     Once a byte has left, the target may have run the call whatever its kind,
--- a/src/trefoilpaddle/coordination/targets/target_watch.py
+++ b/src/trefoilpaddle/coordination/targets/target_monitor.py
@@ -20,7 +20,7 @@
 """Checks missed in a row before a target counts as down."""
 
 
-class TargetWatch:
+class TargetMonitor:
     """Asks the target for its health again and again.
 
     Parameters
--- a/src/trefoilpaddle/replay/expected.py
+++ b/src/trefoilpaddle/replay/expected.py
@@ -7,7 +7,7 @@
 
 from ..coordination.targets.stage_body import (
     Json,
-    Material,
+    StageInputs,
     plain_body,
     prompt_of,
     text_checksum,
@@ -47,7 +47,7 @@
 def expected_calls(catalogue: Catalogue, request: Request) -> Iterator[ExpectedCall]:
     """Yield the calls that `request` leads to, in order."""
     body, _ = body_of(request)
-    material = Material(input=_input(body))
+    material = StageInputs(input=_input(body))
     for stage in catalogue.pipelines[request.pipeline].stages:
         call = _expected_call(catalogue, stage, material)
         yield call
@@ -62,7 +62,7 @@
 
 
 def _expected_call(
-    catalogue: Catalogue, stage: Stage, material: Material
+    catalogue: Catalogue, stage: Stage, material: StageInputs
 ) -> ExpectedCall:
     if catalogue.services[stage.service].kind is not ServiceKind.ENGINE:
         body = plain_body(stage, material)
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -30,7 +30,7 @@
 from ..coordination.requests.retries import StageRunner
 from ..coordination.requests.routing import Router
 from ..coordination.requests.target_view import TargetViews
-from ..coordination.targets.lifecycle import Lifecycle
+from ..coordination.targets.lifecycle import RequestLifecycle
 from ..protocol.errors import NotRun
 from ..protocol.ids import RequestId
 from ..protocol.reasons import Reason
@@ -144,7 +144,7 @@
             journal=process.journal,
         )
         predictor = Predictor(estimates=Estimates(), router=self._router, policy=policy)
-        walker = PipelineRunner(
+        pipeline_runner = PipelineRunner(
             published=process.published,
             runner=runner,
             predictor=predictor,
@@ -154,9 +154,9 @@
         requests = Requests(
             n_records=retention.explain_records, keep_s=retention.explain_s
         )
-        lifecycle = Lifecycle(
+        lifecycle = RequestLifecycle(
             predictor=predictor,
-            walker=walker,
+            pipeline_runner=pipeline_runner,
             limiter=limiter,
             keys=self._keys.guard,
             requests=requests,
--- a/src/trefoilpaddle/roles/sidecar.py
+++ b/src/trefoilpaddle/roles/sidecar.py
@@ -23,7 +23,7 @@
 from ..coordination.targets.stage_journal import StageJournal
 from ..coordination.targets.stage_server import StageServer
 from ..coordination.targets.target_calls import PlainCaller, TargetCaller
-from ..coordination.targets.target_watch import TargetWatch
+from ..coordination.targets.target_monitor import TargetMonitor
 from ..protocol.const import NS_PER_S
 from ..protocol.gen.stage.ttypes import Bar
 from ..state.catalogue import ServiceKind
@@ -228,9 +228,9 @@
             return AdaptiveSlots(n_slots=n_slots)
         return FixedSlots(n_slots=n_slots)
 
-    def _watch(self) -> TargetWatch:
+    def _watch(self) -> TargetMonitor:
         target = self._settings.target
-        return TargetWatch(
+        return TargetMonitor(
             http=self._http,
             period_s=target.load_period_s,
             dispatcher=self.dispatcher,
@@ -269,7 +269,7 @@
     def _on_drop(self, attempt_id: bytes) -> None:
         attempt = self.table.forget_dropped(attempt_id)
         if attempt is not None:
-            self._journal.expired(attempt)
+            self._journal.record_expired(attempt)
 
     def _on_published(self) -> None:
         catalogue = self._process.published.catalogue
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -13,7 +13,7 @@
 import psutil
 
 from tests.fake_platform import FakePlatform
-from tests.sidecar_rig import FakeTarget
+from tests.sidecar_harness import FakeTarget
 from tests.waiting import until
 from trefoilpaddle.standins.ports import free_port
 
--- a/tests/queue_bench.py
+++ b/tests/queue_simulation.py
@@ -8,7 +8,10 @@
 import random
 from dataclasses import dataclass, field
 
-from trefoilpaddle.coordination.targets.queue_policy import Slots, judge
+from trefoilpaddle.coordination.targets.queue_policy import (
+    SlotSnapshot,
+    decide_queueing,
+)
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.slowness import Slowness
 from trefoilpaddle.state.work_queue import FifoQueue, Work, WorkQueue
@@ -67,7 +70,7 @@
         return self.n_met / max(1, self.n_sent)
 
 
-class Bench:
+class QueueSimulation:
     """Runs sources against one queue."""
 
     def __init__(
@@ -101,7 +104,7 @@
     def n_met(self) -> int:
         return sum(tally.n_met for tally in self.tallies.values())
 
-    def run(self, sources: list[Source], *, span_s: float) -> "Bench":
+    def run(self, sources: list[Source], *, span_s: float) -> "QueueSimulation":
         for source in sources:
             self._arrivals(source, span_s)
         while self._events:
@@ -155,7 +158,7 @@
         latest_s = self._due_s[work.attempt_id] - need_s
         work.latest_start_ns = int(latest_s * NS_PER_S)
         if len(self._running) >= self._n_slots or len(self.queue):
-            verdict = judge(
+            verdict = decide_queueing(
                 work,
                 queue=self.queue,
                 slots=self._slots(now_s),
@@ -213,26 +216,30 @@
                 end_s = max(now_s, due_s) + 1e-6
             self._push(end_s, END, work)
 
-    def _slots(self, now_s: float) -> Slots:
-        left_s = [
+    def _slots(self, now_s: float) -> SlotSnapshot:
+        remaining_s = [
             max(0.1 * work.predicted_s, work.predicted_s - (now_s - begin_s))
             for begin_s, work in self._running.values()
         ]
         slowness = self._slowness.at(now_s)
-        return Slots(n_slots=self._n_slots, left_s=left_s, slowness=slowness)
+        return SlotSnapshot(
+            n_slots=self._n_slots, remaining_s=remaining_s, slowness=slowness
+        )
 
 
-def most_that_fit(
+def max_calls_that_fit(
     sources: list[Source], *, seed: int, span_s: float, n_slots: int = 4
 ) -> int:
     """Return how many calls fit into the slots' time, the shortest first.
 
     No order of service can meet more: deadlines and arrivals are ignored.
     """
-    bench = Bench(FifoQueue(), refuses_early=False, n_slots=n_slots, seed=seed)
+    simulation = QueueSimulation(
+        FifoQueue(), refuses_early=False, n_slots=n_slots, seed=seed
+    )
     left_s = n_slots * span_s
     n_fit = 0
-    for service_s in sorted(bench.service_s(sources, span_s=span_s)):
+    for service_s in sorted(simulation.service_s(sources, span_s=span_s)):
         left_s -= service_s
         if left_s < 0.0:
             break
--- a/tests/sidecar_rig.py
+++ b/tests/sidecar_harness.py
@@ -60,7 +60,7 @@
         self.headers: dict[str, str] = {}
         self.answer = b'{"result": 1}'
         self.n_tokens = 3
-        self.cut_after: int | None = None
+        self.disconnect_after: int | None = None
         self.knows_attempts = True
         self.token = "word "
         self.finish_reason = "stop"
@@ -91,7 +91,7 @@
         self.runs.append(request.headers["X-Attempt-Id"])
         await request.read()
         await self.gate.wait()
-        if self.cut_after is not None and request.transport is not None:
+        if self.disconnect_after is not None and request.transport is not None:
             request.transport.close()
         return web.Response(status=self.status, body=self.answer, headers=self.headers)
 
@@ -99,7 +99,7 @@
         self.runs.append(request.headers["X-Attempt-Id"])
         fields = orjson.loads(await request.read())
         assert fields["stream"] is True
-        return await self._stream(request, 0, self.cut_after)
+        return await self._stream(request, 0, self.disconnect_after)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         if not self.knows_attempts:
@@ -109,12 +109,12 @@
         return await self._stream(request, first, None)
 
     async def _stream(
-        self, request: web.Request, first: int, cut_after: int | None
+        self, request: web.Request, first: int, disconnect_after: int | None
     ) -> web.StreamResponse:
         response = web.StreamResponse()
         await response.prepare(request)
         for number in range(first, self.n_tokens):
-            if cut_after is not None and number >= cut_after:
+            if disconnect_after is not None and number >= disconnect_after:
                 assert request.transport is not None
                 request.transport.abort()
                 return response
@@ -174,7 +174,7 @@
     )
 
 
-class Rig:
+class SidecarHarness:
     """A running sidecar and what is needed to look into it."""
 
     def __init__(self, settings: SidecarSettings) -> None:
@@ -218,10 +218,10 @@
 
 
 @contextlib.asynccontextmanager
-async def running_sidecar(settings: SidecarSettings) -> AsyncIterator[Rig]:
-    rig = Rig(settings)
-    async with rig.sidecar.open():
-        yield rig
+async def running_sidecar(settings: SidecarSettings) -> AsyncIterator[SidecarHarness]:
+    harness = SidecarHarness(settings)
+    async with harness.sidecar.open():
+        yield harness
 
 
 class GatewaySide:
@@ -248,7 +248,7 @@
         async with asyncio.timeout(CAP_S):
             return await reply
 
-    def of(self, kind: type[Any], attempt_id: bytes) -> list[Any]:
+    def messages_of(self, kind: type[Any], attempt_id: bytes) -> list[Any]:
         return [
             message
             for message in self.messages
@@ -256,13 +256,13 @@
         ]
 
     async def first(self, kind: type, attempt_id: bytes) -> Any:
-        await until(lambda: bool(self.of(kind, attempt_id)))
-        return self.of(kind, attempt_id)[0]
+        await until(lambda: bool(self.messages_of(kind, attempt_id)))
+        return self.messages_of(kind, attempt_id)[0]
 
-    async def whole_answer(self, attempt_id: bytes) -> bytes:
+    async def complete_answer(self, attempt_id: bytes) -> bytes:
         """Return the answer after checking count, order and checksum."""
         end: End = await self.first(End, attempt_id)
-        chunks = self.of(Chunk, attempt_id)
+        chunks = self.messages_of(Chunk, attempt_id)
         assert [chunk.seq for chunk in chunks] == list(range(end.n_chunks))
         total = RunningChecksum()
         for chunk in chunks:
@@ -301,18 +301,18 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Scene:
+class SidecarSetup:
     """A target, its sidecar and one gateway connection."""
 
     target: FakeTarget
-    rig: Rig
+    harness: SidecarHarness
     gateway: GatewaySide
 
 
 @contextlib.asynccontextmanager
-async def scene(**settings: Any) -> AsyncIterator[Scene]:
+async def sidecar_setup(**settings: Any) -> AsyncIterator[SidecarSetup]:
     """Run a fake target, its sidecar with `settings` and one connection."""
     async with FakeTarget().serving() as target:
         checked = settings_for(target_port=target.port, **settings)
-        async with running_sidecar(checked) as rig, rig.gateway() as gateway:
-            yield Scene(target=target, rig=rig, gateway=gateway)
+        async with running_sidecar(checked) as harness, harness.gateway() as gateway:
+            yield SidecarSetup(target=target, harness=harness, gateway=gateway)
--- a/tests/sidecar_scripts.py
+++ b/tests/sidecar_scripts.py
@@ -11,7 +11,7 @@
     return FakeSidecar(service=service, name=name, script=script)
 
 
-async def never(call: Call) -> None:
+async def never_answer(call: Call) -> None:
     call.started()
 
 
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -6,7 +6,7 @@
 
 from tests.fake_sidecar import Call, echo
 from tests.gateway_bench import bench, catalogue, error_of, heard, plain_stage
-from tests.sidecar_scripts import never, refuse, sidecar
+from tests.sidecar_scripts import never_answer, refuse, sidecar
 from tests.waiting import until
 from trefoilpaddle.protocol.gen.stage.ttypes import BarState, Outcome, Started
 from trefoilpaddle.protocol.reasons import Reason
@@ -41,7 +41,7 @@
         """The sidecar becomes unresponsive while it has a call. Once this is
         detected, the call is retried at another target, long before the deadline.
         """
-        unresponsive, other = sidecar(never), sidecar(name="t2")
+        unresponsive, other = sidecar(never_answer), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage())
         async with bench(
@@ -64,7 +64,7 @@
         """The same with a call that must run at most once: it may have run, so the
         caller gets "unknown" at its deadline, and no other target is tried.
         """
-        unresponsive, other = sidecar(never), sidecar(name="t2")
+        unresponsive, other = sidecar(never_answer), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
         async with bench(unresponsive, other, published=published) as b:
@@ -250,7 +250,7 @@
 class TestCallerLeaves:
     async def test_an_idempotent_call_is_cancelled_downstream(self) -> None:
         """The caller disconnects while its request runs, so the work is cancelled."""
-        s = sidecar(never)
+        s = sidecar(never_answer)
         async with bench(s, published=catalogue(plain_stage())) as b:
             request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(s.runs))
--- a/tests/test_queue_overload.py
+++ b/tests/test_queue_overload.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.queue_bench import Bench, Source, most_that_fit
+from tests.queue_simulation import QueueSimulation, Source, max_calls_that_fit
 from trefoilpaddle.state.fair_queue import FairQueue
 from trefoilpaddle.state.work_queue import FifoQueue
 
@@ -19,14 +19,14 @@
     return [Source(owner=owner, load=load / 2, deadline_s=deadline_s) for owner in "ab"]
 
 
-def product(sources: list[Source], seed: int) -> Bench:
-    bench = Bench(FairQueue(), refuses_early=True, seed=seed)
-    return bench.run(sources, span_s=SPAN_S)
+def product(sources: list[Source], seed: int) -> QueueSimulation:
+    simulation = QueueSimulation(FairQueue(), refuses_early=True, seed=seed)
+    return simulation.run(sources, span_s=SPAN_S)
 
 
-def baseline(sources: list[Source], seed: int) -> Bench:
-    bench = Bench(FifoQueue(), refuses_early=False, seed=seed)
-    return bench.run(sources, span_s=SPAN_S)
+def baseline(sources: list[Source], seed: int) -> QueueSimulation:
+    simulation = QueueSimulation(FifoQueue(), refuses_early=False, seed=seed)
+    return simulation.run(sources, span_s=SPAN_S)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -44,15 +44,15 @@
         too late, and the target works for nobody.
         """
         sources = overload(load, deadline_s)
-        bench = product(sources, seed)
-        most = most_that_fit(sources, seed=seed, span_s=SPAN_S)
-        assert bench.n_met >= share * most
-        assert bench.wasted_share < 0.05
-        assert bench.n_met > 1.15 * baseline(sources, seed).n_met
+        simulation = product(sources, seed)
+        most = max_calls_that_fit(sources, seed=seed, span_s=SPAN_S)
+        assert simulation.n_met >= share * most
+        assert simulation.wasted_share < 0.05
+        assert simulation.n_met > 1.15 * baseline(sources, seed).n_met
 
     def test_each_refusal_says_when_to_come_back(self, seed: int) -> None:
-        bench = product(overload(1.5, 1.0), seed)
-        for tally in bench.tallies.values():
+        simulation = product(overload(1.5, 1.0), seed)
+        for tally in simulation.tallies.values():
             assert tally.retry_after_s
             assert all(0.0 < wait_s < 10.0 for wait_s in tally.retry_after_s)
 
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -2,7 +2,12 @@
 
 import pytest
 
-from tests.sidecar_rig import FakeTarget, running_sidecar, scene, settings_for
+from tests.sidecar_harness import (
+    FakeTarget,
+    running_sidecar,
+    settings_for,
+    sidecar_setup,
+)
 from tests.waiting import until
 from trefoilpaddle.protocol.gen.stage.ttypes import (
     Ack,
@@ -20,28 +25,28 @@
 
 class TestWholeCall:
     async def test_a_plain_call_is_answered_whole(self) -> None:
-        async with scene() as s:
-            target, rig, gateway = s.target, s.rig, s.gateway
+        async with sidecar_setup() as s:
+            target, harness, gateway = s.target, s.harness, s.gateway
             target.headers = {"X-Cost-S": "0.25"}
             attempt_id = gateway.start()
-            assert await gateway.whole_answer(attempt_id) == target.answer
+            assert await gateway.complete_answer(attempt_id) == target.answer
             gateway.connection.write(Ack(attempt_id=attempt_id))
-            await until(lambda: len(rig.sidecar.table) == 0)
+            await until(lambda: len(harness.sidecar.table) == 0)
             assert target.runs == [attempt_id.hex()]
 
     async def test_an_engine_streams_its_tokens(self) -> None:
-        async with scene(kind=ServiceKind.ENGINE) as s:
+        async with sidecar_setup(kind=ServiceKind.ENGINE) as s:
             gateway = s.gateway
             body = b'{"prompt": "a b", "max_tokens": 3}'
             attempt_id = gateway.start(body)
-            answer = await gateway.whole_answer(attempt_id)
+            answer = await gateway.complete_answer(attempt_id)
             assert answer == b"0word 1word 2word "
             end = gateway.messages[-1]
             assert (end.n_tokens, end.n_prompt_tokens) == (3, 2)
             assert (end.n_cached_tokens, end.cost_s) == (1, 0.5)
 
     async def test_a_large_body_comes_in_chunks(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             body = b'"' + b"x" * 200_000 + b'"'
             start = gateway.start_message(body)
@@ -52,7 +57,7 @@
                 gateway.connection.write(
                     BodyChunk(attempt_id=start.attempt_id, seq=seq, data=piece)
                 )
-            assert await gateway.whole_answer(start.attempt_id) == target.answer
+            assert await gateway.complete_answer(start.attempt_id) == target.answer
 
     async def test_a_damaged_body_is_not_run(self) -> None:
         """A byte of a caller's file is flipped on its way to the sidecar.
@@ -60,7 +65,7 @@
         The caller would get an answer to another input than its own. The
         checksum in the start message does not fit, so the call is refused.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             attempt_id = gateway.start(body_checksum=1)
             failure = await gateway.failure(attempt_id)
@@ -77,7 +82,7 @@
         over its answer; after the acknowledgement a third copy is refused as
         run, not started again.
         """
-        async with scene() as s, s.rig.gateway() as two:
+        async with sidecar_setup() as s, s.harness.gateway() as two:
             target, one = s.target, s.gateway
             target.gate.clear()
             start = one.start_message(idempotent=False)
@@ -86,7 +91,7 @@
             two.connection.write(start)
             two.connection.write(start)
             target.gate.set()
-            assert await two.whole_answer(start.attempt_id) == target.answer
+            assert await two.complete_answer(start.attempt_id) == target.answer
             two.connection.write(Ack(attempt_id=start.attempt_id))
             two.connection.write(start)
             failure = await two.failure(start.attempt_id)
@@ -100,7 +105,7 @@
         The gateway asks on a new connection, is told "barred" and tells its
         caller "not run". Then the old message arrives after all.
         """
-        async with scene() as s, s.rig.gateway() as new:
+        async with sidecar_setup() as s, s.harness.gateway() as new:
             target, old = s.target, s.gateway
             start = old.start_message(idempotent=False)
             answer = await new.ask(Bar(attempt_id=start.attempt_id))
@@ -112,18 +117,18 @@
             assert target.runs == []
 
     async def test_a_bar_says_what_runs_and_what_is_done(self) -> None:
-        async with scene() as s:
-            target, rig, gateway = s.target, s.rig, s.gateway
+        async with sidecar_setup() as s:
+            target, harness, gateway = s.target, s.harness, s.gateway
             target.gate.clear()
             attempt_id = gateway.start()
             await until(lambda: len(target.runs) == 1)
             bar = Bar(attempt_id=attempt_id)
             assert (await gateway.ask(bar)).state == BarState.RUNNING
             target.gate.set()
-            await gateway.whole_answer(attempt_id)
+            await gateway.complete_answer(attempt_id)
             assert (await gateway.ask(bar)).state == BarState.DONE
             gateway.connection.write(Ack(attempt_id=attempt_id))
-            await until(lambda: len(rig.sidecar.table) == 0)
+            await until(lambda: len(harness.sidecar.table) == 0)
             assert (await gateway.ask(bar)).state == BarState.FORGOTTEN
 
     async def test_a_start_for_another_incarnation_is_refused(self) -> None:
@@ -131,7 +136,7 @@
 
         Its stamp is of another clock, so no start-by time can be computed.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             failure = await gateway.failure(gateway.start(incarnation=7))
             assert failure.reason == Reason.WRONG_INCARNATION
@@ -146,7 +151,7 @@
         knows nothing of the booking; "it never ran" would be a guess, and the
         caller would book again.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             start = s.gateway.start_message(idempotent=False)
             other = s.gateway.connection.peer.incarnation + 1
             bar = Bar(attempt_id=start.attempt_id, incarnation=other)
@@ -176,7 +181,7 @@
     async def test_an_error_status_says_what_ran(
         self, status: int, headers: dict[str, str], outcome: int
     ) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             target.status, target.headers = status, headers
             failure = await gateway.failure(gateway.start())
@@ -186,8 +191,8 @@
         async with FakeTarget().serving() as target:
             port = target.port
         async with (
-            running_sidecar(settings_for(target_port=port)) as rig,
-            rig.gateway() as gateway,
+            running_sidecar(settings_for(target_port=port)) as harness,
+            harness.gateway() as gateway,
         ):
             failure = await gateway.failure(gateway.start(idempotent=False))
             assert failure.outcome == Outcome.NOT_RUN
@@ -199,9 +204,9 @@
         The booking may be made or not. "Failed" or "not run" would make the
         caller book a second time.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
-            target.cut_after = 0
+            target.disconnect_after = 0
             failure = await gateway.failure(gateway.start(idempotent=False))
             assert failure.outcome == Outcome.UNKNOWN
             assert len(target.runs) == 1
@@ -209,7 +214,7 @@
 
 class TestCancel:
     async def test_idempotent_work_is_cancelled_at_the_engine(self) -> None:
-        async with scene(kind=ServiceKind.ENGINE) as s:
+        async with sidecar_setup(kind=ServiceKind.ENGINE) as s:
             target, gateway = s.target, s.gateway
             target.gate.clear()
             attempt_id = gateway.start(b'{"prompt": "a"}')
@@ -221,7 +226,7 @@
             await until(lambda: target.cancelled == [attempt_id.hex()])
 
     async def test_work_that_may_not_be_repeated_runs_on(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             target.gate.clear()
             attempt_id = gateway.start(idempotent=False)
@@ -229,10 +234,10 @@
             gateway.connection.write(Cancel(attempt_id=attempt_id))
             await gateway.ask(Bar(attempt_id=attempt_id))
             target.gate.set()
-            assert await gateway.whole_answer(attempt_id) == target.answer
+            assert await gateway.complete_answer(attempt_id) == target.answer
 
     async def test_waiting_work_is_dropped(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             target.gate.clear()
             running = [gateway.start() for _ in range(4)]
@@ -243,6 +248,6 @@
             assert failure.reason == Reason.CANCELLED
             target.gate.set()
             for attempt_id in running:
-                await gateway.whole_answer(attempt_id)
+                await gateway.complete_answer(attempt_id)
             assert waiting.hex() not in target.runs
-            assert gateway.of(Failure, running[0]) == []
+            assert gateway.messages_of(Failure, running[0]) == []
--- a/tests/test_sidecar_failures.py
+++ b/tests/test_sidecar_failures.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.peer_helpers import RawPeer, hello_of, raw_listener, raw_peer
-from tests.sidecar_rig import (
+from tests.sidecar_harness import (
     CAP_S,
     NS_PER_S,
     PLENTY_BYTES,
     FakeTarget,
     running_sidecar,
-    scene,
     settings_for,
+    sidecar_setup,
 )
 from tests.waiting import until
 from trefoilpaddle.coordination.requests import streams
@@ -55,33 +55,33 @@
         names the first piece that it lacks and gets the rest: nothing is lost
         or doubled, and the engine has run once.
         """
-        async with scene(kind=ENGINE) as s, s.rig.gateway() as new:
+        async with sidecar_setup(kind=ENGINE) as s, s.harness.gateway() as new:
             s.target.gate.clear()
             attempt_id = s.gateway.start(PROMPT, idempotent=False)
             first = await s.gateway.first(Chunk, attempt_id)
             s.gateway.connection.abort()
-            await until(lambda: len(s.rig.process.server.connections) == 1)
+            await until(lambda: len(s.harness.process.server.connections) == 1)
             s.target.gate.set()
-            await until(lambda: s.rig.sidecar.table.n_open == 0)
+            await until(lambda: s.harness.sidecar.table.n_open == 0)
             new.messages.append(first)
             new.connection.write(
                 Fetch(attempt_id=attempt_id, from_seq=1, credit_bytes=PLENTY_BYTES)
             )
-            assert await new.whole_answer(attempt_id) == b"0word 1word 2word "
+            assert await new.complete_answer(attempt_id) == b"0word 1word 2word "
             assert len(s.target.runs) == 1
 
     async def test_an_answer_is_held_until_it_is_acknowledged(self) -> None:
         """The connection breaks between the target's answer and the gateway."""
-        async with scene() as s, s.rig.gateway() as new:
+        async with sidecar_setup() as s, s.harness.gateway() as new:
             attempt_id = s.gateway.start(credit_bytes=0)
-            await until(lambda: len(s.rig.sidecar.table.held) == 1)
+            await until(lambda: len(s.harness.sidecar.table.held) == 1)
             s.gateway.connection.abort()
             for _ in range(2):
                 new.messages.clear()
                 new.connection.write(
                     Fetch(attempt_id=attempt_id, credit_bytes=PLENTY_BYTES)
                 )
-                assert await new.whole_answer(attempt_id) == s.target.answer
+                assert await new.complete_answer(attempt_id) == s.target.answer
             new.connection.write(Ack(attempt_id=attempt_id))
             new.connection.write(Fetch(attempt_id=attempt_id))
             failure = await new.failure(attempt_id)
@@ -90,10 +90,10 @@
 
     async def test_a_held_answer_expires_and_is_logged(self) -> None:
         retention = RetentionSettings(held_results_s=0.01)
-        async with scene(retention=retention) as s:
+        async with sidecar_setup(retention=retention) as s:
             attempt_id = s.gateway.start()
-            await s.gateway.whole_answer(attempt_id)
-            await until(lambda: Event.RESULT_EXPIRED in s.rig.events)
+            await s.gateway.complete_answer(attempt_id)
+            await until(lambda: Event.RESULT_EXPIRED in s.harness.events)
             s.gateway.connection.write(Fetch(attempt_id=attempt_id))
             failure = await s.gateway.failure(attempt_id)
             assert failure.reason == Reason.RESULT_GONE
@@ -103,13 +103,15 @@
 
         "Not run" is true only if the message cannot be run when it comes late.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             start = s.gateway.start_message()
             s.gateway.connection.write(Fetch(attempt_id=start.attempt_id))
             failure = await s.gateway.failure(start.attempt_id)
             assert failure.outcome == Outcome.NOT_RUN
             s.gateway.connection.write(start)
-            await until(lambda: len(s.gateway.of(Failure, start.attempt_id)) == 2)
+            await until(
+                lambda: len(s.gateway.messages_of(Failure, start.attempt_id)) == 2
+            )
             assert s.target.runs == []
 
     async def test_waiting_work_of_a_lost_gateway_is_not_started(
@@ -120,8 +122,8 @@
         Nobody is left to pass their answers on; running them would only cost.
         A gateway that was merely cut off is told that they were not run.
         """
-        monkeypatch.setattr(dispatcher, "LOST_GRACE_NS", 0)
-        async with scene() as s, s.rig.gateway() as new:
+        monkeypatch.setattr(dispatcher, "DISCONNECT_GRACE_NS", 0)
+        async with sidecar_setup() as s, s.harness.gateway() as new:
             s.target.gate.clear()
             for _ in range(4):
                 new.start()
@@ -129,9 +131,9 @@
             lost = s.gateway.start()
             await s.gateway.first(Queued, lost)
             s.gateway.connection.abort()
-            await until(lambda: len(s.rig.process.server.connections) == 1)
+            await until(lambda: len(s.harness.process.server.connections) == 1)
             s.target.gate.set()
-            await until(lambda: s.rig.sidecar.table.n_open == 0)
+            await until(lambda: s.harness.sidecar.table.n_open == 0)
             assert len(s.target.runs) == 4
             new.connection.write(Fetch(attempt_id=lost))
             assert (await new.failure(lost)).outcome == Outcome.NOT_RUN
@@ -147,7 +149,7 @@
         another target. The clock is read once more right before the bytes
         leave, so the call is not made.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             now_ns = time.monotonic_ns
             attempt_id = s.gateway.start(idempotent=False)
 
@@ -165,14 +167,14 @@
             assert s.target.runs == []
 
     async def test_a_start_whose_time_is_up_is_refused_at_once(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             for budget_ns in (1, 0, -1):
                 failure = await s.gateway.failure(s.gateway.start(budget_ns=budget_ns))
                 assert failure.outcome == Outcome.NOT_RUN
                 assert failure.reason == Reason.DEADLINE_PASSED
 
     async def test_waiting_work_is_answered_when_its_time_is_up(self) -> None:
-        async with scene(policy=PolicySettings(refuse_early=False)) as s:
+        async with sidecar_setup(policy=PolicySettings(refuse_early=False)) as s:
             s.target.gate.clear()
             for _ in range(4):
                 s.gateway.start()
@@ -190,10 +192,10 @@
         Both share a connection. Without credit per attempt the long answer
         would fill the connection, or the sidecar's memory.
         """
-        async with scene(kind=ENGINE) as s:
+        async with sidecar_setup(kind=ENGINE) as s:
             s.target.n_tokens, s.target.token = 3000, "x" * 1000 + " "
             slow = s.gateway.start(PROMPT, credit_bytes=1)
-            attempt = s.rig.sidecar.table.get
+            attempt = s.harness.sidecar.table.get
             bound_bytes = streams.MAX_UNSENT_BYTES
             await until(
                 lambda: (
@@ -203,23 +205,23 @@
             )
             s.target.n_tokens = 3
             quick = s.gateway.start(PROMPT)
-            await s.gateway.whole_answer(quick)
+            await s.gateway.complete_answer(quick)
             held = attempt(slow)
             assert held is not None
             # Each read from the target adds at most one buffer past the bound.
             assert held.stream.answer.n_bytes < 3 * bound_bytes
-            assert len(s.gateway.of(Chunk, slow)) == 1
+            assert len(s.gateway.messages_of(Chunk, slow)) == 1
             s.gateway.connection.write(Credit(attempt_id=slow, n_bytes=PLENTY_BYTES))
-            await s.gateway.whole_answer(slow)
+            await s.gateway.complete_answer(slow)
 
 
 class TestBrokenEngine:
     async def test_a_broken_stream_is_resumed(self) -> None:
         """The engine's connection breaks after two tokens; the run goes on."""
-        async with scene(kind=ENGINE) as s:
-            s.target.n_tokens, s.target.cut_after = 5, 2
+        async with sidecar_setup(kind=ENGINE) as s:
+            s.target.n_tokens, s.target.disconnect_after = 5, 2
             attempt_id = s.gateway.start(PROMPT, idempotent=False)
-            answer = await s.gateway.whole_answer(attempt_id)
+            answer = await s.gateway.complete_answer(attempt_id)
             assert answer == b"0word 1word 2word 3word 4word "
             assert s.target.resumed_from == [2]
             assert len(s.target.runs) == 1
@@ -230,19 +232,19 @@
     async def test_a_stream_that_the_engine_has_lost_is_an_error(
         self, idempotent: bool, outcome: int
     ) -> None:
-        async with scene(kind=ENGINE) as s:
-            s.target.cut_after, s.target.knows_attempts = 2, False
+        async with sidecar_setup(kind=ENGINE) as s:
+            s.target.disconnect_after, s.target.knows_attempts = 2, False
             attempt_id = s.gateway.start(PROMPT, idempotent=idempotent)
             failure = await s.gateway.failure(attempt_id)
             assert failure.outcome == outcome
-            assert s.gateway.of(End, attempt_id) == []
+            assert s.gateway.messages_of(End, attempt_id) == []
 
     async def test_a_stream_that_the_engine_gave_up_is_no_answer(self) -> None:
         """An engine ends a stream early and says so in its last event.
 
         The tokens so far would pass for a short answer.
         """
-        async with scene(kind=ENGINE) as s:
+        async with sidecar_setup(kind=ENGINE) as s:
             s.target.finish_reason = "error"
             failure = await s.gateway.failure(s.gateway.start(PROMPT))
             assert failure.outcome == Outcome.FAILED
@@ -325,11 +327,11 @@
         answered.
         """
         monkeypatch.setattr(connection, "HEARTBEAT_S", 3600.0)
-        async with scene() as s:
+        async with sidecar_setup() as s:
             s.target.gate.clear()
             taken = [s.gateway.start(idempotent=False) for _ in range(6)]
             await until(lambda: len(s.target.runs) == 4)
-            stop = asyncio.create_task(s.rig.sidecar.stop())
+            stop = asyncio.create_task(s.harness.sidecar.stop())
             await until(
                 lambda: any(
                     isinstance(message, Heartbeat)
@@ -343,7 +345,7 @@
             assert failure.reason == Reason.LEAVING
             s.target.gate.set()
             for attempt_id in taken:
-                await s.gateway.whole_answer(attempt_id)
+                await s.gateway.complete_answer(attempt_id)
                 s.gateway.connection.write(Ack(attempt_id=attempt_id))
             assert await stop == 0
 
@@ -354,10 +356,13 @@
                 stop=StopSettings(drain_s=0.05),
             )
             target.gate.clear()
-            async with running_sidecar(settings) as rig, rig.gateway() as gateway:
+            async with (
+                running_sidecar(settings) as harness,
+                harness.gateway() as gateway,
+            ):
                 gateway.start()
                 await until(lambda: len(target.runs) == 1)
-                assert await rig.sidecar.stop() == 1
+                assert await harness.sidecar.stop() == 1
 
 
 class TestTargetDown:
@@ -366,13 +371,13 @@
 
         Those that wait can still be served elsewhere in time.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             s.target.gate.clear()
             for _ in range(4):
                 s.gateway.start()
             waiting = s.gateway.start()
             await until(lambda: len(s.target.runs) == 4)
-            s.rig.sidecar.dispatcher.set_target_up(is_up=False)
+            s.harness.sidecar.dispatcher.set_target_up(is_up=False)
             failure = await s.gateway.failure(waiting)
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.TARGET_DOWN
@@ -381,8 +386,8 @@
         async with FakeTarget().serving() as target:
             port = target.port
         settings = settings_for(target_port=port)
-        async with running_sidecar(settings) as rig, rig.gateway() as gateway:
-            await until(lambda: Event.TARGET_DOWN in rig.events)
+        async with running_sidecar(settings) as harness, harness.gateway() as gateway:
+            await until(lambda: Event.TARGET_DOWN in harness.events)
             failure = await gateway.failure(gateway.start())
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.TARGET_DOWN
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from tests.fake_platform import FakePlatform
-from tests.sidecar_rig import NS_PER_S, FakeTarget, GatewaySide, connected
+from tests.sidecar_harness import NS_PER_S, FakeTarget, GatewaySide, connected
 from tests.waiting import until
 from trefoilpaddle.protocol.gen.stage.ttypes import Ack, Heartbeat, Outcome
 from trefoilpaddle.protocol.reasons import Reason
@@ -145,7 +145,7 @@
                 failure = await gateway.failure(refused[0])
                 assert failure.reason == Reason.LEAVING
                 host.target.gate.set()
-                assert await gateway.whole_answer(attempt_id) == host.target.answer
+                assert await gateway.complete_answer(attempt_id) == host.target.answer
                 gateway.connection.write(Ack(attempt_id=attempt_id))
                 assert await sidecar.ended() == 0
             log = (tmp_path / f"{sidecar.address.port}.log").read_text()
--- a/tests/test_sidecar_queue.py
+++ b/tests/test_sidecar_queue.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from tests.sidecar_rig import NS_PER_S, GatewaySide, Scene, scene
+from tests.sidecar_harness import NS_PER_S, GatewaySide, SidecarSetup, sidecar_setup
 from tests.waiting import until
 from trefoilpaddle.coordination.requests import attempt_run
 from trefoilpaddle.protocol.gen.stage.ttypes import (
@@ -24,7 +24,7 @@
 PLAIN_POLICY = PolicySettings(order=Order.FIFO, refuse_early=False)
 
 
-async def occupy(s: Scene, n_slots: int = 4, **fields: Any) -> list[bytes]:
+async def occupy(s: SidecarSetup, n_slots: int = 4, **fields: Any) -> list[bytes]:
     """Fill all slots with calls that do not end by themselves."""
     s.target.gate.clear()
     running = [s.gateway.start(**fields) for _ in range(n_slots)]
@@ -34,7 +34,7 @@
 
 async def finish(gateway: GatewaySide, attempt_ids: list[bytes]) -> None:
     for attempt_id in attempt_ids:
-        await gateway.whole_answer(attempt_id)
+        await gateway.complete_answer(attempt_id)
 
 
 class TestEarlyRefusal:
@@ -44,7 +44,7 @@
         Waiting would only make the caller lose its time; it is told at once
         that nothing was run and after how many seconds to come back.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             running = await occupy(s, predicted_s=5.0)
             failure = await s.gateway.failure(
                 s.gateway.start(predicted_s=1.0, budget_ns=2 * NS_PER_S)
@@ -59,14 +59,14 @@
 
     async def test_the_budget_of_the_stage_counts(self) -> None:
         """The later stages need most of what is left of the deadline."""
-        async with scene() as s:
+        async with sidecar_setup() as s:
             await occupy(s, predicted_s=5.0)
             late = s.gateway.start(predicted_s=1.0, stage_budget_ns=2 * NS_PER_S)
             assert (await s.gateway.failure(late)).reason == Reason.PREDICTED_LATE
 
     async def test_waiting_work_is_given_up_when_it_is_known_to_be_late(self) -> None:
         """A call takes far longer than predicted and the queue stands still."""
-        async with scene() as s:
+        async with sidecar_setup() as s:
             await occupy(s, predicted_s=0.01)
             waiting = s.gateway.start(predicted_s=12.4)
             await s.gateway.first(Queued, waiting)
@@ -77,7 +77,7 @@
             assert bar.state == BarState.BARRED
 
     async def test_the_baseline_refuses_nothing_early(self) -> None:
-        async with scene(policy=PLAIN_POLICY) as s:
+        async with sidecar_setup(policy=PLAIN_POLICY) as s:
             running = await occupy(s, predicted_s=LONG_S)
             waiting = s.gateway.start(predicted_s=LONG_S)
             await s.gateway.first(Queued, waiting)
@@ -89,14 +89,14 @@
 
         If all were refused for it, nothing would ever show that it is over.
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             attempt_id = s.gateway.start(predicted_s=LONG_S)
-            await s.gateway.whole_answer(attempt_id)
+            await s.gateway.complete_answer(attempt_id)
 
 
 class TestShares:
     async def test_a_small_account_is_served_before_the_rest_of_a_burst(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             running = await occupy(s, predicted_s=0.001, owner="large")
             burst = [s.gateway.start(owner="large") for _ in range(8)]
             small = s.gateway.start(owner="small")
@@ -106,7 +106,7 @@
             assert s.target.runs.index(small.hex()) <= 6
 
     async def test_weight_and_floor_come_from_the_catalogue(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             entry = Entry(
                 owner="small",
                 class_of_work="c1",
@@ -114,7 +114,7 @@
                 accounts=("a1",),
                 floor_share=0.5,
             )
-            s.rig.process.published.set_catalogue(
+            s.harness.process.published.set_catalogue(
                 Catalogue(revision=1, entries={"e1": entry})
             )
             running = await occupy(s, predicted_s=0.001, owner="large")
@@ -133,9 +133,9 @@
 
     async def test_a_full_queue_gives_way_by_brownout_order(self) -> None:
         """The queue is full; a class of work goes first when some must go."""
-        async with scene() as s:
+        async with sidecar_setup() as s:
             service = Service(kind=ServiceKind.PLAIN, n_slots=1, max_queue_s=10.0)
-            s.rig.process.published.set_catalogue(
+            s.harness.process.published.set_catalogue(
                 Catalogue(revision=1, services={"s1": service})
             )
             await occupy(s, 1, predicted_s=0.01)
@@ -154,22 +154,22 @@
 
 class TestReserve:
     async def test_nothing_runs_before_the_word(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             attempt_id = s.gateway.start(reserve=True)
             await s.gateway.first(Ready, attempt_id)
             assert s.target.runs == []
             s.gateway.connection.write(Go(attempt_id=attempt_id))
-            await s.gateway.whole_answer(attempt_id)
+            await s.gateway.complete_answer(attempt_id)
 
     async def test_a_slot_that_is_not_taken_is_given_up(self) -> None:
         """Two targets were asked and the other one was ready first."""
-        async with scene() as s:
+        async with sidecar_setup() as s:
             left = s.gateway.start(reserve=True)
             await s.gateway.first(Ready, left)
             s.gateway.connection.write(Cancel(attempt_id=left))
             failure = await s.gateway.failure(left)
             assert failure.outcome == Outcome.NOT_RUN
-            assert s.rig.sidecar.dispatcher.load().n_running == 0
+            assert s.harness.sidecar.dispatcher.load().n_running == 0
 
     async def test_a_word_that_comes_too_late_starts_nothing(self) -> None:
         """The gateway is paused between the offer and its word.
@@ -177,7 +177,7 @@
         The slot is given to other work after a short wait; the late word finds
         no attempt, and the gateway has been told "not run".
         """
-        async with scene() as s:
+        async with sidecar_setup() as s:
             attempt_id = s.gateway.start(reserve=True)
             failure = await s.gateway.failure(attempt_id)
             assert failure.outcome == Outcome.NOT_RUN
@@ -188,7 +188,7 @@
             assert attempt_run.READY_WAIT_S < 1.0
 
     async def test_an_offer_can_be_barred(self) -> None:
-        async with scene() as s:
+        async with sidecar_setup() as s:
             attempt_id = s.gateway.start(reserve=True)
             await s.gateway.first(Ready, attempt_id)
             bar = await s.gateway.ask(Bar(attempt_id=attempt_id))
@@ -200,8 +200,8 @@
 
 class TestJournal:
     async def test_each_decision_is_recorded_with_its_figures(self) -> None:
-        async with scene() as s:
-            records = s.rig.process.journal
+        async with sidecar_setup() as s:
+            records = s.harness.process.journal
             running = await occupy(s, predicted_s=0.01)
             waiting = s.gateway.start(predicted_s=0.01, request_id="r-waiting")
             await s.gateway.first(Queued, waiting)
--- a/tools/measure_queue.py
+++ b/tools/measure_queue.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from tests.queue_bench import Bench, Source, most_that_fit
+from tests.queue_simulation import QueueSimulation, Source, max_calls_that_fit
 from trefoilpaddle.state.fair_queue import FairQueue
 from trefoilpaddle.state.work_queue import FifoQueue
 
@@ -30,10 +30,10 @@
     console.print(_burst())
 
 
-def _run(sources: list[Source], seed: int, *, is_product: bool) -> Bench:
+def _run(sources: list[Source], seed: int, *, is_product: bool) -> QueueSimulation:
     queue = FairQueue() if is_product else FifoQueue()
-    bench = Bench(queue, refuses_early=is_product, seed=seed)
-    return bench.run(sources, span_s=SPAN_S)
+    simulation = QueueSimulation(queue, refuses_early=is_product, seed=seed)
+    return simulation.run(sources, span_s=SPAN_S)
 
 
 def _overload() -> Table:
@@ -58,11 +58,11 @@
     met: dict[bool, list[float]] = {False: [], True: []}
     wasted: dict[bool, list[float]] = {False: [], True: []}
     for seed in SEEDS:
-        most = most_that_fit(sources, seed=seed, span_s=SPAN_S)
+        most = max_calls_that_fit(sources, seed=seed, span_s=SPAN_S)
         for is_product in (False, True):
-            bench = _run(sources, seed, is_product=is_product)
-            met[is_product].append(bench.n_met / most)
-            wasted[is_product].append(bench.wasted_share)
+            simulation = _run(sources, seed, is_product=is_product)
+            met[is_product].append(simulation.n_met / most)
+            wasted[is_product].append(simulation.wasted_share)
     figures = [met[False], met[True], wasted[False], wasted[True]]
     medians = [f"{statistics.median(each):.3f}" for each in figures]
     return [f"{load:g}", f"{deadline_s:g}", f"{scatter:g}", *medians]
