--- a/src/trefoilpaddle/coordination/targets/__init__.py
+++ b/src/trefoilpaddle/coordination/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Work at a target's sidecar: queued, started, streamed, ended."""
+"""Calls at a target's sidecar, and the stages and requests that they serve."""
--- a/src/trefoilpaddle/coordination/targets/dispatcher.py
+++ b/src/trefoilpaddle/coordination/targets/dispatcher.py
@@ -1,4 +1,4 @@
-"""The one place that starts work at the target: queue, slots, withdrawal."""
+"""Queues attempts and starts them; no other module starts work at the target."""
 
 import asyncio
 import time
@@ -28,14 +28,14 @@
 from .target_calls import CONNECT_STEP, DOWN_RETRY_S, CallOutcome, TargetCaller
 
 DISCONNECT_GRACE_NS: Final = NS_PER_S
-"""How long waiting work outlives its connection."""
+"""Queued work whose connection was lost longer ago is not started."""
 TIMER_MARGIN_NS: Final = 2_000_000
-"""More than a timer of the event loop comes early."""
+"""Timers of the event loop run early by less than this."""
 NEVER_NS: Final = (1 << 63) - 1
 DEFAULT_MAX_QUEUE_S: Final = 30.0
-"""Longest queue while the service is not in the catalogue."""
+"""Longest queue, in target-seconds, while the service is not in the catalogue."""
 MAX_OWNER_LOADS: Final = 8
-"""Owners named in a load report, those with the most waiting work."""
+"""Owners listed in a load report: those with the most queued work."""
 
 
 class Dispatcher:
@@ -46,25 +46,25 @@
     name : str
         The target's name.
     table : AttemptTable
-        All attempts.
+        All attempts of this sidecar.
     queue : WorkQueue
-        Decides the order.
+        Decides in which order attempts start.
     slots : SlotLimit
-        How many calls run at once.
+        Limits how many calls run at once.
     caller : TargetCaller
         Calls the target.
     journal : StageJournal
-        Takes the decisions.
+        Records the decisions.
     policy : PolicySettings
-        Which policies are on.
+        Which policies are enabled.
     """
 
     __slots__ = (
-        "_ends",
+        "_exit_ns",
         "_journal",
-        "_last_ns",
         "_max_queue_s",
         "_name",
+        "_outcomes",
         "_policy",
         "_queue",
         "_runner",
@@ -91,10 +91,12 @@
         self._journal = journal
         self._policy = policy
         self._max_queue_s = DEFAULT_MAX_QUEUE_S
-        self._last_ns = NEVER_NS
+        self._exit_ns = NEVER_NS
         self._running = RunningCalls(limit=slots)
         self._timers = DropTimers(on_due=self._drop_late)
-        self._ends = AttemptOutcomes(table=table, journal=journal, read_load=self.load)
+        self._outcomes = AttemptOutcomes(
+            table=table, journal=journal, read_load=self.load
+        )
         self._runner = AttemptRunner(
             name=name,
             caller=caller,
@@ -104,7 +106,7 @@
         self.intake = Intake()
 
     def load(self) -> Load:
-        """Return what this sidecar says of itself now."""
+        """Return the current load report of this sidecar."""
         now_ns = time.monotonic_ns()
         intake = self.intake
         return Load(
@@ -123,14 +125,14 @@
         )
 
     def set_service(self, service: Service) -> None:
-        """Take what the catalogue says of the target's service."""
+        """Apply the catalogue's settings for the target's service."""
         self._max_queue_s = service.max_queue_s
         self.intake.reports_load = service.reports_load
         self._running.limit.set_base(service.n_slots)
         self.start_queued()
 
     def set_target_up(self, *, is_up: bool) -> None:
-        """Take whether the target answers; what waits for a dead one goes back."""
+        """Record whether the target answers; reject queued work if it does not."""
         if is_up == self.intake.is_target_up:
             return
         self.intake.is_target_up = is_up
@@ -139,45 +141,50 @@
             self.reject_queued(Reason.TARGET_DOWN, retry_after_s=DOWN_RETRY_S)
 
     def begin_leaving(self, *, within_s: float) -> None:
-        """Refuse new work, and begin only what can end within that time.
+        """Refuse new work, and start only calls that can end within `within_s`.
+
+        A call that starts shortly before the process exits is interrupted. It is
+        then unknown what the call did, and a caller that may not repeat it waits
+        until its deadline, although "not run" was true before the start.
 
-        Guards against calls that are begun shortly before the process ends and cut
-        off then: nobody knows what they did, and who may not repeat them waits for
-        them until the deadline, though "not run" was still true.
+        Parameters
+        ----------
+        within_s : float
+            Seconds until the process exits.
         """
         self.intake.is_leaving = True
-        self._last_ns = time.monotonic_ns() + int(within_s * NS_PER_S)
+        self._exit_ns = time.monotonic_ns() + int(within_s * NS_PER_S)
         for attempt in self._table.open_attempts():
             if attempt.phase is Phase.WAITING and attempt.work is not None:
                 self._set_timer(attempt, attempt.work)
 
     def predicted_wait_s(self) -> float:
-        """Return the seconds until all that waits should have started."""
+        """Return the predicted seconds until all queued work has started."""
         slots = self._running.slot_snapshot(time.monotonic_ns())
         return slots.wait_s(self._queue.work_s)
 
     def expire_at_deadline(self, attempt: Attempt) -> None:
-        """Answer an attempt that has not started by its deadline at once."""
+        """Answer `attempt` at its deadline if it has not started by then."""
         self._timers.arm(attempt, at_ns=attempt.deadline_ns)
 
     def latest_start_ns(self, attempt: Attempt) -> int:
-        """Return the last moment at which `attempt` may start to be in time."""
+        """Return the latest time at which `attempt` may start and be on time."""
         return self._running.latest_start_ns(
             attempt, n_waiting=len(self._queue), now_ns=time.monotonic_ns()
         )
 
     def submit(self, attempt: Attempt, work: Work) -> None:
-        """Take in an attempt whose body is whole: start it, queue it or refuse it."""
+        """Start, queue or refuse an attempt whose complete body has arrived."""
         now_ns = time.monotonic_ns()
         attempt.work = work
         attempt.phase = Phase.WAITING
         attempt.stop_timer()
         if self._running.has_free_slot() and not len(self._queue):
-            # Through the queue all the same: its owner is charged for the slot.
+            # It passes through the queue so that its owner is charged for the slot.
             self._queue.push(work)
             self.start_queued()
             return
-        verdict = decide_queueing(
+        decision = decide_queueing(
             work,
             queue=self._queue,
             slots=self._running.slot_snapshot(now_ns),
@@ -185,17 +192,17 @@
             max_queue_s=self._max_queue_s,
             refuses_early=self._policy.refuse_early,
         )
-        if verdict.reason:
-            self._refuse(attempt, verdict)
+        if decision.reason:
+            self._refuse(attempt, decision)
             return
-        self._displace(verdict)
+        self._displace(decision)
         self._queue.push(work)
-        self._announce(attempt, verdict)
+        self._report_queued(attempt, decision)
         self._set_timer(attempt, work)
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Start what waits while slots are free."""
+        """Start queued attempts while slots are free."""
         while self._running.has_free_slot():
             now_ns = time.monotonic_ns()
             work = self._queue.pop(now_ns=now_ns)
@@ -203,7 +210,9 @@
                 return
             attempt = self._table.get(work.attempt_id)
             if attempt is None:
-                logging.error("queued attempt %s is unknown", work.attempt_id.hex())
+                logging.error(
+                    "queued attempt %s is not in the table", work.attempt_id.hex()
+                )
                 continue
             self._start(attempt, now_ns=now_ns)
 
@@ -215,11 +224,11 @@
         detail: str = "it was taken out before it started",
         retry_after_s: float = 0.0,
     ) -> bool:
-        """Make sure that an attempt never starts; return False if it has.
+        """Prevent an attempt from starting; return False if it may have started.
 
-        After True nothing of it reaches the target, also when its call is being
-        prepared at this moment: its guard asks again right before the first
-        byte leaves.
+        After True no part of it reaches the target, even if its call is being
+        prepared at this moment: the call's guard checks again right before the
+        first byte is sent.
         """
         match attempt.phase:
             case Phase.DONE:
@@ -237,7 +246,10 @@
         return True
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt as far as it may be stopped."""
+        """Withdraw an attempt, or stop its call if the work is idempotent.
+
+        The held answer of an idempotent attempt that has ended is released.
+        """
         if self.withdraw(attempt, Reason.CANCELLED) or not attempt.start.idempotent:
             return
         if attempt.phase is Phase.DONE:
@@ -246,56 +258,56 @@
             attempt.task.cancel()
 
     def reject_queued(self, reason: Reason, *, retry_after_s: float = 0.0) -> None:
-        """Answer all that waits as not run."""
+        """Answer attempts that are queued or being received as not run."""
         for attempt in self._table.open_attempts():
             if attempt.phase in (Phase.RECEIVING, Phase.WAITING):
                 self.withdraw(attempt, reason, retry_after_s=retry_after_s)
 
-    def _refuse(self, attempt: Attempt, verdict: QueueDecision) -> None:
+    def _refuse(self, attempt: Attempt, decision: QueueDecision) -> None:
         error = NotRun(
-            reason=verdict.reason,
+            reason=decision.reason,
             step="queue",
             peer=self._name,
-            detail=f"it would wait {verdict.wait_s:.3f} s here",
-            retry_after_s=verdict.retry_after_s,
+            detail=f"it would wait {decision.wait_s:.3f} s here",
+            retry_after_s=decision.retry_after_s,
         )
         self._end_not_run(attempt, error)
 
-    def _displace(self, verdict: QueueDecision) -> None:
-        for work in verdict.displaced:
+    def _displace(self, decision: QueueDecision) -> None:
+        for work in decision.displaced:
             other = self._table.get(work.attempt_id)
             if other is not None:
                 self.withdraw(
                     other,
-                    verdict.displaced_reason,
+                    decision.displaced_reason,
                     detail="it gave way, since not all that waits can be in time",
                     retry_after_s=self.predicted_wait_s(),
                 )
 
-    def _announce(self, attempt: Attempt, verdict: QueueDecision) -> None:
+    def _report_queued(self, attempt: Attempt, decision: QueueDecision) -> None:
         attempt.stream.send_uncredited(
             Queued(
                 attempt_id=attempt.attempt_id,
-                predicted_wait_s=verdict.wait_s,
-                n_ahead=verdict.n_ahead,
+                predicted_wait_s=decision.wait_s,
+                n_ahead=decision.n_ahead,
             )
         )
         self._journal.record(
             Event.QUEUED,
             attempt,
-            n_ahead=verdict.n_ahead,
-            predicted_wait_s=verdict.wait_s,
+            n_ahead=decision.n_ahead,
+            predicted_wait_s=decision.wait_s,
             predicted_s=attempt.start.predicted_s,
             budget_s=(attempt.finish_by_ns - attempt.received_ns) / NS_PER_S,
         )
 
     def _set_timer(self, attempt: Attempt, work: Work) -> None:
-        """Drop waiting work as soon as it is known to be late.
+        """Set a timer that drops queued work as soon as it is known to be late.
 
-        It is answered at that moment, not when its turn comes, so that its
-        caller can still go elsewhere.
+        The work is answered at that moment rather than when its turn comes, so
+        that it can still be sent to another target.
         """
-        latest_ns = self._last_start_ns(attempt)
+        latest_ns = self._latest_start_before_exit_ns(attempt)
         if self._policy.drop_expired:
             latest_ns = min(latest_ns, attempt.deadline_ns)
             if self._policy.refuse_early:
@@ -303,31 +315,33 @@
         if latest_ns < NEVER_NS:
             self._timers.arm(attempt, at_ns=latest_ns)
 
-    def _last_start_ns(self, attempt: Attempt) -> int:
-        """Return the last moment at which it could start and end before this ends."""
-        if self._last_ns == NEVER_NS:
+    def _latest_start_before_exit_ns(self, attempt: Attempt) -> int:
+        """Return the latest start with which a call ends before the process exits."""
+        if self._exit_ns == NEVER_NS:
             return NEVER_NS
         slowness = self._running.slowness(time.monotonic_ns())
         need_s = max(0.0, attempt.start.predicted_s) * slowness
-        return self._last_ns - int(need_s * NS_PER_S)
+        return self._exit_ns - int(need_s * NS_PER_S)
 
     def _drop_late(self, attempt: Attempt) -> None:
         now_ns = time.monotonic_ns()
         if now_ns >= attempt.deadline_ns - TIMER_MARGIN_NS:
             self.withdraw(attempt, Reason.DEADLINE_PASSED)
             return
-        if now_ns >= self._last_start_ns(attempt) - TIMER_MARGIN_NS:
+        if now_ns >= self._latest_start_before_exit_ns(attempt) - TIMER_MARGIN_NS:
             self.withdraw(attempt, Reason.LEAVING)
             return
         wait_s = self.predicted_wait_s()
         self.withdraw(attempt, Reason.PREDICTED_LATE, retry_after_s=wait_s)
 
     def _start(self, attempt: Attempt, *, now_ns: int) -> None:
-        if self._timers.has_expired(attempt) or now_ns > self._last_start_ns(attempt):
+        if self._timers.has_expired(
+            attempt
+        ) or now_ns > self._latest_start_before_exit_ns(attempt):
             self._drop_late(attempt)
             return
         attempt.stop_timer()
-        if self._is_abandoned(attempt, now_ns=now_ns):
+        if self._has_lost_connection(attempt, now_ns=now_ns):
             self.withdraw(attempt, Reason.CONNECTION_LOST)
             return
         attempt.phase = Phase.RESERVED
@@ -335,7 +349,7 @@
         self._running.add(attempt, now_ns=now_ns)
         attempt.task = asyncio.create_task(self._run(attempt))
 
-    def _is_abandoned(self, attempt: Attempt, *, now_ns: int) -> bool:
+    def _has_lost_connection(self, attempt: Attempt, *, now_ns: int) -> bool:
         if attempt.stream.connection is not None:
             return False
         return now_ns - attempt.stream.detached_ns > DISCONNECT_GRACE_NS
@@ -357,29 +371,29 @@
     def _end(self, attempt: Attempt, result: Result[CallOutcome, StageError]) -> None:
         service_s = elapsed_s(attempt)
         if isinstance(result, Ok):
-            self._learn(attempt)
+            self._record_answered(attempt)
         self._free_slot(attempt)
         match result:
-            case Ok(end):
-                self._settle(attempt, used_s=end.cost_s or service_s)
-                self._ends.answered(attempt, end, service_s=service_s)
+            case Ok(outcome):
+                self._settle_charge(attempt, used_s=outcome.cost_s or service_s)
+                self._outcomes.answered(attempt, outcome, service_s=service_s)
             case Err(NotRun() as error):
                 self._end_not_run(attempt, error)
                 if error.step == CONNECT_STEP:
                     self.set_target_up(is_up=False)
             case Err(Failed() | Unknown() as error):
-                self._settle(attempt, used_s=service_s)
-                self._ends.failed(attempt, error)
+                self._settle_charge(attempt, used_s=service_s)
+                self._outcomes.failed(attempt, error)
 
     def _end_not_run(self, attempt: Attempt, error: NotRun) -> None:
-        self._settle(attempt, used_s=0.0)
-        self._ends.not_run(attempt, error)
+        self._settle_charge(attempt, used_s=0.0)
+        self._outcomes.not_run(attempt, error)
 
-    def _settle(self, attempt: Attempt, *, used_s: float) -> None:
+    def _settle_charge(self, attempt: Attempt, *, used_s: float) -> None:
         if attempt.work is not None:
             self._queue.settle(attempt.work, used_s=used_s)
 
-    def _learn(self, attempt: Attempt) -> None:
+    def _record_answered(self, attempt: Attempt) -> None:
         limit = self._running.limit
         n_before = limit.n_slots
         self._running.record_answered(attempt, now_ns=time.monotonic_ns())
@@ -388,7 +402,10 @@
 
 
 def _owner_loads(queue: WorkQueue) -> list[OwnerLoad]:
-    """Return who has most work waiting; gateways predict an owner's wait by it."""
+    """Return the owners with the most queued work.
+
+    Gateways predict the wait of an owner's calls from it.
+    """
     loads = sorted(queue.by_owner(), key=lambda load: load.work_s, reverse=True)
     return [
         OwnerLoad(owner=load.owner, queued_work_s=load.work_s, weight=load.weight)
--- a/src/trefoilpaddle/coordination/targets/engine_calls.py
+++ b/src/trefoilpaddle/coordination/targets/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a model engine: streamed, resumed when broken, cancelled."""
+"""Calls to a model engine: streaming, resumption and cancellation."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,10 @@
 
 COMPLETIONS_PATH: Final = "/v1/completions"
 RESUME_PAUSES_S: Final = (0.01, 0.05, 0.2, 0.4)
-"""Waits before each try to resume; tries without a new token give up after."""
+"""Pauses before the requests to resume a stream.
+
+The call fails after that many requests in a row that brought no new token.
+"""
 
 
 class EngineCaller:
@@ -47,14 +50,14 @@
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
     ) -> Result[CallOutcome, StageError]:
-        """Make `call`, put its tokens into `sink` and say how it ended.
+        """Run `call`, write its tokens to `sink` and return its outcome.
 
-        A stream that breaks midway is resumed while the budget lasts: that asks
-        for the rest of the same run and starts no second one.
+        A stream that breaks is resumed while the deadline allows. Resuming
+        requests the rest of the same run and starts no second run.
         """
         body = _streaming_body(call.body)
         if body is None:
-            return Err(self._bad_request())
+            return Err(self._bad_request_error())
         events = EngineEvents()
         try:
             async with self._http.guarded_post(
@@ -67,7 +70,7 @@
             if not guard.is_sent:
                 return Err(broken_call_error(error, guard=guard, peer=self._name))
         except ValueError as error:
-            return Err(self._garbled(str(error)))
+            return Err(self._unreadable_stream_error(str(error)))
         if events.is_done and events.outcome is not None:
             return Ok(events.outcome)
         return await self._resume(call, events=events, sink=sink)
@@ -91,18 +94,18 @@
             except (ClientError, OSError):
                 is_known = True
             except ValueError as error:
-                return Err(self._garbled(str(error)))
+                return Err(self._unreadable_stream_error(str(error)))
             if events.is_done and events.outcome is not None:
                 return Ok(events.outcome)
             if not is_known:
                 break
             n_tries = 0 if events.n_tokens > n_tokens else n_tries + 1
-        return Err(self._lost(call, n_tokens=events.n_tokens))
+        return Err(self._lost_stream_error(call, n_tokens=events.n_tokens))
 
     async def _read_rest(
         self, call: TargetCall, events: EngineEvents, sink: Sink
     ) -> bool:
-        """Read on; return False if the engine does not know the attempt."""
+        """Read the rest; return False if the engine does not know the attempt."""
         path = f"/v1/resume/{call.attempt_id.hex()}?from_token={events.n_tokens}"
         async with self._http.get(path, headers=call.headers()) as response:
             if response.status == 404:
@@ -111,7 +114,7 @@
                 await _read_stream(response, events, sink)
         return True
 
-    def _lost(self, call: TargetCall, *, n_tokens: int) -> StageError:
+    def _lost_stream_error(self, call: TargetCall, *, n_tokens: int) -> StageError:
         detail = f"the stream broke after {n_tokens} tokens and cannot be resumed"
         if call.is_idempotent and n_tokens:
             return Failed(
@@ -127,7 +130,7 @@
             detail=detail,
         )
 
-    def _bad_request(self) -> StageError:
+    def _bad_request_error(self) -> StageError:
         return NotRun(
             reason=Reason.BAD_REQUEST,
             step="call",
@@ -135,14 +138,14 @@
             detail="the body for an engine is not a JSON object",
         )
 
-    def _garbled(self, detail: str) -> StageError:
+    def _unreadable_stream_error(self, detail: str) -> StageError:
         return Failed(
             reason=Reason.TARGET_FAILED, step="call", peer=self._name, detail=detail
         )
 
 
 def _streaming_body(body: bytes) -> bytes | None:
-    """Return `body` with streaming asked for, or None if it is no object."""
+    """Return `body` with streaming enabled, or None if it is no JSON object."""
     try:
         fields = orjson.loads(body)
     except ValueError:
@@ -156,18 +159,18 @@
 async def _read_stream(
     response: ClientResponse, events: EngineEvents, sink: Sink
 ) -> None:
-    """Move tokens from `response` into `sink` until the stream ends or breaks.
+    """Write tokens from `response` to `sink` until the stream ends or breaks.
 
     Raises
     ------
     ValueError
-        If the engine sends what cannot be read.
+        If the engine sends an event that cannot be read.
     """
     async for data in response.content.iter_any():
         match events.feed(data):
             case Ok(text):
-                for piece in split_chunks(text):
-                    sink.append(piece)
+                for chunk in split_chunks(text):
+                    sink.append(chunk)
             case Err(problem):
                 raise ValueError(problem)
         await sink.wait_for_space()
--- a/src/trefoilpaddle/coordination/targets/engine_events.py
+++ b/src/trefoilpaddle/coordination/targets/engine_events.py
@@ -1,4 +1,4 @@
-"""The event stream of a model engine, read piece by piece."""
+"""Incremental parser of the event stream of a model engine."""
 
 from typing import Any, Final
 
@@ -11,14 +11,14 @@
 DONE: Final = b"[DONE]"
 
 MAX_LINE_BYTES: Final = 1024 * 1024
-"""Longest line of an event that is put together in memory."""
+"""Longest incomplete line of an event that is buffered."""
 
-WHOLE_FINISHES: Final = (None, "stop", "length")
-"""Finish reasons of a stream that goes on or is whole."""
+VALID_FINISH_REASONS: Final = (None, "stop", "length")
+"""Finish reasons of a stream that continues (None) or is complete."""
 
 
 class EngineEvents:
-    """Collects the text of tokens and the usage from server-sent events.
+    """Collects the text and the usage from the server-sent events of an engine.
 
     Parameters
     ----------
@@ -35,11 +35,11 @@
         self.n_tokens = 0
 
     def discard_partial_line(self) -> None:
-        """Forget a line that a broken connection cut off."""
+        """Discard a line that a broken connection truncated."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> Result[bytes, str]:
-        """Return the text that `data` completes, or what is wrong with it."""
+        """Return the text of the events that `data` completes, or a parse error."""
         lines = (self._buffer + data).split(b"\n")
         self._buffer = lines.pop()
         if len(self._buffer) > MAX_LINE_BYTES:
@@ -53,16 +53,16 @@
                 self.is_done = self.outcome is not None
                 break
             try:
-                self._take(orjson.loads(payload), texts)
+                self._add_event(orjson.loads(payload), texts)
             except (ValueError, TypeError, KeyError, IndexError) as error:
                 return Err(f"an event cannot be taken: {error}")
         return Ok("".join(texts).encode())
 
-    def _take(self, event: Any, texts: list[str]) -> None:
+    def _add_event(self, event: Any, texts: list[str]) -> None:
         choice = event["choices"][0]
         finish = choice.get("finish_reason")
-        if finish not in WHOLE_FINISHES:
-            # What came so far looks like an answer, but the engine gave it up.
+        if finish not in VALID_FINISH_REASONS:
+            # The engine abandoned the run; the text so far would pass for an answer.
             raise ValueError(f"the engine ended the stream with {finish!r}")
         text = choice["text"]
         if text:
--- a/src/trefoilpaddle/coordination/targets/intake.py
+++ b/src/trefoilpaddle/coordination/targets/intake.py
@@ -1,10 +1,13 @@
-"""Whether a sidecar takes new work, and what it reports of itself besides."""
+"""Whether a sidecar accepts new work, and further state for its load report."""
 
 from ...protocol.reasons import Reason
 
 
 class Intake:
-    """State of a sidecar that refuses all new work, whatever its queue."""
+    """State for which a sidecar refuses all new work, regardless of its queue.
+
+    It also has the state of the load report that the dispatcher does not measure.
+    """
 
     __slots__ = (
         "is_configured",
@@ -24,7 +27,7 @@
         self.revision = 0
 
     def refusal(self) -> Reason:
-        """Return why no new work is taken, or ``Reason.NONE``."""
+        """Return why all new work is refused, or ``Reason.NONE``."""
         if self.is_leaving:
             return Reason.LEAVING
         if not self.is_configured:
--- a/src/trefoilpaddle/coordination/targets/lifecycle.py
+++ b/src/trefoilpaddle/coordination/targets/lifecycle.py
@@ -1,4 +1,4 @@
-"""One request from acceptance to its recorded end."""
+"""One request from acceptance to its recorded outcome."""
 
 import time
 from typing import Protocol
@@ -19,32 +19,32 @@
 
 
 class RequestRunner(Protocol):
-    """Runs a checked request to its end."""
+    """Runs a checked request until its outcome is known."""
 
     async def run(
         self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
-        """Return the whole answer, or how the request ended."""
+        """Return the complete answer, or why the request got none."""
         ...
 
 
 class RequestLifecycle:
-    """Admits a request, claims its key, walks it and records its end.
+    """Claims a request's key, admits it, runs its pipeline, records its outcome.
 
     Parameters
     ----------
     predictor : Predictor
-        Refuses early what cannot be in time.
+        Refuses requests early that are predicted to be late.
     pipeline_runner : PipelineRunner
-        Runs the stages.
+        Runs the stages of the pipeline.
     limiter : Limiter
-        Holds the entries' limits.
+        Applies the limits of the entries.
     keys : KeyGuard
-        Makes requests with one key run at most once.
+        Ensures that requests with the same key run at most once.
     requests : Requests
-        Remembers how requests ended.
+        Stores the outcomes of requests.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     """
 
     __slots__ = (
@@ -76,17 +76,18 @@
     async def run(
         self, request: Request, *, spent: RequestUsage, sink: Sink | None
     ) -> Result[Answer, Refusal]:
-        """Return the whole answer, or how the request ended.
+        """Return the complete answer, or why the request got none.
 
-        Cancelled when the caller has left; the end is recorded all the same.
+        It is cancelled when the caller disconnects; the outcome is recorded even
+        then.
         """
         begin_s = time.monotonic()
         match await self._keys.claim(request):
             case Err(error):
                 refusal = Refusal(error=error, stage="", is_retry_safe=False)
-                return self._joined(request, Err(refusal), first_id="")
-            case Ok(PriorOutcome(request_id=first_id, outcome=ended)):
-                return self._joined(request, ended, first_id=first_id)
+                return self._record_joined(request, Err(refusal), first_id="")
+            case Ok(PriorOutcome(request_id=first_id, outcome=prior)):
+                return self._record_joined(request, prior, first_id=first_id)
         self._requests.begin(
             request_id=request.request_id,
             account=request.account,
@@ -96,8 +97,8 @@
         try:
             outcome = await self._admit_and_run(request, spent=spent, sink=sink)
         finally:
-            self._settle(request, outcome, spent)
-        self._record_end(request, outcome, took_s=time.monotonic() - begin_s)
+            self._settle_key(request, outcome, spent)
+        self._record_outcome(request, outcome, took_s=time.monotonic() - begin_s)
         return outcome
 
     async def _admit_and_run(
@@ -127,23 +128,23 @@
             is_counted = is_answered or not spent.has_started
             permit.release(n_tokens=spent.n_tokens if is_counted else None)
 
-    def _settle(
+    def _settle_key(
         self,
         request: Request,
         outcome: Result[Answer, Refusal] | None,
         spent: RequestUsage,
     ) -> None:
-        """Settle the key; without an end the caller has left."""
+        """Settle the key; without an outcome, the caller has disconnected."""
         if outcome is None:
-            self._end(request, RequestState.FAILED, Reason.CANCELLED)
+            self._set_state(request, RequestState.FAILED, Reason.CANCELLED)
         is_answered = outcome is not None and outcome.is_ok()
         is_run = is_answered or spent.has_started_once_only
         self._keys.settle(request, outcome, is_run=is_run)
 
-    def _joined(
+    def _record_joined(
         self, request: Request, outcome: Result[Answer, Refusal], *, first_id: str
     ) -> Result[Answer, Refusal]:
-        """Record that an earlier try decided this one's end, and return it."""
+        """Record that an earlier try decided this one's outcome, and return it."""
         self._journal.record(
             request_decision(
                 Event.REQUEST_JOINED,
@@ -154,14 +155,14 @@
         )
         return outcome
 
-    def _record_end(
+    def _record_outcome(
         self, request: Request, outcome: Result[Answer, Refusal], *, took_s: float
     ) -> None:
         took = Figure(name="took_s", value=took_s)
         slack = Figure(name="slack_s", value=request.deadline_s - time.monotonic())
         match outcome:
             case Ok(answer):
-                self._end(request, RequestState.ANSWERED, Reason.NONE)
+                self._set_state(request, RequestState.ANSWERED, Reason.NONE)
                 cost = Figure(name="cost_s", value=answer.cost_s)
                 decision = request_decision(
                     Event.REQUEST_ANSWERED,
@@ -171,7 +172,7 @@
                 )
             case Err(refusal):
                 error = refusal.error
-                self._end(request, state_of(error), error.reason)
+                self._set_state(request, state_of(error), error.reason)
                 cost = Figure(name="cost_s", value=refusal.cost_s)
                 wait = Figure(name="retry_after_s", value=error.retry_after_s)
                 is_refused = isinstance(error, NotRun)
@@ -184,12 +185,12 @@
                 )
         self._journal.record(decision)
 
-    def _end(self, request: Request, state: RequestState, reason: Reason) -> None:
+    def _set_state(self, request: Request, state: RequestState, reason: Reason) -> None:
         self._requests.end(request.request_id, state=state, reason=reason)
 
 
 def state_of(error: StageError) -> RequestState:
-    """Return how a request with this error stands, in the callers' words."""
+    """Return the state of a request with this error, as reported to callers."""
     match error:
         case NotRun():
             return RequestState.REFUSED
--- a/src/trefoilpaddle/coordination/targets/queue_policy.py
+++ b/src/trefoilpaddle/coordination/targets/queue_policy.py
@@ -1,4 +1,4 @@
-"""Whether work is taken into the queue, and what gives way for it."""
+"""Decides whether new work is queued, and which queued work it displaces."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from ...state.work_queue import Work, WorkQueue
 
 MIN_RETRY_S: Final = 0.05
-"""Shortest wait that a refused call is told."""
+"""Shortest retry delay reported with a refusal."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlotSnapshot:
-    """The target's slots at this moment.
+    """The target's slots and running calls at one moment.
 
     Parameters
     ----------
@@ -24,7 +24,7 @@
     remaining_s : sequence of float
         Predicted seconds that each running call still needs.
     slowness : float
-        Measured over predicted service time of late.
+        Recent ratio of measured to predicted service time.
     """
 
     n_slots: int
@@ -32,7 +32,13 @@
     slowness: float
 
     def wait_s(self, ahead_s: float) -> float:
-        """Return the seconds until a slot is free for work behind `ahead_s`."""
+        """Return the seconds until work can start that has `ahead_s` ahead of it.
+
+        Parameters
+        ----------
+        ahead_s : float
+            Predicted target-seconds of queued work that starts first.
+        """
         return wait_s(
             left_s=self.remaining_s,
             n_slots=self.n_slots,
@@ -42,20 +48,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueueDecision:
-    """What is done with new work.
+    """Whether new work is queued or refused, and what it displaces.
 
     Parameters
     ----------
     reason : Reason
-        Why it is refused; ``Reason.NONE`` takes it.
+        Why it is refused; ``Reason.NONE`` if it is queued.
     wait_s, n_ahead : float, int
-        Predicted wait, and what goes first inside its share.
+        Predicted wait in seconds, and number of queued attempts of the same share
+        that start first.
     retry_after_s : float
-        When the same work could be taken.
+        Seconds after which the same work could be queued.
     displaced : tuple of Work
-        What gives way to it.
+        Queued work that is dropped in favour of it.
     displaced_reason : Reason
-        Why that gives way.
+        Why the displaced work is dropped.
     """
 
     reason: Reason = Reason.NONE
@@ -75,15 +82,30 @@
     max_queue_s: float,
     refuses_early: bool,
 ) -> QueueDecision:
-    """Return what is done with `work`, before anything was spent on it.
-
-    Work that is predicted to miss its time is refused at once with the time
-    after which it would be taken, unless work of the same owner can give way:
-    enough of a lower brown-out order, or else the longest that goes before it.
-    The latter is the rule of Moore (1968), which leaves the fewest late: with
-    one refused in either case, the longest frees the most time for the rest.
-    Work that would make the queue too long displaces what is over its share, or
-    is refused.
+    """Decide whether to queue or refuse `work`, before target time is spent on it.
+
+    Work that is predicted to be late is refused at once, with the time after
+    which it would be queued, unless it can displace work of the same owner:
+    enough work of a lower brown-out order or else the longest work ahead of it.
+    The latter is the rule of Moore (1968), which minimises the number of late
+    jobs: one is refused in either case, and dropping the longest frees the most
+    time for the rest. Work that would make the queue too long displaces work
+    that exceeds its share, or is refused.
+
+    Parameters
+    ----------
+    work : Work
+        The new work.
+    queue : WorkQueue
+        Work that is already queued.
+    slots : SlotSnapshot
+        The target's slots at `now_ns`.
+    now_ns : int
+        Current time on this process's monotonic clock.
+    max_queue_s : float
+        Limit of queued work, in predicted target-seconds.
+    refuses_early : bool
+        False queues all work.
     """
     ahead = queue.ahead(work)
     waits_s = slots.wait_s(ahead.work_s)
@@ -91,7 +113,7 @@
     if not refuses_early or waits_s <= 0.0:
         return QueueDecision(wait_s=waits_s, n_ahead=ahead.n_ahead)
     if waits_s > may_wait_s:
-        return _make_room(
+        return _displace_for_deadline(
             work,
             queue=queue,
             slots=slots,
@@ -100,11 +122,11 @@
         )
     excess_s = queue.work_s + work.predicted_s - max_queue_s
     if excess_s > 0.0:
-        return _cut_queue(work, queue=queue, slots=slots, excess_s=excess_s)
+        return _displace_excess(work, queue=queue, slots=slots, excess_s=excess_s)
     return QueueDecision(wait_s=waits_s, n_ahead=ahead.n_ahead)
 
 
-def _make_room(
+def _displace_for_deadline(
     work: Work,
     *,
     queue: WorkQueue,
@@ -112,13 +134,13 @@
     ahead_s: float,
     may_wait_s: float,
 ) -> QueueDecision:
-    was_s = slots.wait_s(ahead_s)
+    full_wait_s = slots.wait_s(ahead_s)
     displaced: list[Work] = []
-    left_s = ahead_s
+    remaining_ahead_s = ahead_s
     for other in queue.lower_orders(work):
         displaced.append(other)
-        left_s = max(0.0, left_s - other.predicted_s)
-        waits_s = slots.wait_s(left_s)
+        remaining_ahead_s = max(0.0, remaining_ahead_s - other.predicted_s)
+        waits_s = slots.wait_s(remaining_ahead_s)
         if waits_s <= may_wait_s:
             return QueueDecision(
                 wait_s=waits_s,
@@ -136,22 +158,22 @@
             )
     return QueueDecision(
         reason=Reason.PREDICTED_LATE,
-        wait_s=was_s,
-        retry_after_s=max(MIN_RETRY_S, was_s - may_wait_s),
+        wait_s=full_wait_s,
+        retry_after_s=max(MIN_RETRY_S, full_wait_s - may_wait_s),
     )
 
 
-def _cut_queue(
+def _displace_excess(
     work: Work, *, queue: WorkQueue, slots: SlotSnapshot, excess_s: float
 ) -> QueueDecision:
     displaced: list[Work] = []
-    left_s = excess_s
+    remaining_excess_s = excess_s
     for other in queue.displaceable(work):
-        if left_s <= 0.0:
+        if remaining_excess_s <= 0.0:
             break
         displaced.append(other)
-        left_s -= other.predicted_s
-    if left_s > 0.0:
+        remaining_excess_s -= other.predicted_s
+    if remaining_excess_s > 0.0:
         return QueueDecision(
             reason=Reason.QUEUE_FULL,
             retry_after_s=max(MIN_RETRY_S, slots.wait_s(excess_s)),
--- a/src/trefoilpaddle/coordination/targets/stage_body.py
+++ b/src/trefoilpaddle/coordination/targets/stage_body.py
@@ -1,4 +1,4 @@
-"""Bodies of stage calls: what a target is given, and how its answer is read."""
+"""Bodies of calls to targets, and outputs of stages from the targets' answers."""
 
 from dataclasses import dataclass
 
@@ -10,28 +10,28 @@
 from .stage_work import StageAnswer
 
 Json = object
-"""Any value that JSON can hold."""
+"""Any value that JSON can represent."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageInputs:
-    """What the stages of one request work on.
+    """Values that a stage of a request can take as input.
 
     Parameters
     ----------
     input : Json
         The caller's body: an object, or the raw body as text.
     previous : Json
-        Output of the stage before; None before the first.
+        Output of the preceding stage; None for the first.
     """
 
     input: Json
     previous: Json = None
 
 
-def plain_body(stage: Stage, material: StageInputs) -> bytes:
+def plain_body(stage: Stage, inputs: StageInputs) -> bytes:
     """Return the body of a call to a pool or a plain service."""
-    return orjson.dumps(_taken(stage, material))
+    return orjson.dumps(_taken_inputs(stage, inputs))
 
 
 def engine_body(stage: Stage, prompt: str, *, priority: int) -> bytes:
@@ -45,20 +45,20 @@
     return orjson.dumps(call)
 
 
-def prompt_of(stage: Stage, material: StageInputs) -> str:
-    """Return the prompt of an engine's stage: its prefix, then what it takes."""
+def prompt_of(stage: Stage, inputs: StageInputs) -> str:
+    """Return the prompt of an engine stage: its prefix, then its inputs."""
     parts = [stage.prompt_prefix] if stage.prompt_prefix else []
-    parts += [_text(value) for value in _taken(stage, material).values()]
+    parts += [_text(value) for value in _taken_inputs(stage, inputs).values()]
     return "\n".join(parts)
 
 
 def output_of(kind: ServiceKind, answer: StageAnswer) -> Result[Json, str]:
-    """Return the stage's output as the next stage and the caller see it.
+    """Return the stage's output as the next stage and the caller receive it.
 
     Returns
     -------
     Result[Json, str]
-        What is wrong with the answer when it is not the JSON it should be.
+        The output, or what is wrong with the answer if it cannot be decoded.
     """
     if kind is not ServiceKind.ENGINE:
         try:
@@ -78,16 +78,16 @@
 
 
 def text_checksum(text: bytes) -> str:
-    """Return the checksum of a text as callers see it, 16 hex digits."""
+    """Return the checksum of a text in its outer form, 16 hex digits."""
     return f"{checksum(text) & 0xFFFF_FFFF_FFFF_FFFF:016x}"
 
 
-def _taken(stage: Stage, material: StageInputs) -> dict[str, Json]:
+def _taken_inputs(stage: Stage, inputs: StageInputs) -> dict[str, Json]:
     taken: dict[str, Json] = {}
     if stage.takes is not Takes.PREVIOUS:
-        taken["input"] = material.input
+        taken["input"] = inputs.input
     if stage.takes is not Takes.INPUT:
-        taken["previous"] = material.previous
+        taken["previous"] = inputs.previous
     return taken
 
 
--- a/src/trefoilpaddle/coordination/targets/stage_journal.py
+++ b/src/trefoilpaddle/coordination/targets/stage_journal.py
@@ -1,4 +1,4 @@
-"""Decisions about attempts at a sidecar, written to its journal."""
+"""Records a sidecar's decisions about attempts in its journal."""
 
 from ...protocol.errors import Failed, StageError
 from ...protocol.gen.stage.ttypes import Start
@@ -8,12 +8,12 @@
 
 
 class StageJournal:
-    """Fills in what every decision about an attempt carries.
+    """Records decisions with the fields that all decisions about attempts have.
 
     Parameters
     ----------
     journal : Journal
-        Where decisions go.
+        Receives the decisions.
     target : str
         The target's name.
     """
@@ -25,15 +25,15 @@
         self._target = target
 
     def record(self, event: Event, attempt: Attempt, **figures: float) -> None:
-        """Record a decision with the figures it was made on."""
+        """Record a decision with the figures that it was based on."""
         self._record(event, attempt.start, figures=figures)
 
     def record_error(self, event: Event, attempt: Attempt, error: StageError) -> None:
-        """Record how an attempt ended without an answer."""
+        """Record the error with which an attempt ended."""
         self.record_refusal(event, attempt.start, error)
 
     def record_refusal(self, event: Event, start: Start, error: StageError) -> None:
-        """Record why `start` got no answer."""
+        """Record why the attempt of a start message got no answer."""
         figures = {"retry_after_s": error.retry_after_s}
         if isinstance(error, Failed):
             figures["cost_s"] = error.cost_s
@@ -52,12 +52,12 @@
         )
 
     def record_target_state(self, *, is_up: bool) -> None:
-        """Record that the target answers, or does not any more."""
+        """Record that the target answers, or has stopped answering."""
         event = Event.TARGET_UP if is_up else Event.TARGET_DOWN
         self._journal.record(Decision(event=event, peer=self._target))
 
     def record_slots(self, *, n_before: int, n_slots: int) -> None:
-        """Record that another number of calls may run at once."""
+        """Record that the number of calls that may run at once has changed."""
         self._journal.record(
             Decision(
                 event=Event.CONCURRENCY_CHANGED,
--- a/src/trefoilpaddle/coordination/targets/stage_server.py
+++ b/src/trefoilpaddle/coordination/targets/stage_server.py
@@ -1,4 +1,4 @@
-"""Takes the messages of gateways about attempts at this sidecar's target."""
+"""Handles messages from gateways about attempts at this sidecar's target."""
 
 import time
 from typing import Final
@@ -33,7 +33,7 @@
 from .target_calls import DOWN_RETRY_S
 
 MAX_WAITING_BODY_BYTES: Final = 64 * 1024 * 1024
-"""Most bytes of bodies kept for work that has not ended."""
+"""Largest total size of the bodies of attempts that have not ended."""
 
 
 class StageServer:
@@ -44,15 +44,15 @@
     name : str
         The target's name, for errors.
     incarnation : int
-        This process's incarnation.
+        Incarnation of this process.
     table : AttemptTable
-        All attempts.
+        All attempts of this sidecar.
     dispatcher : Dispatcher
-        Starts them.
+        Queues and starts the attempts.
     published : Published
-        Where weights and floors are looked up.
+        Catalogue with the weights and floor shares of entries.
     journal : StageJournal
-        Takes the decisions.
+        Records the decisions.
     """
 
     __slots__ = (
@@ -82,7 +82,7 @@
         self._journal = journal
 
     def on_message(self, connection: Connection, message: Message) -> None:
-        """Take one message that expects no reply."""
+        """Handle one message that expects no reply."""
         match message:
             case Start():
                 self._on_start(connection, message)
@@ -102,20 +102,20 @@
                 connection.write(self._bar(message))
 
     def on_close(self, connection: Connection) -> None:
-        """Hold what a lost connection leaves behind."""
+        """Withdraw incomplete attempts of a lost connection; hold the other answers."""
         for attempt in self._table.of_connection(connection):
             if attempt.phase is Phase.RECEIVING:
                 self._dispatcher.withdraw(attempt, Reason.CONNECTION_LOST)
             attempt.stream.detach()
 
     async def answer_bar(self, message: Bar, _peer: Hello) -> BarAnswer:
-        """Answer "did you start it? then never do"."""
+        """Bar an attempt if it has not started, and report its state."""
         return self._bar(message)
 
     def _on_start(self, connection: Connection, start: Start) -> None:
         known = self._table.get(start.attempt_id)
         if known is not None:
-            self._resend(known, connection, start)
+            self._attach_resent(known, connection, start)
             return
         now_ns = time.monotonic_ns()
         admitted = admit(
@@ -130,22 +130,24 @@
             case Err(error):
                 self._refuse(connection, start, error)
             case Ok(attempt):
-                self._take_in(connection, attempt)
+                self._accept(connection, attempt)
 
-    def _resend(self, known: Attempt, connection: Connection, start: Start) -> None:
-        """Attach to an attempt that a start message asks for once more."""
+    def _attach_resent(
+        self, known: Attempt, connection: Connection, start: Start
+    ) -> None:
+        """Send the answer of an attempt whose start message was sent again."""
         if known.stream.connection is connection:
             return
         known.stream.attach(connection, from_seq=0, credit_bytes=start.credit_bytes)
 
-    def _take_in(self, connection: Connection, attempt: Attempt) -> None:
+    def _accept(self, connection: Connection, attempt: Attempt) -> None:
         refusal = self._refusal_of_new(attempt)
         if refusal is not None:
             self._refuse(connection, attempt.start, refusal)
             return
         self._table.add(attempt)
         if attempt.has_body():
-            self._on_whole_body(attempt)
+            self._on_complete_body(attempt)
         else:
             self._dispatcher.expire_at_deadline(attempt)
 
@@ -174,9 +176,9 @@
             return
         attempt.add_body_chunk(message.data)
         if attempt.has_body():
-            self._on_whole_body(attempt)
+            self._on_complete_body(attempt)
 
-    def _on_whole_body(self, attempt: Attempt) -> None:
+    def _on_complete_body(self, attempt: Attempt) -> None:
         if not is_body_intact(attempt):
             self._dispatcher.withdraw(attempt, Reason.CORRUPT)
             return
@@ -213,18 +215,18 @@
             return
         connection.write(
             to_failure(
-                self._gone(message),
+                self._missing_attempt_error(message),
                 attempt_id=message.attempt_id,
                 load=self._dispatcher.load(),
             )
         )
 
-    def _gone(self, message: Fetch) -> StageError:
-        """Return what is true of an attempt that is neither open nor held.
+    def _missing_attempt_error(self, message: Fetch) -> StageError:
+        """Return the error for an attempt that is neither open nor held.
 
-        One that never came is barred by this, like by `Bar`.
+        If its start message never arrived, the attempt is barred, as by `Bar`.
         """
-        if self._is_of_another(message.incarnation):
+        if self._is_other_incarnation(message.incarnation):
             return Unknown(
                 reason=Reason.WRONG_INCARNATION,
                 step="fetch",
@@ -246,7 +248,7 @@
         if attempt is not None:
             self._dispatcher.cancel(attempt)
             return
-        # The start message may still come, on another connection.
+        # The start message may still arrive on another connection.
         self._table.bar_unknown(message.attempt_id, now_ns=time.monotonic_ns())
 
     def _on_go(self, message: Go) -> None:
@@ -255,21 +257,21 @@
             return
         attempt.go.set_result(None)
 
-    def _is_of_another(self, incarnation: int) -> bool:
-        """Return True if a question is about a former start of this sidecar.
+    def _is_other_incarnation(self, incarnation: int) -> bool:
+        """Return True if a message is about another incarnation of this sidecar.
 
-        Whatever that one ran is not known here, so nothing may be promised.
+        What that incarnation ran is not known here, so nothing can be promised.
         """
         return incarnation not in (0, self._incarnation)
 
     def _bar(self, message: Bar) -> BarAnswer:
         attempt_id = message.attempt_id
         attempt = self._table.get(attempt_id)
-        if self._is_of_another(message.incarnation):
+        if self._is_other_incarnation(message.incarnation):
             state = BarState.FORGOTTEN
         elif attempt is None:
             state = self._table.bar_unknown(attempt_id, now_ns=time.monotonic_ns())
-        elif self._dispatcher.withdraw(attempt, self._reason_to_bar()):
+        elif self._dispatcher.withdraw(attempt, self._bar_reason()):
             state = BarState.BARRED
         elif attempt.phase is Phase.DONE:
             state = BarState.DONE
@@ -277,8 +279,11 @@
             state = BarState.RUNNING
         return BarAnswer(attempt_id=attempt_id, state=state)
 
-    def _reason_to_bar(self) -> Reason:
-        """Return why a gateway takes work back: this leaves, or the gateway's own."""
+    def _bar_reason(self) -> Reason:
+        """Return the reason recorded for barring an attempt.
+
+        It is the leaving of this sidecar, if it leaves, or else the bar itself.
+        """
         is_leaving = self._dispatcher.intake.is_leaving
         return Reason.LEAVING if is_leaving else Reason.BARRED
 
@@ -289,7 +294,10 @@
             to_failure(error, attempt_id=start.attempt_id, load=self._dispatcher.load())
         )
         if not is_open:
-            logging.debug("refused attempt %s has no reader", start.attempt_id.hex())
+            logging.debug(
+                "connection closed before attempt %s could be refused",
+                start.attempt_id.hex(),
+            )
 
     def _not_run(
         self, reason: Reason, detail: str, *, retry_after_s: float = 0.0
--- a/src/trefoilpaddle/coordination/targets/stage_work.py
+++ b/src/trefoilpaddle/coordination/targets/stage_work.py
@@ -1,4 +1,4 @@
-"""What one stage of one request asks for, and what comes of it."""
+"""One stage of one request: its work, and its answer or failure."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
     Parameters
     ----------
     request_id, pipeline : str
-        Which request of which pipeline.
+        Id of the request, and name of its pipeline.
     stage : Stage
         The stage, from the catalogue.
     service : Service
@@ -24,28 +24,28 @@
     governing : Governing
         The entry that governs the request.
     body : bytes
-        What the sidecar sends to the target.
+        Body that the sidecar sends to the target.
     body_checksum : int
         Checksum of `body`.
     size : WorkSize
-        What the prediction was made from.
+        Size from which the service time was predicted.
     expected_s, high_s : float
-        Predicted service time, and the time that most calls stay below.
+        Predicted service time, and the time that most calls stay below, in seconds.
     size_s : float
         The part of `expected_s` that grows with the input.
     is_warm : bool
-        True if the predictions stand on enough samples to act on.
+        True if the predictions rest on enough samples to act on.
     deadline_s : float
-        End of the request on this process's monotonic clock.
+        Deadline of the request on this process's monotonic clock.
     stage_deadline_s : float
-        The same less what the later stages need.
+        The deadline less the time that the following stages need.
     prefix_hashes : tuple of int
         Chained hashes of the prompt's leading blocks.
     is_streamed : bool
-        True if the answer is passed on as it comes.
+        True if the answer is forwarded as it arrives.
     on_unknown_outcome : callable, optional
-        Told at the deadline that it is unknown whether the work ran; the call is
-        then followed on, so that a retry of the request can be given its end.
+        Called at the deadline if it is unknown whether the work ran. The call is
+        still awaited after that, so that a retry of the request gets its outcome.
     """
 
     request_id: str
@@ -69,18 +69,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageAnswer:
-    """The whole answer of one stage, and what it took.
+    """The complete answer of one stage, and the time that it took.
 
     Parameters
     ----------
     body : bytes
         The answer.
     queued_s, service_s, cost_s : float
-        Time in the sidecar's queue, at the target, and target-seconds used.
+        Seconds in the sidecar's queue, seconds at the target, and target-seconds
+        used.
     n_tokens, n_cached_tokens : int
         Generated tokens, and prompt tokens found in the target's cache.
     peer : str
-        Sidecar that ran it.
+        Sidecar that ran the stage.
     """
 
     body: bytes
@@ -94,14 +95,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageFault:
-    """A stage call that gave no answer.
+    """A stage call that ended without an answer.
 
     Parameters
     ----------
     error : StageError
-        What is known to have run.
+        The error, which states what is known to have run.
     is_partly_forwarded : bool
-        True if part of the answer has been passed on; it cannot be repeated.
+        True if part of the answer was forwarded, so the call cannot be repeated.
     """
 
     error: StageError
@@ -109,4 +110,4 @@
 
 
 Sink = Callable[[bytes], Awaitable[None]]
-"""Takes each piece of an answer as it comes; returns once it was taken."""
+"""Receives each part of an answer as it arrives; returns when it was accepted."""
--- a/src/trefoilpaddle/coordination/targets/target_calls.py
+++ b/src/trefoilpaddle/coordination/targets/target_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the target, and what is known to have run when one breaks."""
+"""Calls to the target, and what may have run when a call fails."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -15,10 +15,10 @@
 
 NOT_RUN_HEADER: Final = "X-Not-Run"
 CONNECT_STEP: Final = "connect"
-"""Step of an error that shows that the target does not even accept calls."""
+"""Step of errors which show that the target does not accept connections."""
 COST_HEADER: Final = "X-Cost-S"
 DOWN_RETRY_S: Final = 1.0
-"""When to come back to a target that does not answer at all."""
+"""Retry delay for a target that does not answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -30,7 +30,7 @@
     attempt_id : bytes
         The attempt.
     request_id : str
-        The request it serves.
+        Id of the request that the attempt belongs to.
     path : str
         Path at the target.
     body : bytes
@@ -38,7 +38,7 @@
     is_idempotent : bool
         True if the call may be repeated.
     deadline_ns : int
-        When the whole request is due, on this process's monotonic clock.
+        Deadline of the whole request, on this process's monotonic clock.
     """
 
     attempt_id: bytes
@@ -49,7 +49,7 @@
     deadline_ns: int
 
     def headers(self) -> dict[str, str]:
-        """Return the headers by which the target knows the call."""
+        """Return the headers that identify the call to the target."""
         return {
             "X-Request-Id": self.request_id,
             "X-Attempt-Id": self.attempt_id.hex(),
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallOutcome:
-    """What a target reports of a call that it answered in full."""
+    """What a target reports about a call that it answered completely."""
 
     cost_s: float = 0.0
     n_prompt_tokens: int = 0
@@ -72,7 +72,7 @@
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
     ) -> Result[CallOutcome, StageError]:
-        """Make `call`, put its answer into `sink` and say how it ended."""
+        """Run `call`, write its answer to `sink` and return its outcome."""
         ...
 
     async def cancel(self, attempt_id: bytes) -> None:
@@ -81,7 +81,7 @@
 
 
 class PlainCaller:
-    """Calls pools and plain services: one post, one whole JSON answer.
+    """Calls pools and plain services: one POST, one complete JSON answer.
 
     Parameters
     ----------
@@ -100,41 +100,41 @@
     async def run(
         self, call: TargetCall, *, sink: Sink, guard: SendGuard
     ) -> Result[CallOutcome, StageError]:
-        """Make `call`, put its answer into `sink` and say how it ended."""
+        """Run `call`, write its answer to `sink` and return its outcome."""
         try:
             async with self._http.guarded_post(
                 call.path, body=call.body, headers=call.headers(), guard=guard
             ) as response:
                 if response.status != 200:
                     return Err(await response_error(response, peer=self._name))
-                await _read_whole(response, sink)
+                await _read_complete(response, sink)
                 return Ok(CallOutcome(cost_s=cost_s(response.headers)))
         except (ClientError, OSError) as error:
             return Err(broken_call_error(error, guard=guard, peer=self._name))
 
     async def cancel(self, attempt_id: bytes) -> None:
-        """Do nothing: closing the connection is all that such a target takes."""
+        """Do nothing: such targets are cancelled only by closing the connection."""
 
 
-async def _read_whole(response: ClientResponse, sink: Sink) -> None:
+async def _read_complete(response: ClientResponse, sink: Sink) -> None:
     size_bytes = response.content_length
     if size_bytes is not None and size_bytes <= CHUNK_BYTES:
         sink.append(await response.read())
         return
     async for data in response.content.iter_any():
-        for piece in split_chunks(data):
-            sink.append(piece)
+        for chunk in split_chunks(data):
+            sink.append(chunk)
         await sink.wait_for_space()
 
 
 def split_chunks(data: bytes) -> Iterator[bytes]:
-    """Yield `data` in pieces that fit a chunk."""
+    """Yield `data` in parts that fit into a chunk."""
     for start in range(0, len(data), CHUNK_BYTES):
         yield data[start : start + CHUNK_BYTES]
 
 
 def cost_s(headers: Mapping[str, str]) -> float:
-    """Return the target-seconds that the headers report; 0 without any."""
+    """Return the target-seconds that the headers report, or 0."""
     try:
         return max(0.0, float(headers.get(COST_HEADER, "0")))
     except ValueError:
@@ -142,7 +142,7 @@
 
 
 async def response_error(response: ClientResponse, *, peer: str) -> StageError:
-    """Return what an answer other than 200 says of the call."""
+    """Return the error for a response with a status other than 200."""
     await response.read()
     status = response.status
     if response.headers.get(NOT_RUN_HEADER) == "1":
@@ -170,10 +170,10 @@
 
 
 def broken_call_error(error: Exception, *, guard: SendGuard, peer: str) -> StageError:
-    """Return what is known of a call whose connection broke.
+    """Return the error for a call whose connection broke.
 
-    Once a byte has left, the target may have run the call whatever its kind,
-    so only "unknown" is true; before that, nothing can have run.
+    Once a byte was sent, the target may have run the call, idempotent or not,
+    so the outcome is unknown. Before that, nothing can have run.
     """
     if guard.is_refused:
         return NotRun(
--- a/src/trefoilpaddle/coordination/targets/target_monitor.py
+++ b/src/trefoilpaddle/coordination/targets/target_monitor.py
@@ -1,4 +1,4 @@
-"""Watches whether the target answers, and how old its own load report is."""
+"""Monitors whether the target answers, and the age of its own load report."""
 
 import asyncio
 import contextlib
@@ -16,24 +16,24 @@
 HEALTH_TIMEOUT_S: Final = 1.0
 """Longest wait for the answer to one check."""
 
-N_MISSES: Final = 2
-"""Checks missed in a row before a target counts as down."""
+N_FAILED_CHECKS: Final = 2
+"""Consecutive failed checks after which a target counts as down."""
 
 
 class TargetMonitor:
-    """Asks the target for its health again and again.
+    """Checks the health of the target periodically.
 
     Parameters
     ----------
     http : TargetHttp
         Session to the target.
     period_s : float
-        Time between checks.
+        Time between checks, in seconds.
     dispatcher : Dispatcher
-        Is told whether the target is up.
+        Is notified whether the target is up.
     """
 
-    __slots__ = ("_dispatcher", "_http", "_n_misses", "_period_s")
+    __slots__ = ("_dispatcher", "_http", "_n_failed_checks", "_period_s")
 
     def __init__(
         self,
@@ -45,12 +45,12 @@
         self._http = http
         self._period_s = period_s
         self._dispatcher = dispatcher
-        self._n_misses = 0
+        self._n_failed_checks = 0
 
     async def run(self) -> None:
         """Check until cancelled."""
         while True:
-            self._note(is_up=await self._is_up())
+            self._record_check(is_up=await self._is_up())
             if self._dispatcher.intake.reports_load:
                 await self._read_load()
             await asyncio.sleep(self._period_s)
@@ -64,13 +64,13 @@
         except (ClientError, OSError, TimeoutError):
             return False
 
-    def _note(self, *, is_up: bool) -> None:
-        self._n_misses = 0 if is_up else self._n_misses + 1
-        if is_up or self._n_misses >= N_MISSES:
+    def _record_check(self, *, is_up: bool) -> None:
+        self._n_failed_checks = 0 if is_up else self._n_failed_checks + 1
+        if is_up or self._n_failed_checks >= N_FAILED_CHECKS:
             self._dispatcher.set_target_up(is_up=is_up)
 
     async def _read_load(self) -> None:
-        """Note the age of the target's own report; without one keep the last."""
+        """Record the age of the target's load report; keep the last one on errors."""
         with contextlib.suppress(
             ClientError, OSError, TimeoutError, ValueError, TypeError, KeyError
         ):
