--- a/tests/queue_simulation.py
+++ b/tests/queue_simulation.py
@@ -1,7 +1,7 @@
-"""One target's queue on a clock of its own: arrivals, slots, deadlines.
+"""Simulates one target's queue on a virtual clock: arrivals, slots, deadlines.
 
-Events are taken in order of time, so a run gives the same result everywhere.
-It drives the queue and its policy alone; no process, target or network.
+Events are processed in order of time, so a run gives the same result everywhere.
+It runs only the queue and its policy, without a process, target or network.
 """
 
 import heapq
@@ -33,13 +33,13 @@
     deadline_s : float
         Budget of each call.
     mean_s : float
-        Mean service time; heavy-tailed.
+        Mean service time; the distribution is heavy-tailed.
     brownout_order : int
-        Of its entry.
+        Brown-out order of its entry.
     from_s : float
-        When its calls begin.
+        Time of the first calls.
     label : str
-        Under which they are tallied; the owner if empty.
+        Name under which the calls are counted; the owner if empty.
     scatter : float
         Sigma of the logarithm of predicted over true service time.
     """
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Tally:
-    """What became of one owner's calls."""
+    """Counts and times of the calls of one label."""
 
     n_sent: int = 0
     n_met: int = 0
@@ -71,7 +71,7 @@
 
 
 class QueueSimulation:
-    """Runs sources against one queue."""
+    """Runs the calls of sources through one queue."""
 
     def __init__(
         self, queue: WorkQueue, *, refuses_early: bool, n_slots: int = 4, seed: int = 1
@@ -118,7 +118,7 @@
         return self
 
     def service_s(self, sources: list[Source], *, span_s: float) -> list[float]:
-        """Return the service times of all that the sources would send."""
+        """Return the service times of all calls that the sources would send."""
         for source in sources:
             self._arrivals(source, span_s)
         return list(self._service_s.values())
@@ -158,7 +158,7 @@
         latest_s = self._due_s[work.attempt_id] - need_s
         work.latest_start_ns = int(latest_s * NS_PER_S)
         if len(self._running) >= self._n_slots or len(self.queue):
-            verdict = decide_queueing(
+            decision = decide_queueing(
                 work,
                 queue=self.queue,
                 slots=self._slots(now_s),
@@ -166,11 +166,11 @@
                 max_queue_s=30.0,
                 refuses_early=self._refuses_early,
             )
-            if verdict.reason is not Reason.NONE:
+            if decision.reason is not Reason.NONE:
                 tally.n_refused += 1
-                tally.retry_after_s.append(verdict.retry_after_s)
+                tally.retry_after_s.append(decision.retry_after_s)
                 return
-            for other in verdict.displaced:
+            for other in decision.displaced:
                 self._refuse(other)
         self.queue.push(work)
         self._waiting.add(work.attempt_id)
@@ -209,7 +209,7 @@
                 return
             self._waiting.discard(work.attempt_id)
             self._running[work.attempt_id] = (now_s, work)
-            # A call is stopped at its deadline, as the sidecar does.
+            # The sidecar stops a call at its deadline.
             end_s = now_s + self._service_s[work.attempt_id]
             due_s = self._due_s[work.attempt_id]
             if end_s > due_s:
@@ -230,18 +230,19 @@
 def max_calls_that_fit(
     sources: list[Source], *, seed: int, span_s: float, n_slots: int = 4
 ) -> int:
-    """Return how many calls fit into the slots' time, the shortest first.
+    """Return how many calls fit into the time of the slots, the shortest first.
 
-    No order of service can meet more: deadlines and arrivals are ignored.
+    This is an upper bound for any order of service, as deadlines and arrivals
+    are ignored.
     """
     simulation = QueueSimulation(
         FifoQueue(), refuses_early=False, n_slots=n_slots, seed=seed
     )
-    left_s = n_slots * span_s
+    remaining_s = n_slots * span_s
     n_fit = 0
     for service_s in sorted(simulation.service_s(sources, span_s=span_s)):
-        left_s -= service_s
-        if left_s < 0.0:
+        remaining_s -= service_s
+        if remaining_s < 0.0:
             break
         n_fit += 1
     return n_fit
--- a/tests/sidecar_harness.py
+++ b/tests/sidecar_harness.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process, a small fake target, and a gateway's side of it."""
+"""A sidecar in this process with a fake target and a gateway's connection."""
 
 import asyncio
 import contextlib
@@ -41,13 +41,13 @@
 )
 from trefoilpaddle.transport.connection import Address, Connection
 
-CAP_S = 10.0
+TIMEOUT_S = 10.0
 NS_PER_S = 1_000_000_000
-PLENTY_BYTES = 1 << 30
+AMPLE_CREDIT_BYTES = 1 << 30
 
 
 class FakeTarget:
-    """Plain service and engine in one; what a test sets decides what it does."""
+    """Fake plain service and engine in one; tests set attributes to control it."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -113,12 +113,12 @@
     ) -> web.StreamResponse:
         response = web.StreamResponse()
         await response.prepare(request)
-        for number in range(first, self.n_tokens):
-            if disconnect_after is not None and number >= disconnect_after:
+        for index in range(first, self.n_tokens):
+            if disconnect_after is not None and index >= disconnect_after:
                 assert request.transport is not None
                 request.transport.abort()
                 return response
-            await response.write(self._event(f"{number}{self.token}", None))
+            await response.write(self._event(f"{index}{self.token}", None))
             await self.gate.wait()
         usage = {
             "prompt_tokens": 2,
@@ -175,7 +175,7 @@
 
 
 class SidecarHarness:
-    """A running sidecar and what is needed to look into it."""
+    """A sidecar in this process, with the events that it records."""
 
     def __init__(self, settings: SidecarSettings) -> None:
         identity = identity_of(
@@ -203,7 +203,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(address: Address) -> AsyncIterator["GatewaySide"]:
-    """Yield the gateway's side of a new connection to the sidecar there."""
+    """Yield the gateway's side of a new connection to the sidecar at `address`."""
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     hello = Hello(version=PROTOCOL_VERSION, process_id="g1-gateway", role="gateway")
     connection = Connection(reader=reader, writer=writer, own=hello)
@@ -225,7 +225,7 @@
 
 
 class GatewaySide:
-    """The gateway's end of one connection: sends, and keeps what comes."""
+    """The gateway's side of one connection; keeps the messages that it receives."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
@@ -240,12 +240,12 @@
             else:
                 self.messages.append(frame.message)
 
-    async def ask(self, message: Message) -> Any:
+    async def request(self, message: Message) -> Any:
         call = next(self._calls)
         reply = asyncio.get_running_loop().create_future()
         self._replies[call] = reply
         self.connection.write(message, call=call)
-        async with asyncio.timeout(CAP_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await reply
 
     def messages_of(self, kind: type[Any], attempt_id: bytes) -> list[Any]:
@@ -255,13 +255,13 @@
             if type(message) is kind and message.attempt_id == attempt_id
         ]
 
-    async def first(self, kind: type, attempt_id: bytes) -> Any:
+    async def first_message(self, kind: type, attempt_id: bytes) -> Any:
         await until(lambda: bool(self.messages_of(kind, attempt_id)))
         return self.messages_of(kind, attempt_id)[0]
 
     async def complete_answer(self, attempt_id: bytes) -> bytes:
         """Return the answer after checking count, order and checksum."""
-        end: End = await self.first(End, attempt_id)
+        end: End = await self.first_message(End, attempt_id)
         chunks = self.messages_of(Chunk, attempt_id)
         assert [chunk.seq for chunk in chunks] == list(range(end.n_chunks))
         total = RunningChecksum()
@@ -271,7 +271,7 @@
         return b"".join(chunk.data for chunk in chunks)
 
     async def failure(self, attempt_id: bytes) -> Failure:
-        failure: Failure = await self.first(Failure, attempt_id)
+        failure: Failure = await self.first_message(Failure, attempt_id)
         return failure
 
     def start(self, body: bytes = b'{"input": 1}', **fields: Any) -> bytes:
@@ -281,7 +281,7 @@
         return message.attempt_id
 
     def start_message(self, body: bytes = b'{"input": 1}', **fields: Any) -> Start:
-        """Return a start message as a gateway writes it right now."""
+        """Return a start message as a gateway sends it at this time."""
         values: dict[str, Any] = {
             "attempt_id": new_attempt_id(),
             "request_id": "r1",
@@ -294,7 +294,7 @@
             "body": body,
             "body_bytes": len(body),
             "body_checksum": checksum(body),
-            "credit_bytes": PLENTY_BYTES,
+            "credit_bytes": AMPLE_CREDIT_BYTES,
             "incarnation": self.connection.peer.incarnation,
         }
         return Start(**(values | fields))
@@ -311,7 +311,7 @@
 
 @contextlib.asynccontextmanager
 async def sidecar_setup(**settings: Any) -> AsyncIterator[SidecarSetup]:
-    """Run a fake target, its sidecar with `settings` and one connection."""
+    """Run a fake target, its sidecar with `settings`, and one connection."""
     async with FakeTarget().serving() as target:
         checked = settings_for(target_port=target.port, **settings)
         async with running_sidecar(checked) as harness, harness.gateway() as gateway:
--- a/tests/sidecar_scripts.py
+++ b/tests/sidecar_scripts.py
@@ -1,4 +1,4 @@
-"""Fake sidecars and scripts that several tests of a gateway use."""
+"""Fake sidecars, and scripts for them, that several tests of a gateway use."""
 
 from tests.fake_sidecar import Call, FakeSidecar, Script, echo
 from trefoilpaddle.protocol.gen.stage.ttypes import Failure, Outcome
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency settles where the target's batching stops to bear more."""
+"""The number of slots settles where more concurrent calls gain no throughput."""
 
 import random
 from collections.abc import Callable
@@ -9,24 +9,26 @@
 from trefoilpaddle.state.slowness import Slowness
 
 Stretch = Callable[[int], float]
-"""Service time at a number of calls at once, over that of one alone."""
+"""Service time with a number of concurrent calls, relative to one call alone."""
 
 
 def pool_of(n_workers: int) -> Stretch:
-    """A pool runs so many calls at full speed; the rest wait inside it."""
+    """A pool runs `n_workers` calls at full speed; further calls wait inside it."""
     return lambda n: max(1.0, n / n_workers)
 
 
 def engine_of(max_batch: int) -> Stretch:
-    """An engine's step grows a little with its batch, which has a bound."""
+    """The step time of an engine grows slightly with its batch, which is bounded."""
     return lambda n: (8 + min(n, max_batch)) / 9 * max(1.0, n / max_batch)
 
 
-def settled(slots: AdaptiveSlots, stretch: Stretch, *, n_calls: int) -> list[int]:
-    """Run saturated and return the number of slots after each call."""
+def slots_after_calls(
+    slots: AdaptiveSlots, stretch: Stretch, *, n_calls: int
+) -> list[int]:
+    """Run calls in all slots; return the number of slots after each call."""
     noise = random.Random(1)
     now_s = 0.0
-    seen = []
+    counts = []
     for _ in range(n_calls):
         n = slots.n_slots
         service_s = 0.1 * stretch(n) * noise.lognormvariate(0.0, 0.3)
@@ -39,8 +41,8 @@
                 now_s=now_s,
             )
         )
-        seen.append(slots.n_slots)
-    return seen
+        counts.append(slots.n_slots)
+    return counts
 
 
 class TestAdaptiveSlots:
@@ -57,20 +59,26 @@
             if best <= MAX_FACTOR * begin
         ],
     )
-    def test_it_settles_near_what_the_target_bears(
+    def test_slots_settle_near_the_capacity_of_the_target(
         self, begin: int, stretch: Stretch, best: int
     ) -> None:
-        seen = settled(AdaptiveSlots(n_slots=begin), stretch, n_calls=20_000)[-5000:]
-        mean = sum(seen) / len(seen)
+        counts = slots_after_calls(
+            AdaptiveSlots(n_slots=begin), stretch, n_calls=20_000
+        )[-5000:]
+        mean = sum(counts) / len(counts)
         assert 0.75 * best <= mean <= 1.6 * best
 
-    def test_it_stays_within_its_bounds(self) -> None:
-        seen = settled(AdaptiveSlots(n_slots=2), pool_of(1000), n_calls=20_000)
-        assert max(seen) == 8
-        seen = settled(AdaptiveSlots(n_slots=2), lambda n: float(n), n_calls=20_000)
-        assert min(seen) == 1
+    def test_slots_stay_within_bounds(self) -> None:
+        counts = slots_after_calls(
+            AdaptiveSlots(n_slots=2), pool_of(1000), n_calls=20_000
+        )
+        assert max(counts) == 8
+        counts = slots_after_calls(
+            AdaptiveSlots(n_slots=2), lambda n: float(n), n_calls=20_000
+        )
+        assert min(counts) == 1
 
-    def test_calls_without_prediction_or_load_teach_nothing(self) -> None:
+    def test_calls_without_prediction_or_full_load_are_ignored(self) -> None:
         slots = AdaptiveSlots(n_slots=4)
         for now_s in range(1000):
             for predicted_s, mean_running in ((0.0, 4.0), (0.1, 1.0)):
@@ -83,21 +91,21 @@
                 slots.note(sample)
         assert slots.n_slots == 4
 
-    def test_a_new_number_in_the_catalogue_is_taken(self) -> None:
+    def test_new_number_of_slots_in_the_catalogue_is_applied(self) -> None:
         slots = AdaptiveSlots(n_slots=4)
-        settled(slots, pool_of(16), n_calls=5000)
+        slots_after_calls(slots, pool_of(16), n_calls=5000)
         slots.set_base(6)
         assert slots.n_slots == 6
 
 
 class TestSlowness:
-    def test_it_follows_what_is_measured(self) -> None:
+    def test_ratio_follows_measurements(self) -> None:
         slowness = Slowness()
         for i in range(100):
             slowness.note(service_s=0.5, predicted_s=0.1, now_s=0.1 * i)
         assert slowness.at(10.0) == pytest.approx(5.0, rel=0.01)
 
-    def test_it_tells_how_far_calls_scatter(self) -> None:
+    def test_allowed_ratio_covers_the_variance_of_calls(self) -> None:
         noise = random.Random(1)
         slowness = Slowness()
         for i in range(3000):
@@ -107,10 +115,10 @@
         n_below = sum(noise.lognormvariate(0.0, 0.4) <= high for _ in range(3000))
         assert 0.75 <= n_below / 3000 <= 0.95
 
-    def test_it_fades_when_nothing_is_measured(self) -> None:
-        """A slow spell ends while all work is refused because of it.
+    def test_ratio_decays_without_measurements(self) -> None:
+        """A target recovers while all work is refused because it was slow.
 
-        No call is measured, so only time can bring the ratio back.
+        No call is measured then, so the ratio must return to 1 with time alone.
         """
         slowness = Slowness()
         for i in range(100):
--- a/tests/test_held_results.py
+++ b/tests/test_held_results.py
@@ -1,4 +1,4 @@
-"""Answers in memory stay within their bound, whatever is held and open."""
+"""Held and open answers together stay within the memory bound."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
         assert (len(held), held.held_bytes, held.open_bytes) == (0, 0, 0)
         assert len(dropped) == len(set(dropped))
 
-    def test_the_oldest_finished_answer_makes_room(self) -> None:
+    def test_oldest_finished_answer_is_evicted(self) -> None:
         held, dropped = store()
         for name in (b"a", b"b"):
             assert held.grow(40)
@@ -40,7 +40,7 @@
         assert held.grow(40)
         assert dropped == [b"a"]
 
-    def test_open_answers_are_never_dropped(self) -> None:
+    def test_open_answers_are_not_evicted(self) -> None:
         held, dropped = store()
         assert held.grow(90)
         assert not held.grow(20)
@@ -48,7 +48,7 @@
         assert held.grow(20)
         assert dropped == []
 
-    def test_an_answer_is_held_for_its_time(self) -> None:
+    def test_answer_is_dropped_after_its_retention(self) -> None:
         held, dropped = store()
         held.grow(1)
         held.hold(b"a", n_bytes=1, now_ns=0)
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""Separate processes killed, frozen, woken and replaced, with the targets' record."""
+"""Processes are killed, frozen and replaced; the targets' records show what ran."""
 
 import asyncio
 import contextlib
@@ -22,9 +22,9 @@
 from trefoilpaddle.state.catalogue import ServiceKind
 from trefoilpaddle.state.settings import Fencing
 
-CAP_S = 60.0
+TIMEOUT_S = 60.0
 SERVICE_S = 0.5
-LOOK_S = 0.02
+POLL_S = 0.02
 
 
 def description(
@@ -80,8 +80,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Told:
-    """What a caller was told; status 0 if its connection broke."""
+class CallerAnswer:
+    """The answer that a caller received; status 0 if its connection broke."""
 
     status: int
     body: Any
@@ -91,14 +91,16 @@
         return str(self.body["error"]["outcome"])
 
 
-class Site:
+class DeploymentClient:
     """A running deployment and a caller's view of it."""
 
     def __init__(self, running: Running, session: aiohttp.ClientSession) -> None:
         self.running = running
         self._session = session
 
-    async def call(self, pipeline: str, *, gateway: int = 0, **headers: str) -> Told:
+    async def call(
+        self, pipeline: str, *, gateway: int = 0, **headers: str
+    ) -> CallerAnswer:
         sent = {"X-Client-Account": "club"}
         sent |= {name.replace("_", "-"): value for name, value in headers.items()}
         url = f"{self.running.gateways[gateway]}/v1/pipelines/{pipeline}"
@@ -106,11 +108,11 @@
             async with self._session.post(
                 url, json={"text": "strips"}, headers=sent
             ) as answer:
-                return Told(status=answer.status, body=await answer.json())
+                return CallerAnswer(status=answer.status, body=await answer.json())
         except aiohttp.ClientError:
-            return Told(status=0, body=None)
+            return CallerAnswer(status=0, body=None)
 
-    async def mint(self) -> str:
+    async def generate_id(self) -> str:
         url = f"{self.running.gateways[0]}/v1/requests"
         headers = {"X-Client-Account": "club"}
         async with self._session.post(url, headers=headers) as answer:
@@ -129,23 +131,23 @@
         return self.running.targets_of("stock")
 
     async def until_running(self, n_runs: int) -> None:
-        """Return once the targets have begun `n_runs` calls."""
-        async with asyncio.timeout(CAP_S):
+        """Return once the targets have started `n_runs` calls."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 runs = [run for t in self.targets for run in await self.runs(t)]
                 if len(runs) >= n_runs:
                     return
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     async def until_served(self, pipeline: str = "price") -> None:
-        """Return once a call is answered in full again."""
-        async with asyncio.timeout(CAP_S):
+        """Return once a call is answered successfully again."""
+        async with asyncio.timeout(TIMEOUT_S):
             while (await self.call(pipeline)).status != 200:  # noqa: ASYNC110
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
 
 @contextlib.asynccontextmanager
-async def site(**options: Any) -> AsyncIterator[Site]:
+async def deployment_client(**options: Any) -> AsyncIterator[DeploymentClient]:
     described = description(**options)
     values = catalogue(described.services[0].kind)
     connector = aiohttp.TCPConnector(force_close=True)
@@ -153,18 +155,18 @@
         deployment(described, values) as running,
         aiohttp.ClientSession(connector=connector) as session,
     ):
-        made = Site(running, session)
+        client = DeploymentClient(running, session)
         if described.services[0].kind is ServiceKind.PLAIN:
-            await made.until_served()
-        yield made
+            await client.until_served()
+        yield client
 
 
 class TestKilledSidecar:
-    async def test_a_hold_in_hand_is_unknown_and_never_doubled(self) -> None:
-        # The process beside a target is killed while the target books a hold.
-        # The secretary must not be told "not run", and neither the successor
-        # nor the gateway may book it again.
-        async with site() as s:
+    async def test_running_call_is_unknown_and_not_run_twice(self) -> None:
+        # The sidecar is killed while the target runs a call that is not
+        # idempotent. The caller must not get "not run", and neither the sidecar's
+        # successor nor the gateway may run the call again.
+        async with deployment_client() as s:
             call = asyncio.create_task(s.call("hold"))
             await s.until_running(2)
             s.running.kill("stock-1-sidecar")
@@ -177,36 +179,36 @@
 
 
 class TestFrozenSidecar:
-    async def test_it_starts_nothing_that_is_late_when_it_wakes(self) -> None:
-        # The process is frozen; a hold is sent into its socket, since nobody
-        # can know yet. Long after the deadline it wakes with the start frame
-        # before it. Booking it now would book what the caller has given up.
-        async with site() as s:
+    async def test_resumed_sidecar_starts_no_late_call(self) -> None:
+        # A call is sent to a frozen sidecar, as its peers cannot detect that yet.
+        # The sidecar resumes after the deadline and reads the start frame. It must
+        # not run the call, which the caller has abandoned.
+        async with deployment_client() as s:
             s.running.freeze("stock-1-sidecar")
-            told = await s.call("hold", X_Deadline_S="1.0")
-            assert told.outcome == "unknown"
+            answer = await s.call("hold", X_Deadline_S="1.0")
+            assert answer.outcome == "unknown"
             s.running.thaw("stock-1-sidecar")
             await s.until_served()
             assert await s.n_effects() == 0
 
-    async def test_it_gets_no_new_work_once_it_is_silent(self) -> None:
-        async with site(n_targets=2) as s:
+    async def test_unresponsive_sidecar_gets_no_new_work(self) -> None:
+        async with deployment_client(n_targets=2) as s:
             s.running.freeze("stock-1-sidecar")
             n_before = len(await s.runs("stock-1"))
-            # The bound itself; a slower machine only waits longer.
+            # This is the time limit itself; a slower machine only waits longer.
             await asyncio.sleep(SILENCE_S)
-            told = await asyncio.gather(*(s.call("price") for _ in range(6)))
-            assert {each.status for each in told} == {200}
+            answers = await asyncio.gather(*(s.call("price") for _ in range(6)))
+            assert {each.status for each in answers} == {200}
             assert len(await s.runs("stock-1")) == n_before
 
 
 class TestTwoSidecarsOfOneTarget:
     @pytest.mark.parametrize("fencing", list(Fencing))
-    async def test_a_successor_waits_for_a_frozen_one(self, fencing: Fencing) -> None:
-        # A sidecar is frozen and taken for dead; its successor is started
-        # beside the same target. Whether the engine checks fencing numbers or
-        # not, the lock port lets only one of them act: the successor waits.
-        async with site(kind=ServiceKind.ENGINE, fencing=fencing) as s:
+    async def test_successor_waits_for_a_frozen_sidecar(self, fencing: Fencing) -> None:
+        # A sidecar is frozen and its successor is started for the same target.
+        # Whether the engine checks fencing numbers or not, the lock port lets only
+        # one of the two act, so the successor waits.
+        async with deployment_client(kind=ServiceKind.ENGINE, fencing=fencing) as s:
             first = s.running.children["stock-1-sidecar"]
             second = Child(
                 name="successor",
@@ -216,26 +218,26 @@
             first.send(signal.SIGSTOP)
             second.start()
             try:
-                async with asyncio.timeout(CAP_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     while "waiting for lock port" not in second.tail():  # noqa: ASYNC110
-                        await asyncio.sleep(LOOK_S)
+                        await asyncio.sleep(POLL_S)
                 assert "process_started" not in second.tail()
                 first.send(signal.SIGKILL)
-                async with asyncio.timeout(CAP_S):
+                async with asyncio.timeout(TIMEOUT_S):
                     while "process_started" not in second.tail():  # noqa: ASYNC110
-                        await asyncio.sleep(LOOK_S)
+                        await asyncio.sleep(POLL_S)
             finally:
                 second.send(signal.SIGKILL)
-                await second.wait(timeout_s=CAP_S)
+                await second.wait(timeout_s=TIMEOUT_S)
 
 
 class TestKilledGateway:
-    async def test_a_retry_elsewhere_does_not_book_twice(self) -> None:
-        # The gateway that decides about a request's id is killed while the
-        # hold is booked. The retry at another gateway must not run it again,
-        # and must not be told that nothing ran.
-        async with site(n_gateways=2) as s:
-            request_id = await s.mint()
+    async def test_retry_at_another_gateway_does_not_run_twice(self) -> None:
+        # The gateway that decides about a request's id is killed while the call
+        # runs. A retry at another gateway must not run the call again, and must
+        # not get "not run".
+        async with deployment_client(n_gateways=2) as s:
+            request_id = await s.generate_id()
             first = asyncio.create_task(s.call("hold", X_Request_Id=request_id))
             await s.until_running(2)
             s.running.kill("entry-1-gateway")
@@ -249,41 +251,41 @@
 
 
 class TestRollingReplacement:
-    async def test_every_process_is_replaced_under_load_and_none_is_cut_off(
+    async def test_replacing_every_process_under_load_interrupts_no_call(
         self,
     ) -> None:
-        # Operators replace one process after the other while secretaries keep
-        # ordering. The balancer sends to a gateway that says it is ready; no
-        # call may fail and no stop may cut one off.
-        async with site(n_gateways=2, n_targets=2) as s:
-            told: list[Told] = []
+        # Processes are replaced one after the other while callers send requests.
+        # The balancer sends only to a gateway that is ready; no call may fail, and
+        # no stop may interrupt one.
+        async with deployment_client(n_gateways=2, n_targets=2) as s:
+            answers: list[CallerAnswer] = []
             is_over = False
-            out = {0: False, 1: False}
+            is_stopping = {0: False, 1: False}
 
             async def caller(number: int) -> None:
                 while not is_over:
                     gateway = number % 2
-                    if out[gateway]:
+                    if is_stopping[gateway]:
                         gateway = 1 - gateway
-                    told.append(await s.call("hold", gateway=gateway))
+                    answers.append(await s.call("hold", gateway=gateway))
 
             callers = [asyncio.create_task(caller(number)) for number in range(4)]
             for name in ("stock-1-sidecar", "stock-2-sidecar"):
                 await replace_process(s.running, name)
             for number in (0, 1):
-                out[number] = True
+                is_stopping[number] = True
                 await replace_process(s.running, f"entry-{number + 1}-gateway")
-                out[number] = False
+                is_stopping[number] = False
             is_over = True
             await asyncio.gather(*callers)
-            failed = [each for each in told if each.status != 200]
+            failed = [each for each in answers if each.status != 200]
             assert not failed
-            assert len(told) > 8
-            assert await s.n_effects() == len(told)
+            assert len(answers) > 8
+            assert await s.n_effects() == len(answers)
 
 
 async def replace_process(running: Running, name: str) -> None:
-    """Stop a process as planned, check its report, and start its successor."""
+    """Stop a process, check that it interrupted no call, and start its successor."""
     assert await running.stop(name) == 0
     assert running.n_cut_off(name) == 0
     await running.start(name)
--- a/tests/test_prefix_holders.py
+++ b/tests/test_prefix_holders.py
@@ -1,4 +1,4 @@
-"""Which targets got which prefixes: what is kept, and for how long."""
+"""Records of the targets that hold a prefix: capacity and expiry."""
 
 from trefoilpaddle.state.prefix_holders import PrefixHolders
 
@@ -10,7 +10,7 @@
 
 
 class TestPrefixHolders:
-    def test_a_record_counts_until_it_is_too_old(self) -> None:
+    def test_record_expires_with_age(self) -> None:
         kept = holders()
         kept.note(["a"], "t1", 0.0)
         kept.note(["a"], "t2", 1.0)
@@ -19,21 +19,23 @@
         assert not kept.has("a", "t1", KEEP_S + 1.0)
         assert not kept.has("b", "t2", 1.0)
 
-    def test_prefixes_used_longest_ago_are_forgotten(self) -> None:
+    def test_least_recently_used_prefix_is_evicted(self) -> None:
         kept = holders(n_prefixes=2)
         kept.note(["a", "b"], "t1", 0.0)
         kept.note(["a", "c"], "t1", 1.0)
         assert [kept.has(prefix, "t1", 1.0) for prefix in "abc"] == [True, False, True]
 
-    def test_the_target_that_got_it_longest_ago_makes_room(self) -> None:
+    def test_least_recent_holder_is_evicted(self) -> None:
         kept = holders(n_holders=2)
-        for number, target in enumerate(["t1", "t2", "t1", "t3"]):
-            kept.note(["a"], target, float(number))
+        for second, target in enumerate(["t1", "t2", "t1", "t3"]):
+            kept.note(["a"], target, float(second))
         assert sorted(kept.of("a", 3.0)) == ["t1", "t3"]
 
-    def test_a_target_that_ended_holds_nothing(self) -> None:
-        """An engine starts again under its old id with an empty cache. A record
-        of its last start would draw prompts there that it must read again.
+    def test_exited_target_holds_no_prefixes(self) -> None:
+        """An engine restarts under its old id with an empty cache.
+
+        Records from before the restart would route prompts to it that it must
+        process in full.
         """
         kept = holders()
         kept.note(["a", "b"], "t1", 0.0)
--- a/tests/test_queue_overload.py
+++ b/tests/test_queue_overload.py
@@ -1,4 +1,4 @@
-"""What the queue's policy keeps under overload and bursts, beside the baseline."""
+"""The queue policy under overload and bursts, compared with the baseline."""
 
 import pytest
 
@@ -35,13 +35,13 @@
         ("load", "deadline_s", "share"),
         [(1.5, 0.4, 0.9), (1.5, 1.0, 0.9), (3.0, 0.4, 0.8), (3.0, 1.0, 0.9)],
     )
-    def test_nearly_all_that_fits_is_met_and_little_is_wasted(
+    def test_most_calls_that_fit_are_on_time_and_little_is_wasted(
         self, seed: int, load: float, deadline_s: float, share: float
     ) -> None:
-        """More comes than the target bears, for a minute.
+        """The offered load exceeds the capacity of the target.
 
-        First come first served, the queue grows until each call starts just
-        too late, and the target works for nobody.
+        With first come, first served, the queue grows until each call starts
+        slightly too late, and all target time is spent on late answers.
         """
         sources = overload(load, deadline_s)
         simulation = product(sources, seed)
@@ -50,7 +50,7 @@
         assert simulation.wasted_share < 0.05
         assert simulation.n_met > 1.15 * baseline(sources, seed).n_met
 
-    def test_each_refusal_says_when_to_come_back(self, seed: int) -> None:
+    def test_each_refusal_has_a_retry_delay(self, seed: int) -> None:
         simulation = product(overload(1.5, 1.0), seed)
         for tally in simulation.tallies.values():
             assert tally.retry_after_s
@@ -59,8 +59,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestBurst:
-    def test_who_keeps_to_its_share_notices_nothing(self, seed: int) -> None:
-        """One account sends ten times the work of the other, in longer calls."""
+    def test_owner_within_its_share_is_unaffected_by_a_burst(self, seed: int) -> None:
+        """One owner sends ten times the work of the other, in longer calls."""
         calm = product(CALM, seed).tallies["a"].attainment
         assert product(BURST, seed).tallies["a"].attainment >= 0.98 * calm
         assert baseline(BURST, seed).tallies["a"].attainment < 0.7
@@ -68,13 +68,13 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 class TestCalm:
-    def test_nothing_is_lost_by_the_policy(self, seed: int) -> None:
+    def test_policy_loses_no_calls_at_low_load(self, seed: int) -> None:
         assert product(CALM, seed).n_met >= 0.998 * baseline(CALM, seed).n_met
 
 
 class TestBrownout:
-    def test_the_lower_order_goes_first(self) -> None:
-        """Two classes of work of one owner share what is left."""
+    def test_lower_brownout_order_is_refused_first(self) -> None:
+        """Two classes of work of one owner exceed the target's capacity together."""
         sources = [
             Source(owner="a", load=0.75, brownout_order=1, label="low"),
             Source(owner="a", load=0.75, brownout_order=2, label="high"),
--- a/tests/test_sidecar_attempts.py
+++ b/tests/test_sidecar_attempts.py
@@ -1,4 +1,4 @@
-"""A sidecar runs an attempt at most once and says truthfully what ran."""
+"""A sidecar runs an attempt at most once and reports correctly what ran."""
 
 import pytest
 
@@ -23,8 +23,8 @@
 from trefoilpaddle.state.catalogue import ServiceKind
 
 
-class TestWholeCall:
-    async def test_a_plain_call_is_answered_whole(self) -> None:
+class TestCompleteCall:
+    async def test_plain_call_is_answered_completely(self) -> None:
         async with sidecar_setup() as s:
             target, harness, gateway = s.target, s.harness, s.gateway
             target.headers = {"X-Cost-S": "0.25"}
@@ -34,7 +34,7 @@
             await until(lambda: len(harness.sidecar.table) == 0)
             assert target.runs == [attempt_id.hex()]
 
-    async def test_an_engine_streams_its_tokens(self) -> None:
+    async def test_engine_streams_its_tokens(self) -> None:
         async with sidecar_setup(kind=ServiceKind.ENGINE) as s:
             gateway = s.gateway
             body = b'{"prompt": "a b", "max_tokens": 3}'
@@ -45,7 +45,7 @@
             assert (end.n_tokens, end.n_prompt_tokens) == (3, 2)
             assert (end.n_cached_tokens, end.cost_s) == (1, 0.5)
 
-    async def test_a_large_body_comes_in_chunks(self) -> None:
+    async def test_large_body_is_received_in_chunks(self) -> None:
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             body = b'"' + b"x" * 200_000 + b'"'
@@ -59,11 +59,11 @@
                 )
             assert await gateway.complete_answer(start.attempt_id) == target.answer
 
-    async def test_a_damaged_body_is_not_run(self) -> None:
-        """A byte of a caller's file is flipped on its way to the sidecar.
+    async def test_corrupt_body_is_not_run(self) -> None:
+        """A byte of the body is corrupted on its way to the sidecar.
 
-        The caller would get an answer to another input than its own. The
-        checksum in the start message does not fit, so the call is refused.
+        The caller would get the answer to another input. The checksum in the
+        start message does not match, so the call is refused.
         """
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
@@ -75,12 +75,12 @@
 
 
 class TestAtMostOnce:
-    async def test_a_resent_start_runs_once(self) -> None:
+    async def test_resent_start_runs_once(self) -> None:
         """A gateway resends a start message after its connection broke.
 
-        The first copy runs already. The second finds the attempt and only takes
-        over its answer; after the acknowledgement a third copy is refused as
-        run, not started again.
+        The first message has started the call. The second one only attaches to
+        its answer. A third one, after the acknowledgement, is refused because the
+        attempt has run; it must not start it again.
         """
         async with sidecar_setup() as s, s.harness.gateway() as two:
             target, one = s.target, s.gateway
@@ -99,16 +99,16 @@
             assert failure.reason == Reason.RESULT_GONE
             assert len(target.runs) == 1
 
-    async def test_a_start_that_arrives_after_the_bar_is_refused(self) -> None:
-        """A start message is stuck in a dead connection's buffers.
+    async def test_start_that_arrives_after_its_bar_is_refused(self) -> None:
+        """A start message is delayed in the buffers of a broken connection.
 
-        The gateway asks on a new connection, is told "barred" and tells its
-        caller "not run". Then the old message arrives after all.
+        The gateway bars the attempt over a new connection and reports "not run"
+        to its caller. The delayed message that arrives later must not start.
         """
         async with sidecar_setup() as s, s.harness.gateway() as new:
             target, old = s.target, s.gateway
             start = old.start_message(idempotent=False)
-            answer = await new.ask(Bar(attempt_id=start.attempt_id))
+            answer = await new.request(Bar(attempt_id=start.attempt_id))
             assert answer.state == BarState.BARRED
             old.connection.write(start)
             failure = await old.failure(start.attempt_id)
@@ -116,25 +116,25 @@
             assert failure.reason == Reason.BARRED
             assert target.runs == []
 
-    async def test_a_bar_says_what_runs_and_what_is_done(self) -> None:
+    async def test_bar_reports_running_done_and_forgotten_attempts(self) -> None:
         async with sidecar_setup() as s:
             target, harness, gateway = s.target, s.harness, s.gateway
             target.gate.clear()
             attempt_id = gateway.start()
             await until(lambda: len(target.runs) == 1)
             bar = Bar(attempt_id=attempt_id)
-            assert (await gateway.ask(bar)).state == BarState.RUNNING
+            assert (await gateway.request(bar)).state == BarState.RUNNING
             target.gate.set()
             await gateway.complete_answer(attempt_id)
-            assert (await gateway.ask(bar)).state == BarState.DONE
+            assert (await gateway.request(bar)).state == BarState.DONE
             gateway.connection.write(Ack(attempt_id=attempt_id))
             await until(lambda: len(harness.sidecar.table) == 0)
-            assert (await gateway.ask(bar)).state == BarState.FORGOTTEN
+            assert (await gateway.request(bar)).state == BarState.FORGOTTEN
 
-    async def test_a_start_for_another_incarnation_is_refused(self) -> None:
-        """A sidecar restarts; a start message meant for the former one arrives.
+    async def test_start_for_another_incarnation_is_refused(self) -> None:
+        """A start message for the previous incarnation of a sidecar arrives.
 
-        Its stamp is of another clock, so no start-by time can be computed.
+        Its time stamp is from another clock, so no start-by time can be computed.
         """
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
@@ -144,18 +144,20 @@
             assert failure.reason == Reason.WRONG_INCARNATION
             assert target.runs == []
 
-    async def test_a_restarted_sidecar_promises_nothing_for_the_former(self) -> None:
-        """A sidecar is killed in the midst of a booking and started anew.
+    async def test_restarted_sidecar_makes_no_promise_for_former_incarnation(
+        self,
+    ) -> None:
+        """A sidecar is killed during a call that may run only once, and restarted.
 
-        The gateway's question reaches the new one just before the deadline. It
-        knows nothing of the booking; "it never ran" would be a guess, and the
-        caller would book again.
+        The gateway's request to bar the attempt reaches the new process, which
+        knows nothing of the call. A reply that it never ran would be a guess, and
+        the caller would run it a second time.
         """
         async with sidecar_setup() as s:
             start = s.gateway.start_message(idempotent=False)
             other = s.gateway.connection.peer.incarnation + 1
             bar = Bar(attempt_id=start.attempt_id, incarnation=other)
-            assert (await s.gateway.ask(bar)).state == BarState.FORGOTTEN
+            assert (await s.gateway.request(bar)).state == BarState.FORGOTTEN
             s.gateway.connection.write(
                 Fetch(attempt_id=start.attempt_id, incarnation=other)
             )
@@ -164,10 +166,10 @@
             assert failure.reason == Reason.WRONG_INCARNATION
             own = s.gateway.connection.peer.incarnation
             bar = Bar(attempt_id=start.attempt_id, incarnation=own)
-            assert (await s.gateway.ask(bar)).state == BarState.BARRED
+            assert (await s.gateway.request(bar)).state == BarState.BARRED
 
 
-class TestTruth:
+class TestReportedOutcome:
     @pytest.mark.parametrize(
         ("status", "headers", "outcome"),
         [
@@ -178,7 +180,7 @@
             (400, {}, Outcome.FAILED),
         ],
     )
-    async def test_an_error_status_says_what_ran(
+    async def test_error_status_determines_outcome(
         self, status: int, headers: dict[str, str], outcome: int
     ) -> None:
         async with sidecar_setup() as s:
@@ -187,7 +189,7 @@
             failure = await gateway.failure(gateway.start())
             assert failure.outcome == outcome
 
-    async def test_an_unreachable_target_ran_nothing(self) -> None:
+    async def test_unreachable_target_gives_not_run(self) -> None:
         async with FakeTarget().serving() as target:
             port = target.port
         async with (
@@ -198,11 +200,11 @@
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.TARGET_DOWN
 
-    async def test_a_call_broken_after_it_was_sent_is_unknown(self) -> None:
-        """A target breaks the connection in the midst of a booking.
+    async def test_call_broken_after_it_was_sent_is_unknown(self) -> None:
+        """A target closes the connection during a call that may run only once.
 
-        The booking may be made or not. "Failed" or "not run" would make the
-        caller book a second time.
+        The call may have completed or not. On "failed" or "not run" the caller
+        would run it a second time.
         """
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
@@ -225,18 +227,18 @@
             assert failure.reason == Reason.CANCELLED
             await until(lambda: target.cancelled == [attempt_id.hex()])
 
-    async def test_work_that_may_not_be_repeated_runs_on(self) -> None:
+    async def test_non_idempotent_work_is_not_interrupted(self) -> None:
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             target.gate.clear()
             attempt_id = gateway.start(idempotent=False)
             await until(lambda: len(target.runs) == 1)
             gateway.connection.write(Cancel(attempt_id=attempt_id))
-            await gateway.ask(Bar(attempt_id=attempt_id))
+            await gateway.request(Bar(attempt_id=attempt_id))
             target.gate.set()
             assert await gateway.complete_answer(attempt_id) == target.answer
 
-    async def test_waiting_work_is_dropped(self) -> None:
+    async def test_queued_work_is_dropped(self) -> None:
         async with sidecar_setup() as s:
             target, gateway = s.target, s.gateway
             target.gate.clear()
--- a/tests/test_sidecar_failures.py
+++ b/tests/test_sidecar_failures.py
@@ -1,4 +1,4 @@
-"""A sidecar under failure: lost connections, pauses, slow readers, stops."""
+"""A sidecar with lost connections, pauses, slow readers, faults and stops."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,9 @@
 
 from tests.peer_helpers import RawPeer, hello_of, raw_listener, raw_peer
 from tests.sidecar_harness import (
-    CAP_S,
+    AMPLE_CREDIT_BYTES,
     NS_PER_S,
-    PLENTY_BYTES,
+    TIMEOUT_S,
     FakeTarget,
     running_sidecar,
     settings_for,
@@ -48,30 +48,32 @@
 
 
 class TestLostConnection:
-    async def test_a_stream_goes_on_over_a_new_connection(self) -> None:
-        """The connection breaks in the midst of a streamed answer.
+    async def test_stream_continues_over_a_new_connection(self) -> None:
+        """The connection breaks during a streamed answer.
 
-        The sidecar keeps reading from the engine. The gateway connects again,
-        names the first piece that it lacks and gets the rest: nothing is lost
-        or doubled, and the engine has run once.
+        The sidecar continues to read from the engine. The gateway reconnects,
+        names the first chunk that it lacks and gets the rest. No chunk is lost or
+        duplicated, and the engine runs once.
         """
         async with sidecar_setup(kind=ENGINE) as s, s.harness.gateway() as new:
             s.target.gate.clear()
             attempt_id = s.gateway.start(PROMPT, idempotent=False)
-            first = await s.gateway.first(Chunk, attempt_id)
+            first = await s.gateway.first_message(Chunk, attempt_id)
             s.gateway.connection.abort()
             await until(lambda: len(s.harness.process.server.connections) == 1)
             s.target.gate.set()
             await until(lambda: s.harness.sidecar.table.n_open == 0)
             new.messages.append(first)
             new.connection.write(
-                Fetch(attempt_id=attempt_id, from_seq=1, credit_bytes=PLENTY_BYTES)
+                Fetch(
+                    attempt_id=attempt_id, from_seq=1, credit_bytes=AMPLE_CREDIT_BYTES
+                )
             )
             assert await new.complete_answer(attempt_id) == b"0word 1word 2word "
             assert len(s.target.runs) == 1
 
-    async def test_an_answer_is_held_until_it_is_acknowledged(self) -> None:
-        """The connection breaks between the target's answer and the gateway."""
+    async def test_answer_is_held_until_it_is_acknowledged(self) -> None:
+        """The connection breaks before the target's answer reaches the gateway."""
         async with sidecar_setup() as s, s.harness.gateway() as new:
             attempt_id = s.gateway.start(credit_bytes=0)
             await until(lambda: len(s.harness.sidecar.table.held) == 1)
@@ -79,7 +81,7 @@
             for _ in range(2):
                 new.messages.clear()
                 new.connection.write(
-                    Fetch(attempt_id=attempt_id, credit_bytes=PLENTY_BYTES)
+                    Fetch(attempt_id=attempt_id, credit_bytes=AMPLE_CREDIT_BYTES)
                 )
                 assert await new.complete_answer(attempt_id) == s.target.answer
             new.connection.write(Ack(attempt_id=attempt_id))
@@ -88,7 +90,7 @@
             assert failure.outcome == Outcome.UNKNOWN
             assert failure.reason == Reason.RESULT_GONE
 
-    async def test_a_held_answer_expires_and_is_logged(self) -> None:
+    async def test_held_answer_expires_and_is_logged(self) -> None:
         retention = RetentionSettings(held_results_s=0.01)
         async with sidecar_setup(retention=retention) as s:
             attempt_id = s.gateway.start()
@@ -98,10 +100,11 @@
             failure = await s.gateway.failure(attempt_id)
             assert failure.reason == Reason.RESULT_GONE
 
-    async def test_a_fetch_of_what_never_came_bars_it(self) -> None:
-        """A start message is lost with its connection; the gateway asks for it.
+    async def test_fetch_of_an_unknown_attempt_bars_it(self) -> None:
+        """A start message is lost with its connection; the gateway fetches the answer.
 
-        "Not run" is true only if the message cannot be run when it comes late.
+        The reply "not run" is true only if the message cannot start the attempt
+        when it arrives later.
         """
         async with sidecar_setup() as s:
             start = s.gateway.start_message()
@@ -114,13 +117,13 @@
             )
             assert s.target.runs == []
 
-    async def test_waiting_work_of_a_lost_gateway_is_not_started(
+    async def test_queued_work_of_a_lost_gateway_is_not_started(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A gateway dies while its calls wait.
+        """A gateway crashes while its calls are queued.
 
-        Nobody is left to pass their answers on; running them would only cost.
-        A gateway that was merely cut off is told that they were not run.
+        No process is left to forward their answers, so running them would waste
+        target time. A gateway that was only disconnected gets "not run".
         """
         monkeypatch.setattr(dispatcher, "DISCONNECT_GRACE_NS", 0)
         async with sidecar_setup() as s, s.harness.gateway() as new:
@@ -129,7 +132,7 @@
                 new.start()
             await until(lambda: len(s.target.runs) == 4)
             lost = s.gateway.start()
-            await s.gateway.first(Queued, lost)
+            await s.gateway.first_message(Queued, lost)
             s.gateway.connection.abort()
             await until(lambda: len(s.harness.process.server.connections) == 1)
             s.target.gate.set()
@@ -140,40 +143,40 @@
 
 
 class TestPausedProcess:
-    async def test_no_call_leaves_after_its_start_by_time(
+    async def test_no_call_is_sent_after_its_start_by_time(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """A sidecar is paused after it decided to call its target.
 
-        It wakes up when the gateway has long given up and sent the work to
-        another target. The clock is read once more right before the bytes
-        leave, so the call is not made.
+        It resumes after the gateway has abandoned the attempt and sent the work
+        to another target. The clock is read again right before the first byte is
+        sent, so the call is not made.
         """
         async with sidecar_setup() as s:
             now_ns = time.monotonic_ns
             attempt_id = s.gateway.start(idempotent=False)
 
-            async def sleep_through(self: Any, *args: Any, **kwargs: Any) -> Any:
+            async def run_after_pause(self: Any, *args: Any, **kwargs: Any) -> Any:
                 monkeypatch.setattr(
                     time, "monotonic_ns", lambda: now_ns() + 20 * NS_PER_S
                 )
                 return await run(self, *args, **kwargs)
 
             run = PlainCaller.run
-            monkeypatch.setattr(PlainCaller, "run", sleep_through)
+            monkeypatch.setattr(PlainCaller, "run", run_after_pause)
             failure = await s.gateway.failure(attempt_id)
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.DEADLINE_PASSED
             assert s.target.runs == []
 
-    async def test_a_start_whose_time_is_up_is_refused_at_once(self) -> None:
+    async def test_start_after_its_deadline_is_refused_at_once(self) -> None:
         async with sidecar_setup() as s:
             for budget_ns in (1, 0, -1):
                 failure = await s.gateway.failure(s.gateway.start(budget_ns=budget_ns))
                 assert failure.outcome == Outcome.NOT_RUN
                 assert failure.reason == Reason.DEADLINE_PASSED
 
-    async def test_waiting_work_is_answered_when_its_time_is_up(self) -> None:
+    async def test_queued_work_is_answered_at_its_deadline(self) -> None:
         async with sidecar_setup(policy=PolicySettings(refuse_early=False)) as s:
             s.target.gate.clear()
             for _ in range(4):
@@ -186,11 +189,11 @@
 
 
 class TestSlowReader:
-    async def test_it_holds_back_its_own_stream_alone(self) -> None:
-        """One caller reads slowly while another's answer is short.
+    async def test_slow_reader_delays_only_its_own_stream(self) -> None:
+        """A slow reader of a long answer and another caller share a connection.
 
-        Both share a connection. Without credit per attempt the long answer
-        would fill the connection, or the sidecar's memory.
+        Without credit for each attempt, the long answer would fill the
+        connection or the memory of the sidecar.
         """
         async with sidecar_setup(kind=ENGINE) as s:
             s.target.n_tokens, s.target.token = 3000, "x" * 1000 + " "
@@ -208,16 +211,18 @@
             await s.gateway.complete_answer(quick)
             held = attempt(slow)
             assert held is not None
-            # Each read from the target adds at most one buffer past the bound.
+            # Each read from the target exceeds the bound by at most one buffer.
             assert held.stream.answer.n_bytes < 3 * bound_bytes
             assert len(s.gateway.messages_of(Chunk, slow)) == 1
-            s.gateway.connection.write(Credit(attempt_id=slow, n_bytes=PLENTY_BYTES))
+            s.gateway.connection.write(
+                Credit(attempt_id=slow, n_bytes=AMPLE_CREDIT_BYTES)
+            )
             await s.gateway.complete_answer(slow)
 
 
 class TestBrokenEngine:
-    async def test_a_broken_stream_is_resumed(self) -> None:
-        """The engine's connection breaks after two tokens; the run goes on."""
+    async def test_broken_stream_is_resumed(self) -> None:
+        """The engine's connection breaks after two tokens; the run continues."""
         async with sidecar_setup(kind=ENGINE) as s:
             s.target.n_tokens, s.target.disconnect_after = 5, 2
             attempt_id = s.gateway.start(PROMPT, idempotent=False)
@@ -229,7 +234,7 @@
     @pytest.mark.parametrize(
         ("idempotent", "outcome"), [(True, Outcome.FAILED), (False, Outcome.UNKNOWN)]
     )
-    async def test_a_stream_that_the_engine_has_lost_is_an_error(
+    async def test_stream_that_the_engine_has_lost_is_an_error(
         self, idempotent: bool, outcome: int
     ) -> None:
         async with sidecar_setup(kind=ENGINE) as s:
@@ -239,10 +244,10 @@
             assert failure.outcome == outcome
             assert s.gateway.messages_of(End, attempt_id) == []
 
-    async def test_a_stream_that_the_engine_gave_up_is_no_answer(self) -> None:
-        """An engine ends a stream early and says so in its last event.
+    async def test_stream_that_the_engine_abandoned_is_no_answer(self) -> None:
+        """An engine ends a stream early and reports it in the last event.
 
-        The tokens so far would pass for a short answer.
+        The tokens so far would be taken for a short answer.
         """
         async with sidecar_setup(kind=ENGINE) as s:
             s.target.finish_reason = "error"
@@ -252,11 +257,11 @@
 
 
 class TestTargetLock:
-    async def test_a_second_sidecar_does_not_begin(self) -> None:
-        """An old sidecar is paused and its successor is started.
+    async def test_second_sidecar_does_not_start(self) -> None:
+        """A sidecar is paused and its successor is started.
 
-        Both would call one target. The port stays with the paused one, so the
-        successor waits and then says which port is held.
+        Both would call the same target. The paused one keeps the lock port, so
+        the successor waits and then reports which port is held.
         """
         address = Address(ip="127.0.0.1", port=free_port())
         async with held_port(address, wait_s=0.0):
@@ -264,11 +269,11 @@
                 async with held_port(address, wait_s=0.0):
                     pass
 
-    async def test_a_successor_begins_when_the_first_ends(self) -> None:
+    async def test_successor_starts_when_the_first_exits(self) -> None:
         address = Address(ip="127.0.0.1", port=free_port())
 
         async def take() -> None:
-            async with held_port(address, wait_s=CAP_S):
+            async with held_port(address, wait_s=TIMEOUT_S):
                 pass
 
         async with held_port(address, wait_s=0.0):
@@ -277,10 +282,12 @@
             assert not second.done()
         await second
 
-    async def test_a_successor_waits_for_a_close_that_peers_hold_up(self) -> None:
-        """A sidecar is replaced while a gateway is paused. Each step of its close
-        waits for that gateway, together longer than its successor waited for the
-        port: the successor ended, and the target had no sidecar.
+    async def test_successor_waits_for_a_close_that_peers_delay(self) -> None:
+        """A sidecar is replaced while a gateway is paused.
+
+        Each step of its close waits for that gateway. If the successor waits for
+        the port for less than all steps together, it exits and the target has no
+        sidecar.
         """
         address = Address(ip="127.0.0.1", port=free_port())
         process = Process(
@@ -304,11 +311,14 @@
             async with held_port(address, wait_s=LOCK_MARGIN_S):
                 pass
 
-        async with raw_listener(paused) as gateway, contextlib.AsyncExitStack() as far:
+        async with (
+            raw_listener(paused) as gateway,
+            contextlib.AsyncExitStack() as stack,
+        ):
             async with held_port(address, wait_s=0.0), process.running():
                 link = process.peers.link(gateway)
                 await link.opened.wait()
-                peer = await far.enter_async_context(raw_peer(process.server.address))
+                peer = await stack.enter_async_context(raw_peer(process.server.address))
                 peer.send(hello_of("gateway")())
                 await until(lambda: process.server.connections)
                 successor = asyncio.create_task(take())
@@ -317,19 +327,19 @@
 
 
 class TestPlannedStop:
-    async def test_a_stop_cuts_off_nothing(
+    async def test_stop_interrupts_no_call(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A host is replaced while calls run and wait.
+        """A sidecar is stopped while calls run and are queued.
 
-        Every connection hears that the sidecar leaves without waiting for the
-        next heartbeat, new work is refused as not run, and what was taken is
-        answered.
+        Every connection is notified that the sidecar leaves without waiting for
+        the next heartbeat, new work is refused as not run, and all accepted work
+        is answered.
         """
         monkeypatch.setattr(connection, "HEARTBEAT_S", 3600.0)
         async with sidecar_setup() as s:
             s.target.gate.clear()
-            taken = [s.gateway.start(idempotent=False) for _ in range(6)]
+            accepted = [s.gateway.start(idempotent=False) for _ in range(6)]
             await until(lambda: len(s.target.runs) == 4)
             stop = asyncio.create_task(s.harness.sidecar.stop())
             await until(
@@ -344,12 +354,12 @@
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.LEAVING
             s.target.gate.set()
-            for attempt_id in taken:
+            for attempt_id in accepted:
                 await s.gateway.complete_answer(attempt_id)
                 s.gateway.connection.write(Ack(attempt_id=attempt_id))
             assert await stop == 0
 
-    async def test_what_is_cut_off_is_counted(self) -> None:
+    async def test_interrupted_calls_are_counted(self) -> None:
         async with FakeTarget().serving() as target:
             settings = settings_for(
                 target_port=target.port,
@@ -366,10 +376,10 @@
 
 
 class TestTargetDown:
-    async def test_what_waits_for_a_dead_target_goes_back_at_once(self) -> None:
-        """A target dies while calls run and wait.
+    async def test_queued_work_is_rejected_when_its_target_goes_down(self) -> None:
+        """A target crashes while calls run and are queued.
 
-        Those that wait can still be served elsewhere in time.
+        The queued calls can still be run by another target in time.
         """
         async with sidecar_setup() as s:
             s.target.gate.clear()
@@ -382,7 +392,7 @@
             assert failure.outcome == Outcome.NOT_RUN
             assert failure.reason == Reason.TARGET_DOWN
 
-    async def test_a_target_that_does_not_answer_gets_no_work(self) -> None:
+    async def test_target_that_does_not_answer_gets_no_work(self) -> None:
         async with FakeTarget().serving() as target:
             port = target.port
         settings = settings_for(target_port=port)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: stopped, paused, replaced."""
+"""The sidecar as a process that is stopped, paused or replaced."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 from trefoilpaddle.standins.ports import free_port
 from trefoilpaddle.transport.connection import Address
 
-CAP_S = 30.0
+TIMEOUT_S = 30.0
 SETTINGS = """
 [process]
 host = "h1"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Host:
-    """What a sidecar's host offers it: a platform and a target."""
+    """What a sidecar process needs: a platform, a target and a folder."""
 
     platform_url: str
     target: FakeTarget
@@ -57,13 +57,13 @@
         with socket.socket() as probe:
             return probe.connect_ex((self.address.ip, self.address.port)) == 0
 
-    async def ended(self) -> int:
-        async with asyncio.timeout(CAP_S):
+    async def exit_status(self) -> int:
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.process.wait()
 
 
 @contextlib.asynccontextmanager
-async def a_host(path: Path) -> AsyncIterator[Host]:
+async def running_host(path: Path) -> AsyncIterator[Host]:
     async with FakePlatform().serving() as platform, FakeTarget().serving() as target:
         platform.publish("service/s1", {"kind": "plain", "n_slots": 4})
         yield Host(
@@ -72,8 +72,8 @@
 
 
 @contextlib.asynccontextmanager
-async def a_sidecar(host: Host) -> AsyncIterator[Running]:
-    """Start a sidecar process on `host`; kill it in the end."""
+async def sidecar_process(host: Host) -> AsyncIterator[Running]:
+    """Start a sidecar process on `host`; kill it on exit of the context."""
     address = Address(ip="127.0.0.1", port=free_port())
     settings = host.path / f"{address.port}.toml"
     settings.write_text(
@@ -107,7 +107,7 @@
 
 @contextlib.asynccontextmanager
 async def ready_gateway(sidecar: Running) -> AsyncIterator[GatewaySide]:
-    """Connect once the sidecar has its catalogue in force."""
+    """Connect to the sidecar and wait until its catalogue is active."""
     await until(sidecar.is_listening)
     async with connected(sidecar.address) as gateway:
         await until(
@@ -121,13 +121,15 @@
 
 
 class TestPlannedStop:
-    async def test_a_told_process_finishes_and_ends(self, tmp_path: Path) -> None:
-        """A host is to be replaced and its processes are sent SIGTERM.
+    async def test_sigterm_lets_calls_finish_and_ends_the_process(
+        self, tmp_path: Path
+    ) -> None:
+        """A sidecar gets SIGTERM while a call runs.
 
-        A call that runs is answered, and the process ends by itself with
-        status 0 and says in its log that it cut off nothing.
+        The call is answered, and the process exits with status 0 and logs that it
+        interrupted no call.
         """
-        async with a_host(tmp_path) as host, a_sidecar(host) as sidecar:
+        async with running_host(tmp_path) as host, sidecar_process(host) as sidecar:
             async with ready_gateway(sidecar) as gateway:
                 host.target.gate.clear()
                 attempt_id = gateway.start(idempotent=False)
@@ -147,29 +149,30 @@
                 host.target.gate.set()
                 assert await gateway.complete_answer(attempt_id) == host.target.answer
                 gateway.connection.write(Ack(attempt_id=attempt_id))
-                assert await sidecar.ended() == 0
+                assert await sidecar.exit_status() == 0
             log = (tmp_path / f"{sidecar.address.port}.log").read_text()
             assert "process_stopped" in log
             assert "n_cut_off=0" in log
 
 
 class TestPause:
-    async def test_work_whose_time_passed_in_a_pause_is_not_run(
+    async def test_work_whose_deadline_passed_during_a_pause_is_not_run(
         self, tmp_path: Path
     ) -> None:
         """A sidecar is paused with a start message in its socket.
 
-        The gateway gives up and books elsewhere. When the sidecar wakes up it
-        must see, on its own clock, that the time to start is over.
+        The gateway abandons the attempt and runs the work at another target. When
+        the sidecar resumes, it must find by its own clock that the start-by time
+        has passed.
         """
         async with (
-            a_host(tmp_path) as host,
-            a_sidecar(host) as sidecar,
+            running_host(tmp_path) as host,
+            sidecar_process(host) as sidecar,
             ready_gateway(sidecar) as gateway,
         ):
             sidecar.process.send_signal(signal.SIGSTOP)
             attempt_id = gateway.start(idempotent=False, budget_ns=NS_PER_S // 10)
-            await asyncio.sleep(0.3)  # lets the budget pass, asserts nothing
+            await asyncio.sleep(0.3)  # The budget passes meanwhile.
             sidecar.process.send_signal(signal.SIGCONT)
             failure = await gateway.failure(attempt_id)
             assert failure.outcome == Outcome.NOT_RUN
@@ -178,16 +181,18 @@
 
 
 class TestSuccessor:
-    async def test_it_waits_for_a_paused_predecessor(self, tmp_path: Path) -> None:
-        """A sidecar hangs, is taken for dead and replaced, and wakes up again.
+    async def test_successor_waits_for_a_paused_predecessor(
+        self, tmp_path: Path
+    ) -> None:
+        """A sidecar hangs and is replaced, but may resume.
 
-        Two would give work to one target. The lock is held by the paused one
-        until it ends, so its successor opens nothing before.
+        Two sidecars would call the same target. The paused one holds the lock port
+        until it exits, and its successor does not listen before that.
         """
-        async with a_host(tmp_path) as host, a_sidecar(host) as first:
+        async with running_host(tmp_path) as host, sidecar_process(host) as first:
             await until(first.is_listening)
             first.process.send_signal(signal.SIGSTOP)
-            async with a_sidecar(host) as second:
+            async with sidecar_process(host) as second:
                 log = tmp_path / f"{second.address.port}.log"
                 await until(lambda: "waiting for lock port" in log.read_text())
                 assert not second.is_listening()
