--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -262,20 +262,20 @@
             is_over = False
             is_stopping = {0: False, 1: False}
 
-            async def caller(number: int) -> None:
+            async def caller(index: int) -> None:
                 while not is_over:
-                    gateway = number % 2
+                    gateway = index % 2
                     if is_stopping[gateway]:
                         gateway = 1 - gateway
                     answers.append(await s.call("hold", gateway=gateway))
 
-            callers = [asyncio.create_task(caller(number)) for number in range(4)]
+            callers = [asyncio.create_task(caller(index)) for index in range(4)]
             for name in ("stock-1-sidecar", "stock-2-sidecar"):
                 await replace_process(s.running, name)
-            for number in (0, 1):
-                is_stopping[number] = True
-                await replace_process(s.running, f"entry-{number + 1}-gateway")
-                is_stopping[number] = False
+            for index in (0, 1):
+                is_stopping[index] = True
+                await replace_process(s.running, f"entry-{index + 1}-gateway")
+                is_stopping[index] = False
             is_over = True
             await asyncio.gather(*callers)
             failed = [each for each in answers if each.status != 200]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -200,8 +200,8 @@
         ):
             callers = Callers(running=running, session=session)
 
-            async def call_until_refused(number: int) -> str:
-                url = running.gateways[number % 2]
+            async def call_until_refused(index: int) -> str:
+                url = running.gateways[index % 2]
                 while (outcome := await callers.send(url, "sheet")) == "answered":
                     callers.n_answered += 1
                 return outcome
--- a/tests/test_sidecar_failures.py
+++ b/tests/test_sidecar_failures.py
@@ -272,12 +272,12 @@
     async def test_successor_starts_when_the_first_exits(self) -> None:
         address = Address(ip="127.0.0.1", port=free_port())
 
-        async def take() -> None:
+        async def acquire_port() -> None:
             async with held_port(address, wait_s=TIMEOUT_S):
                 pass
 
         async with held_port(address, wait_s=0.0):
-            second = asyncio.create_task(take())
+            second = asyncio.create_task(acquire_port())
             await asyncio.sleep(0)
             assert not second.done()
         await second
@@ -307,7 +307,7 @@
             peer.send(hello_of("gateway")())
             await resumed.wait()
 
-        async def take() -> None:
+        async def acquire_port() -> None:
             async with held_port(address, wait_s=LOCK_MARGIN_S):
                 pass
 
@@ -321,7 +321,7 @@
                 peer = await stack.enter_async_context(raw_peer(process.server.address))
                 peer.send(hello_of("gateway")())
                 await until(lambda: process.server.connections)
-                successor = asyncio.create_task(take())
+                successor = asyncio.create_task(acquire_port())
             await successor
             resumed.set()
 
