--- a/src/trefoilpaddle/coordination/targets/engine_events.py
+++ b/src/trefoilpaddle/coordination/targets/engine_events.py
@@ -1,24 +1,24 @@
-"""The event stream of a model engine, read piece by piece."""
+"""Incremental parser of the event stream of a model engine."""
 
 from typing import Any, Final
 
 import orjson
 from result import Err, Ok, Result
 
-from .target_calls import CallEnd
+from .target_calls import CallOutcome
 
 DATA_PREFIX: Final = b"data:"
 DONE: Final = b"[DONE]"
 
 MAX_LINE_BYTES: Final = 1024 * 1024
-"""Longest line of an event that is put together in memory."""
+"""Longest incomplete line of an event that is buffered."""
 
-WHOLE_FINISHES: Final = (None, "stop", "length")
-"""Finish reasons of a stream that goes on or is whole."""
+VALID_FINISH_REASONS: Final = (None, "stop", "length")
+"""Finish reasons of a stream that continues (None) or is complete."""
 
 
 class EngineEvents:
-    """Collects the text of tokens and the usage from server-sent events.
+    """Collects the text and the usage from the server-sent events of an engine.
 
     Parameters
     ----------
@@ -26,20 +26,20 @@
         Tokens received so far, over all connections of the attempt.
     """
 
-    __slots__ = ("_buffer", "end", "is_done", "n_tokens")
+    __slots__ = ("_buffer", "is_done", "n_tokens", "outcome")
 
     def __init__(self) -> None:
         self._buffer = b""
-        self.end: CallEnd | None = None
+        self.outcome: CallOutcome | None = None
         self.is_done = False
         self.n_tokens = 0
 
-    def restart(self) -> None:
-        """Forget a line that a broken connection cut off."""
+    def discard_partial_line(self) -> None:
+        """Discard a line that a broken connection truncated."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> Result[bytes, str]:
-        """Return the text that `data` completes, or what is wrong with it."""
+        """Return the text of the events that `data` completes, or a parse error."""
         lines = (self._buffer + data).split(b"\n")
         self._buffer = lines.pop()
         if len(self._buffer) > MAX_LINE_BYTES:
@@ -50,19 +50,19 @@
                 continue
             payload = line[len(DATA_PREFIX) :].strip()
             if payload == DONE:
-                self.is_done = self.end is not None
+                self.is_done = self.outcome is not None
                 break
             try:
-                self._take(orjson.loads(payload), texts)
+                self._add_event(orjson.loads(payload), texts)
             except (ValueError, TypeError, KeyError, IndexError) as error:
                 return Err(f"an event cannot be taken: {error}")
         return Ok("".join(texts).encode())
 
-    def _take(self, event: Any, texts: list[str]) -> None:
+    def _add_event(self, event: Any, texts: list[str]) -> None:
         choice = event["choices"][0]
         finish = choice.get("finish_reason")
-        if finish not in WHOLE_FINISHES:
-            # What came so far looks like an answer, but the engine gave it up.
+        if finish not in VALID_FINISH_REASONS:
+            # The engine abandoned the run; the text so far would pass for an answer.
             raise ValueError(f"the engine ended the stream with {finish!r}")
         text = choice["text"]
         if text:
@@ -71,7 +71,7 @@
         usage = event.get("usage")
         if usage is not None:
             cached = usage.get("prompt_tokens_details") or {}
-            self.end = CallEnd(
+            self.outcome = CallOutcome(
                 cost_s=float(usage.get("cost_s", 0.0)),
                 n_prompt_tokens=int(usage.get("prompt_tokens", 0)),
                 n_tokens=int(usage.get("completion_tokens", self.n_tokens)),
--- a/tests/sidecar_scripts.py
+++ b/tests/sidecar_scripts.py
@@ -1,4 +1,4 @@
-"""Fake sidecars and scripts that several tests of a gateway use."""
+"""Fake sidecars, and scripts for them, that several tests of a gateway use."""
 
 from tests.fake_sidecar import Call, FakeSidecar, Script, echo
 from trefoilpaddle.protocol.gen.stage.ttypes import Failure, Outcome
@@ -11,7 +11,7 @@
     return FakeSidecar(service=service, name=name, script=script)
 
 
-async def never(call: Call) -> None:
+async def never_answer(call: Call) -> None:
     call.started()
 
 
