--- a/src/trefoilpaddle/cli/check.py
+++ b/src/trefoilpaddle/cli/check.py
@@ -10,7 +10,7 @@
 
 from ..state.catalogue import Catalogue
 from ..state.catalogue_diff import Difference, differences
-from ..state.check_files import Checked, check_path
+from ..state.check_files import CheckResult, check_path
 from .operators_http import get
 
 EXIT_FAULTS: Final = 1
@@ -27,7 +27,7 @@
                 print(problem, file=sys.stderr)
                 return EXIT_NO_ANSWER
             case Ok(in_force):
-                found += differences(in_force=in_force, published=checked.catalogue)
+                found += differences(active=in_force, published=checked.catalogue)
     if as_json:
         print(_as_json(checked, found))
     else:
@@ -35,7 +35,7 @@
     return EXIT_FAULTS if checked.problems else 0
 
 
-def _print(checked: Checked, found: list[Difference], *, is_compared: bool) -> None:
+def _print(checked: CheckResult, found: list[Difference], *, is_compared: bool) -> None:
     for problem in checked.problems:
         print(f"fault: {problem}")
     for warning in checked.warnings:
@@ -52,7 +52,7 @@
     )
 
 
-def _as_json(checked: Checked, found: list[Difference]) -> str:
+def _as_json(checked: CheckResult, found: list[Difference]) -> str:
     return orjson.dumps(
         {
             "sources": checked.sources,
--- a/src/trefoilpaddle/coordination/claims/absence_confirmations.py
+++ b/src/trefoilpaddle/coordination/claims/absence_confirmations.py
@@ -4,7 +4,7 @@
 """
 
 from ...protocol.gen.claims.ttypes import CopyAnswer
-from ...state.places import Place
+from ...state.replicas import Replica
 from .claim_registry import ClaimRegistry
 
 
@@ -23,13 +23,13 @@
             self._complete.add(registry.process_id)
         self._learned[registry.process_id] = frozenset(registry.learned_from)
 
-    def add(self, replica: Place, answer: CopyAnswer) -> None:
+    def add(self, replica: Replica, answer: CopyAnswer) -> None:
         """Add a replica that has answered that it had no claim on the key."""
         if answer.complete:
             self._complete.add(replica.process_id)
         self._learned[replica.process_id] = frozenset(answer.learned_from)
 
-    def covers(self, pair: tuple[Place, ...]) -> bool:
+    def covers(self, pair: tuple[Replica, ...]) -> bool:
         """Return True if one of `pair` confirms that they never granted the key.
 
         A recently started replica can confirm it if the other replica has handed
--- a/src/trefoilpaddle/coordination/claims/claim_home.py
+++ b/src/trefoilpaddle/coordination/claims/claim_home.py
@@ -22,9 +22,9 @@
 )
 from ...protocol.gen.stage.ttypes import Hello
 from ...protocol.ids import new_incarnation
-from ...state.claim_table import ClaimRecord, ClaimStage
+from ...state.claim_table import ClaimPhase, ClaimRecord
 from ...state.journal import Decision, Event, Figure, Journal
-from ...state.places import Place
+from ...state.replicas import Replica
 from ...transport.server import PeerServer
 from ..requests.peer_client import PeerClient, query_address
 from .absence_confirmations import AbsenceConfirmations
@@ -34,7 +34,7 @@
 REPLICA_TIMEOUT_S: Final = 0.4
 """Longest wait for another replica; shorter than the gateway's wait for this one."""
 
-ReplicaPair = tuple[Place, ...]
+ReplicaPair = tuple[Replica, ...]
 
 
 class ClaimHome:
@@ -97,13 +97,13 @@
         record = self._registry.table.get(claim.key)
         if record is not None:
             return self._registry.evaluate(record, claim)
-        record = self._registry.record_claim(claim, stage=ClaimStage.PENDING)
+        record = self._registry.record_claim(claim, phase=ClaimPhase.PENDING)
         if record is None:
             return self._registry.unknown_outcome(
                 "the place of this key keeps no more keys"
             )
         if claim.idempotent:
-            record.stage = ClaimStage.RUNNING
+            record.phase = ClaimPhase.RUNNING
             return answer_for(record, ClaimState.NEW)
         return await self._confirm_grant(record, claim, pair)
 
@@ -116,11 +116,11 @@
         )
         answer = await self._grant_objection(forwarded, pair)
         is_ours = self._registry.table.get(claim.key) is record
-        if answer is None and is_ours and record.stage is ClaimStage.PENDING:
-            record.stage = ClaimStage.RUNNING
+        if answer is None and is_ours and record.phase is ClaimPhase.PENDING:
+            record.phase = ClaimPhase.RUNNING
             return answer_for(record, ClaimState.NEW)
         await self._withdraw(pair[1:], forwarded)
-        if is_ours and record.stage is ClaimStage.PENDING:
+        if is_ours and record.phase is ClaimPhase.PENDING:
             self._registry.table.remove(claim.key)
         return answer or self._registry.not_mine("the key was taken over meanwhile")
 
@@ -185,7 +185,7 @@
         )
 
     async def _query_replica(
-        self, replica: Place, claim: Claim, kind: int
+        self, replica: Replica, claim: Claim, kind: int
     ) -> CopyAnswer | None:
         query = ClaimCopy(kind=kind, claim=claim)
         reply = await query_address(
@@ -226,7 +226,7 @@
         if settle.run:
             result = settle.result if settle.has_result else None
             self._registry.table.finish(record, result=result)
-        elif record.stage in (ClaimStage.PENDING, ClaimStage.RUNNING):
+        elif record.phase in (ClaimPhase.PENDING, ClaimPhase.RUNNING):
             self._registry.table.remove(settle.key)
         return True
 
--- a/src/trefoilpaddle/coordination/claims/claim_registry.py
+++ b/src/trefoilpaddle/coordination/claims/claim_registry.py
@@ -10,9 +10,9 @@
 from typing import Final
 
 from ...protocol.gen.claims.ttypes import Claim, ClaimAnswer, ClaimState, Places
-from ...state.claim_table import ClaimRecord, ClaimStage, ClaimTable
-from ...state.places import Place, PlaceHistory, PlaceList
+from ...state.claim_table import ClaimPhase, ClaimRecord, ClaimTable
 from ...state.published import Published
+from ...state.replicas import Replica, ReplicaHistory, ReplicaList
 
 FORMER_LIST_RETENTION_S: Final = 300.0
 """How long replicas of a replaced list are queried.
@@ -83,7 +83,7 @@
         self._clock = clock
         self._start_s = clock()
         self._max_deadline_s = 0.0
-        self.history = PlaceHistory(keep_s=FORMER_LIST_RETENTION_S, clock=clock)
+        self.history = ReplicaHistory(keep_s=FORMER_LIST_RETENTION_S, clock=clock)
         published.subscribe(self._on_published)
         self._on_published()
 
@@ -99,9 +99,9 @@
         )
 
     @property
-    def active_list(self) -> PlaceList:
+    def active_list(self) -> ReplicaList:
         """The replicas of the active host list."""
-        return self.history.present
+        return self.history.current
 
     @property
     def retention_s(self) -> float:
@@ -115,7 +115,7 @@
         before its start has ended and its retry window is over, it cannot
         confirm that a key is new.
         """
-        known_since_s = max(self._start_s, self.history.cut_s)
+        known_since_s = max(self._start_s, self.history.complete_since_s)
         return max(0.0, known_since_s + self.retention_s - self._clock())
 
     def is_complete(self) -> bool:
@@ -132,7 +132,7 @@
 
     def pairs_of_other_lists(
         self, key: str, *, revision: int
-    ) -> Iterator[tuple[Place, ...]]:
+    ) -> Iterator[tuple[Replica, ...]]:
         """Yield the distinct replica pairs of `key`, except under list `revision`.
 
         These are the pairs under the recently replaced lists, and under the
@@ -154,14 +154,14 @@
 
         An idempotent request whose gateway was lost is taken over by the try.
         """
-        if record.stage is ClaimStage.MOVED:
+        if record.phase is ClaimPhase.MOVED:
             return self.not_mine("this key has moved to another place")
         if record.fingerprint != claim.fingerprint:
             detail = "the key was used with another body or pipeline"
             return answer_for(record, ClaimState.MISMATCH, detail=detail)
-        if record.stage is ClaimStage.DONE:
+        if record.phase is ClaimPhase.DONE:
             return answer_for(record, ClaimState.DONE)
-        if is_same_try(record, claim) and record.stage is ClaimStage.RUNNING:
+        if is_same_try(record, claim) and record.phase is ClaimPhase.RUNNING:
             return answer_for(record, ClaimState.NEW)
         if not self._is_holder_lost(record):
             return answer_for(record, ClaimState.IN_PROGRESS)
@@ -183,9 +183,9 @@
         record.gateway_incarnation = claim.gateway_incarnation
         record.overdue_s = self._clock() + claim.budget_ms / 1000
 
-    def record_claim(self, claim: Claim, *, stage: ClaimStage) -> ClaimRecord | None:
+    def record_claim(self, claim: Claim, *, phase: ClaimPhase) -> ClaimRecord | None:
         """Record a claim on a new key; return None if the table is full."""
-        record = record_of(claim, stage=stage)
+        record = record_of(claim, phase=phase)
         is_kept = self.table.add(record, budget_s=claim.budget_ms / 1000)
         return record if is_kept else None
 
@@ -206,7 +206,7 @@
 
 
 def record_of(
-    claim: Claim, *, stage: ClaimStage, result: bytes | None = None
+    claim: Claim, *, phase: ClaimPhase, result: bytes | None = None
 ) -> ClaimRecord:
     """Return the record of a claim from a message."""
     return ClaimRecord(
@@ -217,7 +217,7 @@
         fingerprint=claim.fingerprint,
         is_idempotent=claim.idempotent,
         grant=claim.grant,
-        stage=stage,
+        phase=phase,
         result=result,
     )
 
@@ -253,7 +253,7 @@
     return try_id.partition(TRY_SEPARATOR)[0]
 
 
-def replicas_message(pair: tuple[Place, ...]) -> Places:
+def replicas_message(pair: tuple[Replica, ...]) -> Places:
     """Return the message for the replicas in `pair`."""
     return Places(
         process_ids=[replica.process_id for replica in pair],
@@ -261,10 +261,10 @@
     )
 
 
-def replicas_of(message: Places) -> tuple[Place, ...]:
+def replicas_of(message: Places) -> tuple[Replica, ...]:
     """Return the replicas in `message`, which carries no failure domains."""
     named = zip(message.process_ids, message.addresses, strict=False)
     return tuple(
-        Place(process_id=name, failure_domain="", address=address)
+        Replica(process_id=name, failure_domain="", address=address)
         for name, address in named
     )
--- a/src/trefoilpaddle/coordination/claims/claim_replica.py
+++ b/src/trefoilpaddle/coordination/claims/claim_replica.py
@@ -9,7 +9,7 @@
     CopyKind,
 )
 from ...protocol.gen.stage.ttypes import Hello
-from ...state.claim_table import ClaimRecord, ClaimStage
+from ...state.claim_table import ClaimPhase, ClaimRecord
 from .claim_registry import ClaimRegistry, replicas_message
 
 
@@ -58,7 +58,7 @@
             return self._registry.not_mine("the asking place has an older host list")
         record = self._registry.table.get(claim.key)
         if record is None:
-            record = self._registry.record_claim(claim, stage=ClaimStage.RUNNING)
+            record = self._registry.record_claim(claim, phase=ClaimPhase.RUNNING)
             return _no_claim(claim) if record else self._full()
         answer = self._registry.evaluate(record, claim)
         if answer.state == ClaimState.NEW:
@@ -68,15 +68,15 @@
     def _move(self, claim: Claim, peer: Hello) -> ClaimAnswer:
         record = self._registry.table.get(claim.key)
         if record is None:
-            record = self._registry.record_claim(claim, stage=ClaimStage.MOVED)
+            record = self._registry.record_claim(claim, phase=ClaimPhase.MOVED)
             if record is None:
                 return self._full()
         elif not _may_move(record, peer):
             return self._registry.evaluate(record, claim)
-        record.stage = ClaimStage.MOVED
+        record.phase = ClaimPhase.MOVED
         record.gateway = peer.process_id
         record.gateway_incarnation = peer.incarnation
-        self._registry.table.keep_until(record, for_s=self._registry.retention_s)
+        self._registry.table.expire_after(record, for_s=self._registry.retention_s)
         return _no_claim(claim)
 
     def _peek(self, claim: Claim) -> ClaimAnswer:
@@ -116,7 +116,7 @@
     If it had granted the key, it would still know that and send no other move.
     """
     return (
-        record.stage is ClaimStage.MOVED
+        record.phase is ClaimPhase.MOVED
         and record.gateway == peer.process_id
         and record.gateway_incarnation == peer.incarnation
     )
--- a/src/trefoilpaddle/coordination/claims/claim_sync.py
+++ b/src/trefoilpaddle/coordination/claims/claim_sync.py
@@ -19,8 +19,8 @@
     SyncAnswer,
 )
 from ...protocol.gen.stage.ttypes import Hello
-from ...state.claim_table import ClaimRecord, ClaimStage
-from ...state.places import Place, PlaceList
+from ...state.claim_table import ClaimPhase, ClaimRecord
+from ...state.replicas import Replica, ReplicaList
 from ...transport.server import PeerServer
 from ..requests.peer_client import PeerClient, query_address
 from .claim_registry import ClaimRegistry, record_of
@@ -83,12 +83,12 @@
 
     async def fetch_once(self) -> None:
         """Query each replica that has not handed over its claims yet, once."""
-        for replica in self._registry.active_list.places:
+        for replica in self._registry.active_list.replicas:
             is_own = replica.process_id == self._registry.process_id
             if not is_own and replica.process_id not in self._registry.learned_from:
                 await self._fetch_from(replica)
 
-    async def _fetch_from(self, replica: Place) -> None:
+    async def _fetch_from(self, replica: Replica) -> None:
         after_key, is_complete = "", True
         for _ in range(MAX_PAGES):
             query = ClaimSync(after_key=after_key)
@@ -104,7 +104,7 @@
                 is_complete and page.complete and self._record_claims(page.claims)
             )
             for known in page.lists:
-                self._registry.history.learn(
+                self._registry.history.add_former(
                     _replica_list(known),
                     replaced_ago_s=known.replaced_ago_ms / MS_PER_S,
                 )
@@ -121,10 +121,10 @@
             claim = known.claim
             if claim is None or self._registry.table.get(claim.key) is not None:
                 continue
-            is_kept = self._registry.table.copy_in(
+            is_kept = self._registry.table.add_copy(
                 record_of(
                     claim,
-                    stage=_stage_of(known),
+                    phase=_phase_of(known),
                     result=known.result if known.has_result else None,
                 ),
                 overdue_in_s=known.overdue_in_ms / MS_PER_S,
@@ -142,7 +142,7 @@
         n_bytes = 0
         if not sync.after_key:
             answer.lists = [
-                _known_list(a, p) for a, p in self._registry.history.dated()
+                _known_list(a, p) for a, p in self._registry.history.lists_with_ages()
             ]
             n_bytes = REPLICA_BYTES * sum(len(k.process_ids) for k in answer.lists)
         if n_bytes > MAX_LISTS_BYTES:
@@ -156,7 +156,7 @@
         return answer
 
     def _shared_with(self, after_key: str, partner: str) -> Iterator[ClaimRecord]:
-        for record in self._registry.table.after(after_key):
+        for record in self._registry.table.records_after(after_key):
             pairs = self._registry.pairs_of_other_lists(record.key, revision=0)
             if any(partner == replica.process_id for pair in pairs for replica in pair):
                 yield record
@@ -173,8 +173,8 @@
             idempotent=record.is_idempotent,
             grant=record.grant,
         ),
-        done=record.stage is ClaimStage.DONE,
-        moved=record.stage is ClaimStage.MOVED,
+        done=record.phase is ClaimPhase.DONE,
+        moved=record.phase is ClaimPhase.MOVED,
         result=record.result or b"",
         has_result=record.result is not None,
         overdue_in_ms=int(MS_PER_S * max(0.0, record.overdue_s - now_s)),
@@ -182,30 +182,30 @@
     )
 
 
-def _stage_of(known: KnownClaim) -> ClaimStage:
+def _phase_of(known: KnownClaim) -> ClaimPhase:
     if known.moved:
-        return ClaimStage.MOVED
-    return ClaimStage.DONE if known.done else ClaimStage.RUNNING
+        return ClaimPhase.MOVED
+    return ClaimPhase.DONE if known.done else ClaimPhase.RUNNING
 
 
-def _known_list(replaced_ago_s: float, replicas: PlaceList) -> KnownList:
+def _known_list(replaced_ago_s: float, replicas: ReplicaList) -> KnownList:
     return KnownList(
         hosts_revision=replicas.revision,
-        process_ids=[replica.process_id for replica in replicas.places],
-        addresses=[replica.address for replica in replicas.places],
-        failure_domains=[replica.failure_domain for replica in replicas.places],
+        process_ids=[replica.process_id for replica in replicas.replicas],
+        addresses=[replica.address for replica in replicas.replicas],
+        failure_domains=[replica.failure_domain for replica in replicas.replicas],
         replaced_ago_ms=int(MS_PER_S * replaced_ago_s),
     )
 
 
-def _replica_list(known: KnownList) -> PlaceList:
+def _replica_list(known: KnownList) -> ReplicaList:
     columns = zip(
         known.process_ids, known.addresses, known.failure_domains, strict=False
     )
-    return PlaceList(
+    return ReplicaList(
         revision=known.hosts_revision,
-        places=tuple(
-            Place(process_id=name, address=address, failure_domain=domain)
+        replicas=tuple(
+            Replica(process_id=name, address=address, failure_domain=domain)
             for name, address, domain in columns
         ),
     )
--- a/src/trefoilpaddle/coordination/claims/claims.py
+++ b/src/trefoilpaddle/coordination/claims/claims.py
@@ -24,8 +24,8 @@
 from ...protocol.ids import RequestId
 from ...protocol.reasons import Reason
 from ...state.claim_table import MAX_RESULT_BYTES
-from ...state.places import place_list
 from ...state.published import Published
+from ...state.replicas import replica_list
 from ..members.directory import Directory
 from ..requests.peer_client import PeerClient, query_address
 from .claim_outcomes import Answered, ClaimOutcome, InProgress, Key, KeyGranted
@@ -179,7 +179,7 @@
         if key.generated_id is not None:
             return self._home_of_generated_id(key.generated_id)
         hosts = self._published.hosts
-        pair = place_list(hosts).pair(key.text)
+        pair = replica_list(hosts).pair(key.text)
         if not pair:
             return None
         return _Home(
--- a/src/trefoilpaddle/coordination/claims/generated_ids.py
+++ b/src/trefoilpaddle/coordination/claims/generated_ids.py
@@ -17,7 +17,7 @@
 )
 from ...protocol.gen.stage.ttypes import Hello
 from ...protocol.ids import RequestId
-from ...state.claim_table import ClaimStage
+from ...state.claim_table import ClaimPhase
 from ...transport.server import PeerServer
 from .claim_registry import ClaimRegistry
 
@@ -98,7 +98,7 @@
             return self._registry.unknown_outcome(
                 "this id was used before, or is too old"
             )
-        record = self._registry.record_claim(claim, stage=ClaimStage.RUNNING)
+        record = self._registry.record_claim(claim, phase=ClaimPhase.RUNNING)
         if record is None:
             return self._registry.unknown_outcome("this gateway keeps no more ids")
         del self._unused[claim.key]
@@ -112,7 +112,7 @@
         if settle.run:
             result = settle.result if settle.has_result else None
             self._registry.table.finish(record, result=result)
-        elif record.stage is ClaimStage.RUNNING:
+        elif record.phase is ClaimPhase.RUNNING:
             self._registry.table.remove(settle.key)
             self._unused[settle.key] = self._clock() + UNUSED_ID_TTL_S
         return SettleAnswer(known=True)
--- a/src/trefoilpaddle/coordination/configuration/config_state.py
+++ b/src/trefoilpaddle/coordination/configuration/config_state.py
@@ -137,11 +137,11 @@
             The peer that sent them, or ``"platform"``.
         """
         previous_revision = self.items.revision
-        keys = self.items.join(items, revision=revision)
+        keys = self.items.merge(items, revision=revision)
         if not keys and self.items.revision == previous_revision:
             return False
         previous_held_back = self.held_back
-        selection = self._builder.put_in_force(self.items, keys)
+        selection = self._builder.activate(self.items, keys)
         self.held_back = selection.held_back
         if self._published.set_catalogue(selection.catalogue):
             self._record_active(keys, source)
--- a/src/trefoilpaddle/coordination/explaining/timeline_gather.py
+++ b/src/trefoilpaddle/coordination/explaining/timeline_gather.py
@@ -10,7 +10,7 @@
 from ...protocol.ids import RequestId
 from ...state.hosts import Host, HostList
 from ...state.timeline import Absence, Step, Timeline
-from ...state.timeline_order import Heard, in_order
+from ...state.timeline_order import ProcessSteps, merge_steps
 from ..requests.operator_queries import OperatorQueries, ReportedSteps
 
 MAX_QUERIED: Final = 64
@@ -61,16 +61,16 @@
         self._own_process_id = own_process_id
         self._own_target = own_target
         self._own_incarnation = own_incarnation
-        self._reports: list[Heard] = []
+        self._reports: list[ProcessSteps] = []
         self._absences: list[Absence] = []
         self._queried = {own_process_id}
 
     async def gather(self, request_id: str, own_steps: Iterable[Step]) -> Timeline:
         """Return the timeline of the request, with the processes that are missing."""
-        own_report = Heard(
+        own_report = ProcessSteps(
             names=_names(self._own_process_id, self._own_target),
             steps=tuple(own_steps),
-            heard_s=time.monotonic(),
+            reported_s=time.monotonic(),
         )
         self._reports.append(own_report)
         await self._query_home(request_id)
@@ -80,7 +80,7 @@
             await self._query_all(self._not_queried(), request_id)
         return Timeline(
             request_id=request_id,
-            steps=in_order(self._reports, now_s=time.monotonic()),
+            steps=merge_steps(self._reports, now_s=time.monotonic()),
             absences=tuple(self._absences),
         )
 
@@ -122,10 +122,10 @@
         answer = await self._queries.steps(host, request_id)
         match answer:
             case Ok(reported):
-                report = Heard(
+                report = ProcessSteps(
                     names=_names(host.process_id, host.target),
                     steps=reported.steps,
-                    heard_s=reported.received_s,
+                    reported_s=reported.received_s,
                 )
                 self._reports.append(report)
             case Err(absence):
--- a/src/trefoilpaddle/coordination/limits/admission.py
+++ b/src/trefoilpaddle/coordination/limits/admission.py
@@ -9,7 +9,7 @@
 from ...protocol.errors import NotRun, StageError, Unknown
 from ...protocol.gen.stage.ttypes import Start
 from ...protocol.reasons import Reason
-from ...state.spent_ids import Spent
+from ...state.used_ids import UsedState
 from ...transport.connection import Connection
 from ..requests.attempts import Attempt, AttemptTable
 
@@ -58,9 +58,9 @@
         return refuse(Reason.BAD_REQUEST, "the elapsed span is negative")
     sent_ns = start.stamp_ns + start.elapsed_ns
     match table.spent.get(start.attempt_id):
-        case Spent.NEVER_STARTED:
+        case UsedState.NEVER_STARTED:
             return refuse(Reason.BARRED, "the attempt was barred or refused before")
-        case Spent.RAN:
+        case UsedState.RAN:
             return _result_gone(
                 "the attempt has run; its answer is no longer held", peer
             )
--- a/src/trefoilpaddle/coordination/limits/entry_allowances.py
+++ b/src/trefoilpaddle/coordination/limits/entry_allowances.py
@@ -15,7 +15,7 @@
 from ...protocol.reasons import Reason
 from ...state.catalogue import Entry
 from ...state.gateway_shares import GatewayShares, bucket_of
-from ...state.lease_allowance import RateAllowance, SlotAllowance, Want
+from ...state.lease_allowance import LimitReport, RateAllowance, SlotAllowance
 
 STEP: Final = "limit"
 
@@ -99,7 +99,7 @@
         self._used_s = now_s
         self._shares = shares
         self._rate = RateAllowance(now_s=now_s)
-        self._slots = SlotAllowance(now_s=now_s, asked_s=last_request_s)
+        self._slots = SlotAllowance(now_s=now_s, last_request_s=last_request_s)
         self._tokens = RateAllowance(now_s=now_s)
 
     def take(self, times: AdmissionTimes, n_tokens: int) -> Result[int, NotRun]:
@@ -127,17 +127,17 @@
     def _refusals(self, times: AdmissionTimes, n_tokens: float) -> Iterator[NotRun]:
         """Yield a refusal for each limit without budget, and record the need."""
         limits, now_s = self.entry.limits, times.now_s
-        if not self._slots.has(self._n_slots(now_s)):
+        if not self._slots.check_available(self._n_slots(now_s)):
             wait_s = self._slots.refused_until_s - now_s
             yield self._refusal(Reason.LIMIT_CONCURRENCY, wait_s)
         if limits.rate_per_s is not None:
             self._refill_from_share(self._rate, limits.rate_per_s, times, 1.0)
-            if not self._rate.has(now_s, 1.0):
+            if not self._rate.check_available(now_s, 1.0):
                 wait_s = self._rate.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_RATE, wait_s)
         if limits.tokens_per_s is not None:
             self._refill_from_share(self._tokens, limits.tokens_per_s, times, n_tokens)
-            if not self._tokens.has(now_s, n_tokens):
+            if not self._tokens.check_available(now_s, n_tokens):
                 wait_s = self._tokens.refused_until_s - now_s
                 yield self._refusal(Reason.LIMIT_TOKENS, wait_s)
 
@@ -145,7 +145,7 @@
         """Free the slot of a finished request and return its unused tokens."""
         self._slots.release()
         if n_unused_tokens > 0:
-            self._tokens.give_back(float(n_unused_tokens))
+            self._tokens.return_unused(float(n_unused_tokens))
 
     def is_idle(self, now_s: float) -> bool:
         """Return True if no request runs and none arrived within ``IDLE_S``."""
@@ -173,10 +173,10 @@
         waits for slots.
         """
         return (
-            self._slots.is_missed()
+            self._slots.has_misses()
             or self._slots.is_contended
-            or self._rate.is_missed()
-            or self._tokens.is_missed()
+            or self._rate.has_misses()
+            or self._tokens.has_misses()
             or self.is_low()
         )
 
@@ -260,7 +260,7 @@
     def _refill_from_share(
         self, allowance: RateAllowance, limit: float, times: AdmissionTimes, need: float
     ) -> None:
-        allowance.use_share(
+        allowance.refill_from_share(
             times.now_s,
             rate_per_s=limit * self._shares.fraction(self._own_gateway),
             from_s=times.own_share_from_s,
@@ -277,7 +277,7 @@
             retry_after_s=max(wait_s, MIN_RETRY_S),
         )
 
-    def _want_message(self, kind: int, want: Want) -> LeaseWant:
+    def _want_message(self, kind: int, want: LimitReport) -> LeaseWant:
         return LeaseWant(
             entry=self.name,
             kind=kind,
--- a/src/trefoilpaddle/coordination/limits/lease_contact.py
+++ b/src/trefoilpaddle/coordination/limits/lease_contact.py
@@ -13,7 +13,7 @@
 
 from ...protocol.const import NS_PER_S
 from ...protocol.gen.limits.ttypes import LeaseAnswer, LeaseAsk
-from ...state.places import Place
+from ...state.replicas import Replica
 from ..requests.peer_client import PeerClient, query_address
 
 LEASE_REQUEST_TIMEOUT_S: Final = 0.4
@@ -36,16 +36,18 @@
     """Builds lease requests and applies the responses; `Limiter` implements it."""
 
     def next_lease_request(
-        self, home: Place, incarnation: int, now_s: float
+        self, home: Replica, incarnation: int, now_s: float
     ) -> LeaseAsk:
         """Return the lease request to send to `home` now, recorded as sent."""
         ...
 
-    def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
+    def apply_answer(
+        self, home: Replica, answer: LeaseAnswer, *, sent_s: float
+    ) -> None:
         """Apply the response to the lease request sent at `sent_s`."""
         ...
 
-    def record_home_lost(self, home: Place) -> None:
+    def record_home_lost(self, home: Replica) -> None:
         """Record that `home` does not respond any more."""
         ...
 
@@ -87,7 +89,7 @@
     def __init__(
         self,
         *,
-        home: Place,
+        home: Replica,
         asker: PeerClient,
         holder: LeaseHolder,
         clock: Callable[[], float] = time.monotonic,
--- a/src/trefoilpaddle/coordination/limits/lease_home.py
+++ b/src/trefoilpaddle/coordination/limits/lease_home.py
@@ -21,10 +21,10 @@
 from ...state.catalogue import Entry
 from ...state.gateway_shares import N_BUCKETS, GatewayShares, bucket_key, bucket_of
 from ...state.journal import Decision, Event, Figure, Journal
-from ...state.lease_table import FlowPool, Lent, SlotPool
-from ...state.lease_times import LEASE_S, STALE_ASK_S
-from ...state.places import place_list
+from ...state.lease_table import LeaseResult, RatePool, SlotPool
+from ...state.lease_times import LEASE_S, MAX_REQUEST_AGE_S
 from ...state.published import Published
+from ...state.replicas import replica_list
 from ...transport.server import PeerServer
 
 
@@ -88,7 +88,7 @@
         self._delegated_until_s: dict[int, dict[str, float]] = {}
         self._departed: dict[int, dict[str, int]] = {}
         self._fractions: dict[int, float] = {}
-        self._rate_pools: dict[PoolKey, FlowPool] = {}
+        self._rate_pools: dict[PoolKey, RatePool] = {}
         self._slot_pools: dict[PoolKey, SlotPool] = {}
         published.subscribe(self._on_published)
         self._on_published()
@@ -100,7 +100,7 @@
     def _on_published(self) -> None:
         hosts = self._published.hosts
         self.shares.set_hosts(hosts)
-        replicas = place_list(hosts)
+        replicas = replica_list(hosts)
         pairs = ((bucket, replicas.pair(bucket_key(bucket))) for bucket in _buckets())
         self._own_buckets = frozenset(
             bucket
@@ -110,7 +110,7 @@
         entries = self._published.catalogue.entries
         now_s = self._clock()
         self._rate_pools = {
-            key: self._rate_pools.get(key) or FlowPool(now_s=now_s)
+            key: self._rate_pools.get(key) or RatePool(now_s=now_s)
             for key in _rate_keys(entries)
             if bucket_of(key.entry) in self._own_buckets
         }
@@ -141,7 +141,7 @@
         return answer
 
     def _is_fresh(self, request: LeaseAsk, now_s: float) -> bool:
-        """Return True if the gateway sent `request` at most ``STALE_ASK_S`` ago.
+        """Return True if the gateway sent `request` at most ``MAX_REQUEST_AGE_S`` ago.
 
         Guards against a home that was paused: when it resumes, it receives old
         requests of gateways that have since switched to their own shares, and
@@ -152,7 +152,7 @@
         if request.home_incarnation != self._incarnation:
             return False
         age_s = now_s - (request.stamp_ns + request.elapsed_ns) / NS_PER_S
-        return age_s <= STALE_ASK_S
+        return age_s <= MAX_REQUEST_AGE_S
 
     def _grants(
         self, request: LeaseAsk, now_s: float, accepted: frozenset[int]
@@ -162,7 +162,9 @@
         for want in wants:
             pool = self._rate_pools.get(PoolKey(entry=want.entry, kind=want.kind))
             if pool is not None:
-                pool.note(request.gateway, keep=want.keep, returned=want.returned)
+                pool.record_return(
+                    request.gateway, keep=want.keep, returned=want.returned
+                )
                 self._advance(want, now_s)
         for bucket in accepted:
             self._record_delegation(bucket, request, now_s)
@@ -206,7 +208,7 @@
             if bucket_of(key.entry) != bucket or entry is None:
                 continue
             shares = self.shares.slot_shares(key.entry, entry.limits.n_concurrent or 0)
-            if not pool.fits(now_s=now_s, shares=shares, heard=delegating):
+            if not pool.fits(now_s=now_s, shares=shares, delegating=delegating):
                 return False
         return True
 
@@ -251,26 +253,26 @@
 
     def _lease(
         self, want: LeaseWant, entry: Entry, gateway: str, now_s: float
-    ) -> Lent | None:
+    ) -> LeaseResult | None:
         key = PoolKey(entry=want.entry, kind=want.kind)
         if want.kind == LimitKind.CONCURRENCY:
             limit = entry.limits.n_concurrent
             if limit is None:
                 return None
             pool = self._slot_pools.setdefault(key, SlotPool())
-            return pool.lend(
+            return pool.grant(
                 gateway,
                 want=int(want.want),
                 keep=int(want.keep),
                 now_s=now_s,
                 deadline_s=entry.deadline_s,
                 shares=self.shares.slot_shares(want.entry, limit),
-                heard=self._delegating_to(bucket_of(want.entry), now_s),
+                delegating=self._delegating_to(bucket_of(want.entry), now_s),
             )
         rate_limit = _rate_limit(entry, want.kind)
         if rate_limit is None or key not in self._rate_pools:
             return None
-        return self._rate_pools[key].lend(
+        return self._rate_pools[key].grant(
             gateway,
             want=want.want,
             need=want.need,
@@ -279,7 +281,7 @@
         )
 
     def _record_grant(
-        self, want: LeaseWant, entry: Entry, leased: Lent, gateway: str
+        self, want: LeaseWant, entry: Entry, leased: LeaseResult, gateway: str
     ) -> None:
         """Record first grants and grants that fall short, but not renewals."""
         if not leased.is_contended and (want.keep or not leased.granted):
@@ -320,7 +322,7 @@
                 yield PoolKey(entry=name, kind=kind)
 
 
-def _grant_message(want: LeaseWant, leased: Lent) -> LeaseGrant:
+def _grant_message(want: LeaseWant, leased: LeaseResult) -> LeaseGrant:
     return LeaseGrant(
         entry=want.entry,
         kind=want.kind,
--- a/src/trefoilpaddle/coordination/limits/limits.py
+++ b/src/trefoilpaddle/coordination/limits/limits.py
@@ -19,8 +19,8 @@
 from ...state.gateway_shares import N_BUCKETS, GatewayShares, bucket_key, bucket_of
 from ...state.journal import Decision, Event, Figure, Journal
 from ...state.lease_times import HOLD_S, slot_hold_s
-from ...state.places import Place, place_list
 from ...state.published import Published
+from ...state.replicas import Replica, replica_list
 from ..requests.peer_client import PeerClient
 from ..requests.request_guards import UNLIMITED_PERMIT, Permit
 from .entry_allowances import AdmissionTimes, EntryAllowances
@@ -109,7 +109,7 @@
         self._clock = clock
         self._start_s = clock()
         self._allowances: dict[str, EntryAllowances] = {}
-        self._homes: dict[int, Place] = {}
+        self._homes: dict[int, Replica] = {}
         self._holds_s: dict[int, float] = {}
         self._delegations: dict[int, ShareDelegation] = {}
         self._reported_s: dict[str, float] = {}
@@ -215,7 +215,7 @@
 
     def _on_published(self) -> None:
         self.shares.set_hosts(self._published.hosts)
-        replicas = place_list(self._published.hosts)
+        replicas = replica_list(self._published.hosts)
         entries = self._published.catalogue.entries
         limited_buckets = {
             bucket_of(n) for n, e in entries.items() if e.limits != NO_LIMITS
@@ -290,7 +290,7 @@
     # Lease requests
 
     def next_lease_request(
-        self, home: Place, incarnation: int, now_s: float
+        self, home: Replica, incarnation: int, now_s: float
     ) -> LeaseAsk:
         """Return the lease request to send to `home` now, recorded as sent."""
         home_buckets = [b for b, place in self._homes.items() if place == home]
@@ -322,7 +322,7 @@
         )
 
     def _may_delegate(
-        self, bucket: int, home: Place, incarnation: int, now_s: float
+        self, bucket: int, home: Replica, incarnation: int, now_s: float
     ) -> bool:
         """Return True if no other home can still lease out this gateway's share.
 
@@ -340,14 +340,16 @@
     def _hold_s(self, bucket: int) -> float:
         return self._holds_s.get(bucket, HOLD_S)
 
-    def _releases(self, home: Place, home_buckets: frozenset[int]) -> list[int]:
+    def _releases(self, home: Replica, home_buckets: frozenset[int]) -> list[int]:
         return [
             bucket
             for bucket, delegation in self._delegations.items()
             if delegation.home == home.process_id and bucket not in home_buckets
         ]
 
-    def apply_answer(self, home: Place, answer: LeaseAnswer, *, sent_s: float) -> None:
+    def apply_answer(
+        self, home: Replica, answer: LeaseAnswer, *, sent_s: float
+    ) -> None:
         """Apply the response to the lease request sent at `sent_s`."""
         now_s = self._clock()
         for bucket in answer.released:
@@ -361,7 +363,7 @@
         if self.contacts.keys() - {place.process_id for place in self._homes.values()}:
             self._open_contacts()
 
-    def record_home_lost(self, home: Place) -> None:
+    def record_home_lost(self, home: Replica) -> None:
         """Record that `home` does not respond any more."""
         self._journal.record(
             Decision(
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -140,12 +140,12 @@
         for record in records:
             if record.process_id == self.own.process_id:
                 self._refute_outdated(record)
-            elif self.table.join([record]):
+            elif self.table.merge([record]):
                 self._record_change(record)
 
     def report_state(self, process_id: str, state: MemberState) -> None:
         """Set and spread the state of another process as observed by this one."""
-        record = self.table.say(process_id, state)
+        record = self.table.set_state(process_id, state)
         if record is not None:
             self._record_change(record)
 
@@ -376,13 +376,13 @@
         After a restart or a pause the others may still hold a record of an earlier
         incarnation, or one that marks this process as suspected.
         """
-        if record == self.own or not record.overrules(self.own):
+        if record == self.own or not record.supersedes(self.own):
             return
         self._set_own(replace(self.own, beat=record.beat + 1))
 
     def _set_own(self, record: MemberRecord) -> None:
         self.own = record
-        self.table.join([record])
+        self.table.merge([record])
         self._queue_update(record)
 
     def _record_change(self, record: MemberRecord) -> None:
--- a/src/trefoilpaddle/coordination/placing/placement.py
+++ b/src/trefoilpaddle/coordination/placing/placement.py
@@ -14,7 +14,13 @@
 from ...protocol.gen.stage.ttypes import Hello, Start
 from ...state.hosts import Host
 from ...state.journal import Decision, Event, Figure, Journal
-from ...state.model_plan import MODELS_PER_TARGET, Holder, Steadied, may_unload, planned
+from ...state.model_plan import (
+    MODELS_PER_TARGET,
+    Holder,
+    StableChanges,
+    may_unload,
+    plan_placement,
+)
 from ...state.published import Published
 from ...state.rendezvous import highest
 from ...transport.connection import Connection
@@ -114,7 +120,7 @@
         self._random = random.Random(seed)
         self._reports: dict[str, PeerReport] = {}
         self._demand: dict[str, float] = {}
-        self._steadied = Steadied()
+        self._steadied = StableChanges()
         self._not_before_s = 0.0
         self.loaded = loaded
 
@@ -207,7 +213,7 @@
         reports = self._fresh_reports()
         models = self._models()
         targets = [self._process_id, *(r.holder.process_id for r in reports)]
-        plan = planned(models, self._total_demand(reports), targets)
+        plan = plan_placement(models, self._total_demand(reports), targets)
         own_models = frozenset(
             m for m, holders in plan.items() if self._process_id in holders
         )
@@ -217,7 +223,7 @@
             for model in self.loaded - own_models
             if models and may_unload(model, me=self._process_id, others=others)
         ]
-        changes = self._steadied.agreed([*(own_models - self.loaded), *extra])
+        changes = self._steadied.confirm([*(own_models - self.loaded), *extra])
         if not changes or self._clock() < self._not_before_s:
             return
         loads = [model for model in changes if model in own_models]
--- a/src/trefoilpaddle/coordination/requests/attempts.py
+++ b/src/trefoilpaddle/coordination/requests/attempts.py
@@ -7,7 +7,7 @@
 from ...protocol.gen.stage.ttypes import BarState, End, Failure, Start
 from ...protocol.reasons import Reason
 from ...state.held_results import HeldResults
-from ...state.spent_ids import Spent, SpentIds
+from ...state.used_ids import UsedIds, UsedState
 from ...state.work_queue import Work
 from ...transport.connection import Connection
 from ...transport.target_http import SendGuard
@@ -135,13 +135,13 @@
     ----------
     held : HeldResults
         Bounds the memory of finished answers.
-    spent : SpentIds
+    spent : UsedIds
         Remembers the ids of attempts that have ended.
     """
 
     __slots__ = ("_attempts", "_is_empty", "body_bytes", "held", "spent")
 
-    def __init__(self, *, held: HeldResults, spent: SpentIds) -> None:
+    def __init__(self, *, held: HeldResults, spent: UsedIds) -> None:
         self._attempts: dict[bytes, Attempt] = {}
         self._is_empty = asyncio.Event()
         self._is_empty.set()
@@ -190,14 +190,14 @@
         self._end(attempt)
         self.held.shrink(attempt.stream.answer.n_bytes)
         self._pop(attempt.attempt_id)
-        self.spent.add(attempt.attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
+        self.spent.add(attempt.attempt_id, UsedState.NEVER_STARTED, now_ns=now_ns)
         if failure is not None:
             attempt.stream.finish(failure)
 
     def end_ran(self, attempt: Attempt, outcome: End | Failure, *, now_ns: int) -> None:
         """End an attempt that has run; hold its answer until it is acknowledged."""
         self._end(attempt)
-        self.spent.add(attempt.attempt_id, Spent.RAN, now_ns=now_ns)
+        self.spent.add(attempt.attempt_id, UsedState.RAN, now_ns=now_ns)
         self.held.hold(
             attempt.attempt_id, n_bytes=attempt.stream.answer.n_bytes, now_ns=now_ns
         )
@@ -206,7 +206,7 @@
     def mark_refused(self, attempt_id: bytes, *, now_ns: int) -> None:
         """Record the id of a refused attempt, so that it is refused again if resent."""
         if len(attempt_id) == ATTEMPT_ID_BYTES:
-            self.spent.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
+            self.spent.add(attempt_id, UsedState.NEVER_STARTED, now_ns=now_ns)
 
     def release(self, attempt_id: bytes) -> Attempt | None:
         """Free a held answer; return its attempt, or None if it is not held."""
@@ -228,12 +228,12 @@
         if len(attempt_id) != ATTEMPT_ID_BYTES:
             return BarState.FORGOTTEN
         match self.spent.get(attempt_id):
-            case Spent.NEVER_STARTED:
+            case UsedState.NEVER_STARTED:
                 return BarState.BARRED
-            case Spent.RAN:
+            case UsedState.RAN:
                 return BarState.FORGOTTEN
         is_complete = self.spent.is_complete(now_ns)
-        self.spent.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
+        self.spent.add(attempt_id, UsedState.NEVER_STARTED, now_ns=now_ns)
         return BarState.BARRED if is_complete else BarState.FORGOTTEN
 
     def _end(self, attempt: Attempt) -> None:
--- a/src/trefoilpaddle/coordination/requests/pipeline_run.py
+++ b/src/trefoilpaddle/coordination/requests/pipeline_run.py
@@ -168,7 +168,7 @@
             size=size,
             expected_s=estimate.expected_s(size),
             high_s=high_s,
-            size_s=estimate.size_s(size),
+            size_s=estimate.input_size_s(size),
             is_warm=estimate.is_warm,
             deadline_s=request.deadline_s,
             stage_deadline_s=now_s + budget_s,
--- a/src/trefoilpaddle/coordination/requests/routing.py
+++ b/src/trefoilpaddle/coordination/requests/routing.py
@@ -163,7 +163,7 @@
         """Record that the prompt of `work` is likely cached at `view` from now on."""
         if work.prefix_hashes:
             service = work.stage.service
-            self._prefixes.note(service, work.prefix_hashes, view.process_id)
+            self._prefixes.record(service, work.prefix_hashes, view.process_id)
 
     def least_wait_s(self, service: str, entry: Entry) -> float:
         """Return the shortest predicted queueing time of a call of `entry`."""
--- a/src/trefoilpaddle/coordination/targets/dispatcher.py
+++ b/src/trefoilpaddle/coordination/targets/dispatcher.py
@@ -377,7 +377,7 @@
 
     def _settle(self, attempt: Attempt, *, used_s: float) -> None:
         if attempt.work is not None:
-            self._queue.settle(attempt.work, used_s=used_s)
+            self._queue.correct_charge(attempt.work, used_s=used_s)
 
     def _learn(self, attempt: Attempt) -> None:
         limit = self._running.limit
--- a/src/trefoilpaddle/coordination/targets/queue_policy.py
+++ b/src/trefoilpaddle/coordination/targets/queue_policy.py
@@ -115,7 +115,7 @@
     was_s = slots.wait_s(ahead_s)
     displaced: list[Work] = []
     left_s = ahead_s
-    for other in queue.lower_orders(work):
+    for other in queue.preceding_lower_order(work):
         displaced.append(other)
         left_s = max(0.0, left_s - other.predicted_s)
         waits_s = slots.wait_s(left_s)
@@ -125,7 +125,7 @@
                 displaced=tuple(displaced),
                 displaced_for=Reason.BROWNOUT,
             )
-    longest = queue.longest_before(work)
+    longest = queue.longest_preceding(work)
     if longest is not None:
         waits_s = slots.wait_s(max(0.0, ahead_s - longest.predicted_s))
         if waits_s <= may_wait_s:
--- a/src/trefoilpaddle/coordination/targets/running_calls.py
+++ b/src/trefoilpaddle/coordination/targets/running_calls.py
@@ -55,7 +55,7 @@
         service_s = (now_ns - attempt.started_ns) / NS_PER_S
         predicted_s = attempt.start.predicted_s
         now_s = now_ns / NS_PER_S
-        self._slowness.note(service_s=service_s, predicted_s=predicted_s, now_s=now_s)
+        self._slowness.record(service_s=service_s, predicted_s=predicted_s, now_s=now_s)
         self._count(now_ns)
         _, area = self._calls[attempt.attempt_id]
         sample = Sample(
@@ -64,7 +64,7 @@
             mean_running=(self._area - area) / max(1e-9, service_s),
             now_s=now_s,
         )
-        self.limit.note(sample)
+        self.limit.record(sample)
 
     def slowness(self, now_ns: int) -> float:
         """Return how much slower than predicted the target is of late."""
--- a/src/trefoilpaddle/replay/fleet_steps.py
+++ b/src/trefoilpaddle/replay/fleet_steps.py
@@ -103,12 +103,12 @@
 
     def first() -> None:
         fresh = ConfigItems()
-        fresh.join(published, revision=revision)
-        CatalogueBuilder().put_in_force(fresh)
+        fresh.merge(published, revision=revision)
+        CatalogueBuilder().activate(fresh)
 
     tracemalloc.start()
-    items.join(items_of(n_keys), revision=revision)
-    selection = builder.put_in_force(items)
+    items.merge(items_of(n_keys), revision=revision)
+    selection = builder.activate(items)
     held_kb = tracemalloc.get_traced_memory()[0] / KIB
     tracemalloc.stop()
     assert not selection.held_back
@@ -118,7 +118,7 @@
         at = items.revision + 1
         version = Version(revision=at, value=changed.version.value)
         item = PublishedItem(key=changed.key, version=version)
-        builder.put_in_force(items, items.join([item], revision=at))
+        builder.activate(items, items.merge([item], revision=at))
 
     return [
         Step(
@@ -208,7 +208,7 @@
     """Return what `n` members cost to hold, to choose among and to send."""
     tracemalloc.start()
     table = MemberTable()
-    table.join(records_of(n))
+    table.merge(records_of(n))
     held_kb = tracemalloc.get_traced_memory()[0] / KIB
     tracemalloc.stop()
     records = list(table.records.values())
@@ -218,7 +218,7 @@
         Step(
             name="members joined; memory",
             size=n,
-            cpu_ms=cpu_ms(lambda: MemberTable().join(records)),
+            cpu_ms=cpu_ms(lambda: MemberTable().merge(records)),
             size_kb=held_kb,
         ),
         Step(
--- a/src/trefoilpaddle/roles/operators.py
+++ b/src/trefoilpaddle/roles/operators.py
@@ -32,7 +32,7 @@
     use_statuses,
 )
 from ..state.tally import Tally
-from ..state.timeline import Step, encode_steps, tell
+from ..state.timeline import Step, encode_steps, steps_of
 from ..transport.connection import Address
 from .process import Process
 
@@ -87,8 +87,8 @@
         self._tally = Tally()
         self.metrics = Metrics()
         self._set_gauges()
-        process.journal.subscribe_later(self._tally.count)
-        process.journal.subscribe_later(self.metrics.count)
+        process.journal.subscribe_on_flush(self._tally.count)
+        process.journal.subscribe_on_flush(self.metrics.count)
         process.server.answer(ExplainAsk, self._answer_explain)
         process.server.answer(StatusAsk, self._answer_status)
 
@@ -129,7 +129,7 @@
         journal = self._process.journal
         records = journal.timeline(request_id)
         return list(
-            tell(records, process_id=journal.process_id, now_s=time.monotonic())
+            steps_of(records, process_id=journal.process_id, now_s=time.monotonic())
         )
 
     def app(self) -> web.Application:
--- a/src/trefoilpaddle/roles/sidecar.py
+++ b/src/trefoilpaddle/roles/sidecar.py
@@ -32,7 +32,7 @@
 from ..state.held_results import HeldResults
 from ..state.journal import Decision, Event, Journal
 from ..state.settings import Order, SidecarSettings
-from ..state.spent_ids import SpentIds
+from ..state.used_ids import UsedIds
 from ..state.work_queue import FifoQueue, WorkQueue
 from ..transport.connection import CLOSE_TIMEOUT_S, Address
 from ..transport.port_lock import PortLockError, held_port
@@ -135,7 +135,7 @@
                 keep_ns=int(settings.retention.held_results_s * NS_PER_S),
                 on_drop=self._on_drop,
             ),
-            spent=SpentIds(),
+            spent=UsedIds(),
         )
         self.dispatcher = Dispatcher(
             name=target.name,
--- a/src/trefoilpaddle/state/budget.py
+++ b/src/trefoilpaddle/state/budget.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-FIRST_CREDIT: Final = 5.0
+INITIAL_CREDIT: Final = 5.0
 """Repeats that a service has before its calls have earned any."""
 
 MAX_CREDIT: Final = 20.0
@@ -29,7 +29,7 @@
     def __init__(self, *, share: float, is_limited: bool = True) -> None:
         self.share = share
         self._is_limited = is_limited
-        self._credit = FIRST_CREDIT
+        self._credit = INITIAL_CREDIT
         self.n_calls = 0
         self.n_spent = 0
         self.n_refused = 0
--- a/src/trefoilpaddle/state/catalogue_build.py
+++ b/src/trefoilpaddle/state/catalogue_build.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from .catalogue import Catalogue, CatalogueValue
-from .catalogue_read import names_of, read_value
+from .catalogue_read import read_value, referenced_keys
 from .config_items import ConfigItems, KeyState, PublishedItem, Version
 from .problems import Problem
 
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Dangling:
+class _DanglingReference:
     """A chosen value that names a key which does not exist."""
 
     holder: str
@@ -90,7 +90,7 @@
         self._holders: dict[str, set[str]] = {}
         self._last: Selection | None = None
 
-    def put_in_force(
+    def activate(
         self, items: ConfigItems, changed: Collection[str] | None = None
     ) -> Selection:
         """Return the catalogue that `items` put in force and mark it accepted.
@@ -107,18 +107,20 @@
             Keys that changed since the last call; all if None. The outcome is
             the same, only sooner where nothing is held back.
         """
-        selection = self._put_few(items, changed) if changed is not None else None
-        self._last = selection or self._put_all(items)
+        selection = (
+            self._select_changed(items, changed) if changed is not None else None
+        )
+        self._last = selection or self._select_all(items)
         self._forget(items)
         return self._last
 
-    def _put_all(self, items: ConfigItems) -> Selection:
+    def _select_all(self, items: ConfigItems) -> Selection:
         choices = {key: self._first(key, at) for key, at in items.keys.items()}
         reasons: dict[str, Problem] = {}
-        while blamed := _blamed(choices, items):
+        while blamed := _changes_to_revert(choices, items):
             for key, problem in blamed.items():
                 reasons.setdefault(key, problem)
-                choices[key] = self._below(key, items.keys[key], choices[key])
+                choices[key] = self._fall_back(key, items.keys[key], choices[key])
         held_back = tuple(self._held_back(choices, reasons, items))
         for key, choice in choices.items():
             if choice.revision == items.keys[key].newest.revision:
@@ -131,7 +133,7 @@
             catalogue=_catalogue(choices, revision=items.revision), held_back=held_back
         )
 
-    def _put_few(
+    def _select_changed(
         self, items: ConfigItems, changed: Collection[str]
     ) -> Selection | None:
         """Return the selection after a few changes, or None if all must be seen.
@@ -148,7 +150,7 @@
                     new[key] = choice
                 case Err(_):
                     return None
-        if any(self._is_amiss(key, choice, new) for key, choice in new.items()):
+        if any(self._is_inconsistent(key, choice, new) for key, choice in new.items()):
             return None
         for key, choice in new.items():
             self._release(key)
@@ -161,7 +163,9 @@
             held_back=(),
         )
 
-    def _is_amiss(self, key: str, choice: _Choice, new: Mapping[str, _Choice]) -> bool:
+    def _is_inconsistent(
+        self, key: str, choice: _Choice, new: Mapping[str, _Choice]
+    ) -> bool:
         """Return True if a changed key names, or leaves named, what is not there."""
 
         def current(other: str) -> _Choice:
@@ -215,7 +219,7 @@
                 lambda value: _Choice(
                     revision=version.revision,
                     value=value,
-                    names=tuple(names_of(value)),
+                    names=tuple(referenced_keys(value)),
                 )
             )
             self._read[at] = read
@@ -233,7 +237,7 @@
             return ABSENT
         return self._verdict(key, at.accepted).unwrap_or(ABSENT)
 
-    def _below(self, key: str, at: KeyState, choice: _Choice) -> _Choice:
+    def _fall_back(self, key: str, at: KeyState, choice: _Choice) -> _Choice:
         if choice.revision == at.newest.revision:
             return self._accepted(key, at)
         return ABSENT
@@ -250,7 +254,9 @@
         self._read = {at: read for at, read in self._read.items() if at in held}
 
 
-def _blamed(choices: Mapping[str, _Choice], items: ConfigItems) -> dict[str, Problem]:
+def _changes_to_revert(
+    choices: Mapping[str, _Choice], items: ConfigItems
+) -> dict[str, Problem]:
     """Return the changes that must fall back next, deletions first.
 
     Deletions go first because restoring what they removed can leave nothing
@@ -279,7 +285,7 @@
 
 
 def _is_deletion_to_blame(
-    dangling: _Dangling, choices: Mapping[str, _Choice], items: ConfigItems
+    dangling: _DanglingReference, choices: Mapping[str, _Choice], items: ConfigItems
 ) -> bool:
     named = choices.get(dangling.named)
     if named is None or named.revision <= choices[dangling.holder].revision:
@@ -288,11 +294,11 @@
     return accepted is not None and accepted.revision < named.revision
 
 
-def _danglings(choices: Mapping[str, _Choice]) -> Iterator[_Dangling]:
+def _danglings(choices: Mapping[str, _Choice]) -> Iterator[_DanglingReference]:
     for holder, choice in choices.items():
         for named in choice.names:
             if named not in choices or choices[named].value is None:
-                yield _Dangling(holder=holder, named=named)
+                yield _DanglingReference(holder=holder, named=named)
 
 
 def _catalogue(
@@ -339,10 +345,10 @@
     versions = {
         key: Version(revision=revision, value=value) for key, value in values.items()
     }
-    items.join(
+    items.merge(
         (PublishedItem(key=key, version=at) for key, at in versions.items()),
         revision=revision,
     )
-    selection = CatalogueBuilder().put_in_force(items)
+    selection = CatalogueBuilder().activate(items)
     problems = [problem for held in selection.held_back for problem in held.problems]
     return Err(problems) if problems else Ok(selection.catalogue)
--- a/src/trefoilpaddle/state/catalogue_diff.py
+++ b/src/trefoilpaddle/state/catalogue_diff.py
@@ -45,9 +45,9 @@
         return f"{self.change} {self.key}"
 
 
-def differences(*, in_force: Catalogue, published: Catalogue) -> Iterator[Difference]:
-    """Yield what would change if `published` took the place of `in_force`."""
-    was, becomes = _by_key(in_force), _by_key(published)
+def differences(*, active: Catalogue, published: Catalogue) -> Iterator[Difference]:
+    """Yield what would change if `published` took the place of `active`."""
+    was, becomes = _by_key(active), _by_key(published)
     for key in sorted(was.keys() | becomes.keys()):
         if key not in was:
             yield Difference(change=Change.ADD, key=key)
--- a/src/trefoilpaddle/state/catalogue_read.py
+++ b/src/trefoilpaddle/state/catalogue_read.py
@@ -71,7 +71,7 @@
     return Err([problem])
 
 
-def names_of(value: CatalogueValue | None) -> Iterator[str]:
+def referenced_keys(value: CatalogueValue | None) -> Iterator[str]:
     """Yield the keys that `value` names and cannot do without."""
     match value:
         case Entry():
--- a/src/trefoilpaddle/state/chain/prompt_record.py
+++ b/src/trefoilpaddle/state/chain/prompt_record.py
@@ -33,7 +33,7 @@
     def record(self, worker_id: str, prompt: Prompt) -> None:
         """Record that an engine has read a prompt."""
         prefixes = (prefix for prefix, _ in _prefixes(prompt))
-        self._holders.note(prefixes, worker_id, time.monotonic())
+        self._holders.record(prefixes, worker_id, time.monotonic())
 
     def forget(self, worker_id: str) -> None:
         """Forget an engine that has exited; its successor has read nothing."""
--- a/src/trefoilpaddle/state/check_files.py
+++ b/src/trefoilpaddle/state/check_files.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Checked:
+class CheckResult:
     """What a check found.
 
     Parameters
@@ -58,9 +58,9 @@
     files: dict[str, str] = field(default_factory=dict)
 
 
-def check_path(path: Path) -> Checked:
+def check_path(path: Path) -> CheckResult:
     """Return all that is wrong with the file at `path`, or all files under it."""
-    checked = Checked()
+    checked = CheckResult()
     values = _Values()
     for file in _files(path, checked):
         _check_file(file, _named(file, path), checked, values)
@@ -72,7 +72,7 @@
     return checked
 
 
-def _files(path: Path, checked: Checked) -> list[Path]:
+def _files(path: Path, checked: CheckResult) -> list[Path]:
     if path.is_dir():
         return sorted(p for p in path.rglob("*") if p.suffix in SUFFIXES)
     if path.is_file():
@@ -86,7 +86,7 @@
     return str(file.relative_to(path)) if path.is_dir() else file.name
 
 
-def _check_file(file: Path, source: str, checked: Checked, values: _Values) -> None:
+def _check_file(file: Path, source: str, checked: CheckResult, values: _Values) -> None:
     match _read(file, source):
         case Err(problem):
             checked.problems.append(problem)
@@ -122,7 +122,7 @@
 
 
 def _check_settings(
-    file: Path, source: str, table: dict[str, Any], checked: Checked
+    file: Path, source: str, table: dict[str, Any], checked: CheckResult
 ) -> None:
     loaded = load_sidecar(file) if "target" in table else load_gateway(file)
     match loaded:
@@ -133,7 +133,11 @@
 
 
 def _collect(
-    file: Path, source: str, table: dict[str, Any], checked: Checked, values: _Values
+    file: Path,
+    source: str,
+    table: dict[str, Any],
+    checked: CheckResult,
+    values: _Values,
 ) -> None:
     for key, value in _by_key(file, table):
         if key in values.files:
@@ -163,7 +167,7 @@
             yield key, value
 
 
-def _check_catalogue(values: _Values, checked: Checked) -> None:
+def _check_catalogue(values: _Values, checked: CheckResult) -> None:
     match build_catalogue(values.json_by_key):
         case Ok(catalogue):
             checked.catalogue = catalogue
--- a/src/trefoilpaddle/state/claim_table.py
+++ b/src/trefoilpaddle/state/claim_table.py
@@ -18,7 +18,7 @@
 
 
 @unique
-class ClaimStage(Enum):
+class ClaimPhase(Enum):
     """How far a claim has come."""
 
     PENDING = auto()
@@ -45,7 +45,7 @@
         Of pipeline and body.
     is_idempotent : bool
         True if the request may be run again.
-    stage : ClaimStage
+    phase : ClaimPhase
         How far it has come.
     result : bytes, optional
         The stored answer of a finished request.
@@ -62,7 +62,7 @@
     fingerprint: int = 0
     is_idempotent: bool = False
     grant: int = 0
-    stage: ClaimStage = ClaimStage.RUNNING
+    phase: ClaimPhase = ClaimPhase.RUNNING
     result: bytes | None = None
     overdue_s: float = 0.0
     expires_s: float = 0.0
@@ -137,34 +137,34 @@
         self._expire_at(record, record.overdue_s + self.window_s)
         return True
 
-    def after(self, key: str) -> list[ClaimRecord]:
+    def records_after(self, key: str) -> list[ClaimRecord]:
         """Return the records of keys beyond `key`, in order of key."""
         self._expire()
         return [self._records[name] for name in sorted(self._records) if name > key]
 
-    def copy_in(
+    def add_copy(
         self, record: ClaimRecord, *, overdue_in_s: float, expires_in_s: float
     ) -> bool:
         """Keep a record that another place holds; return False if full."""
         result, record.result = record.result, None
         if not self.add(record, budget_s=overdue_in_s):
             return False
-        if result is not None and self._has_room(result):
+        if result is not None and self._has_space(result):
             record.result = result
             self._results_bytes += len(result)
         self._expire_at(record, self._clock() + expires_in_s)
         return True
 
-    def keep_until(self, record: ClaimRecord, *, for_s: float) -> None:
+    def expire_after(self, record: ClaimRecord, *, for_s: float) -> None:
         """Forget `record` after `for_s` seconds from now."""
         self._expire_at(record, self._clock() + for_s)
 
     def finish(self, record: ClaimRecord, *, result: bytes | None) -> None:
         """Mark `record` done; None where the answer was too large to keep."""
-        if record.stage is ClaimStage.DONE:
+        if record.phase is ClaimPhase.DONE:
             return
-        record.stage = ClaimStage.DONE
-        if result is not None and self._has_room(result):
+        record.phase = ClaimPhase.DONE
+        if result is not None and self._has_space(result):
             record.result = result
             self._results_bytes += len(result)
         self._expire_at(record, self._clock() + self.window_s)
@@ -175,7 +175,7 @@
         if record is not None and record.result is not None:
             self._results_bytes -= len(record.result)
 
-    def _has_room(self, result: bytes) -> bool:
+    def _has_space(self, result: bytes) -> bool:
         if len(result) > MAX_RESULT_BYTES:
             return False
         return self._results_bytes + len(result) <= self._max_results_bytes
--- a/src/trefoilpaddle/state/concurrency.py
+++ b/src/trefoilpaddle/state/concurrency.py
@@ -12,7 +12,7 @@
 DOWN_GAIN: Final = 0.05
 """Share of the ideal gain below which the uppermost slots are given up."""
 
-MAX_PATIENCE: Final = 8
+MAX_BACKOFF: Final = 8
 """Most times that the next trial is put off after fruitless ones."""
 
 MAX_FACTOR: Final = 4
@@ -54,7 +54,7 @@
         """Take the number that the catalogue names."""
         ...
 
-    def note(self, sample: Sample) -> None:
+    def record(self, sample: Sample) -> None:
         """Learn from one ended call."""
         ...
 
@@ -71,11 +71,11 @@
         """Take the number that the catalogue names."""
         self.n_slots = n_slots
 
-    def note(self, sample: Sample) -> None:
+    def record(self, sample: Sample) -> None:
         """Learn nothing."""
 
 
-class Side:
+class SlotMeasurement:
     """Calls measured at one number of slots."""
 
     __slots__ = ("_mean_running", "_predicted_s", "_service_s", "n_samples")
@@ -132,10 +132,10 @@
             self._base = n_slots
             self._restart(n_slots)
 
-    def note(self, sample: Sample) -> None:
+    def record(self, sample: Sample) -> None:
         """Learn from one ended call that ran while all slots were taken."""
         if self._probe is not None:
-            self._note_probe(self._probe, sample)
+            self._record_probe(self._probe, sample)
             return
         if not self._fits(sample, self._n):
             return
@@ -145,8 +145,8 @@
 
     def _restart(self, n_slots: int) -> None:
         self._n = n_slots
-        self._kept = Side()
-        self._probe: Side | None = None
+        self._kept = SlotMeasurement()
+        self._probe: SlotMeasurement | None = None
         self._probe_since_s = 0.0
         self._patience = 1
         self._up = True
@@ -166,12 +166,12 @@
     def _begin_probe(self, now_s: float) -> None:
         if self._probe_slots() == self._n:
             self._up = not self._up
-            self._kept = Side()
+            self._kept = SlotMeasurement()
             return
-        self._probe = Side()
+        self._probe = SlotMeasurement()
         self._probe_since_s = now_s
 
-    def _note_probe(self, probe: Side, sample: Sample) -> None:
+    def _record_probe(self, probe: SlotMeasurement, sample: Sample) -> None:
         if self._fits(sample, self._probe_slots()):
             probe.add(sample)
         if probe.n_samples >= N_SAMPLES:
@@ -179,7 +179,7 @@
         elif sample.now_s - self._probe_since_s > PROBE_MAX_S:
             self._end_probe(has_moved=False)
 
-    def _conclude(self, probe: Side) -> None:
+    def _conclude(self, probe: SlotMeasurement) -> None:
         tried = self._probe_slots()
         few, many = (self._kept, probe) if self._up else (probe, self._kept)
         n_few, n_many = sorted((self._n, tried))
@@ -191,9 +191,9 @@
 
     def _end_probe(self, *, has_moved: bool) -> None:
         self._probe = None
-        self._kept = Side()
+        self._kept = SlotMeasurement()
         if has_moved:
             self._patience = 1
             return
         self._up = not self._up
-        self._patience = min(MAX_PATIENCE, 2 * self._patience)
+        self._patience = min(MAX_BACKOFF, 2 * self._patience)
--- a/src/trefoilpaddle/state/config_items.py
+++ b/src/trefoilpaddle/state/config_items.py
@@ -93,7 +93,7 @@
             total ^= digest
         return total
 
-    def join(self, items: Iterable[PublishedItem], *, revision: int) -> set[str]:
+    def merge(self, items: Iterable[PublishedItem], *, revision: int) -> set[str]:
         """Take in `items` and return the keys of which something was news.
 
         Parameters
@@ -104,7 +104,7 @@
             Revision up to which the sender knows every change. A lower one than
             the own is ignored, so a stale source cannot make it fall.
         """
-        changed = {item.key for item in items if self._join_one(item)}
+        changed = {item.key for item in items if self._merge_one(item)}
         self.revision = max(self.revision, revision)
         return changed
 
@@ -147,7 +147,7 @@
         is_accepted = state.accepted == state.newest
         yield PublishedItem(key=key, version=state.newest, is_accepted=is_accepted)
 
-    def _join_one(self, item: PublishedItem) -> bool:
+    def _merge_one(self, item: PublishedItem) -> bool:
         was = self.keys.get(item.key)
         if was is None:
             accepted = item.version if item.is_accepted else None
--- a/src/trefoilpaddle/state/estimate.py
+++ b/src/trefoilpaddle/state/estimate.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-FORGETTING: Final = 0.995
-FIRST_VARIANCE: Final = 100.0
+FORGETTING_FACTOR: Final = 0.995
+INITIAL_VARIANCE: Final = 100.0
 MAX_VARIANCE: Final = 1e4
 MAX_KINDS: Final = 2000
 MIN_SAMPLES: Final = 8
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self._weights = (0.0, 0.0, 0.0)
         # The upper triangle of a symmetric matrix, row by row.
-        variance = FIRST_VARIANCE
+        variance = INITIAL_VARIANCE
         self._covariance = (variance, 0.0, 0.0, variance, 0.0, variance)
         self._ratio = 1.0
         self.n_samples = 0
@@ -68,7 +68,7 @@
         one, n_bytes, n_tokens = size.features()
         return max(MIN_S, base_s * one + byte_s * n_bytes + token_s * n_tokens)
 
-    def size_s(self, size: WorkSize) -> float:
+    def input_size_s(self, size: WorkSize) -> float:
         """Return the part of the fitted seconds that grows with the input."""
         return max(0.0, self._weights[1] * size.features()[1])
 
@@ -97,7 +97,7 @@
         gain_x = xx * x + xy * y + xz * z
         gain_y = xy * x + yy * y + yz * z
         gain_z = xz * x + yz * y + zz * z
-        scale = FORGETTING + x * gain_x + y * gain_y + z * gain_z
+        scale = FORGETTING_FACTOR + x * gain_x + y * gain_y + z * gain_z
         weight_x, weight_y, weight_z = self._weights
         error = measured_s - (weight_x * x + weight_y * y + weight_z * z)
         step = error / scale
@@ -107,12 +107,12 @@
             weight_z + gain_z * step,
         )
         covariance = (
-            (xx - gain_x * gain_x / scale) / FORGETTING,
-            (xy - gain_x * gain_y / scale) / FORGETTING,
-            (xz - gain_x * gain_z / scale) / FORGETTING,
-            (yy - gain_y * gain_y / scale) / FORGETTING,
-            (yz - gain_y * gain_z / scale) / FORGETTING,
-            (zz - gain_z * gain_z / scale) / FORGETTING,
+            (xx - gain_x * gain_x / scale) / FORGETTING_FACTOR,
+            (xy - gain_x * gain_y / scale) / FORGETTING_FACTOR,
+            (xz - gain_x * gain_z / scale) / FORGETTING_FACTOR,
+            (yy - gain_y * gain_y / scale) / FORGETTING_FACTOR,
+            (yz - gain_y * gain_z / scale) / FORGETTING_FACTOR,
+            (zz - gain_z * gain_z / scale) / FORGETTING_FACTOR,
         )
         # Work whose size never varies excites one direction alone; forgetting
         # then grows the others without end, and the first odd size would throw
--- a/src/trefoilpaddle/state/fair_queue.py
+++ b/src/trefoilpaddle/state/fair_queue.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-from .work_queue import Ahead, OwnerWork, Work
+from .work_queue import OwnerBacklog, Work, WorkAhead
 
 MIN_CHARGE_S: Final = 0.001
 """Charged for work of unknown size, until it is known what it used."""
@@ -58,7 +58,7 @@
         """Return the share kept for its entries that have work."""
         return sum(self._floors.values())
 
-    def take_floors(self, other: "Flow") -> None:
+    def copy_floors(self, other: "Flow") -> None:
         """Keep the floors that `other` keeps now."""
         self._floors = dict(other._floors)
 
@@ -90,7 +90,7 @@
             at += 1
         return False
 
-    def before(self, work: Work) -> list[Work]:
+    def preceding(self, work: Work) -> list[Work]:
         """Return what goes before `work` inside this share."""
         at = bisect_left(self.waiting, work.latest_start_ns, key=_slack_key)
         return self.waiting[:at]
@@ -125,7 +125,7 @@
         """Add `work`."""
         flow = self._flows.get(work.owner)
         if flow is None:
-            self._forget_idle()
+            self._evict_idle()
             flow = Flow(owner=work.owner, tag_s=self._now_s)
             self._flows[work.owner] = flow
         if not flow.waiting:
@@ -157,14 +157,14 @@
         self._take_off(work)
         return True
 
-    def settle(self, work: Work, *, used_s: float) -> None:
+    def correct_charge(self, work: Work, *, used_s: float) -> None:
         """Replace what the owner was charged for `work` by what it has used."""
         flow = self._flows.get(work.owner)
         if flow is not None and work.charged_s > 0.0:
             flow.tag_s += (used_s - work.charged_s) / work.charged_share
         work.charged_s = 0.0
 
-    def ahead(self, work: Work) -> Ahead:
+    def ahead(self, work: Work) -> WorkAhead:
         """Return what would start before `work`, which need not wait yet.
 
         While the owner's own work before it is served, the others get their
@@ -172,13 +172,13 @@
         served beyond its share. More than all that waits is never ahead.
         """
         flow = self._flows.get(work.owner)
-        before = flow.before(work) if flow is not None else []
+        before = flow.preceding(work) if flow is not None else []
         share = self.share_of(work)
         lead_s = max(0.0, flow.tag_s - self._now_s) if flow is not None else 0.0
         own_s = sum(other.predicted_s for other in before)
         others_s = self.work_s - (flow.work_s if flow is not None else 0.0)
         ahead_s = own_s + min(others_s, lead_s + own_s / share - own_s)
-        return Ahead(n_ahead=len(before), work_s=ahead_s)
+        return WorkAhead(n_ahead=len(before), work_s=ahead_s)
 
     def share_of(self, work: Work) -> float:
         """Return the share of the owner of `work` were it waiting."""
@@ -188,14 +188,14 @@
         own = Flow(owner=work.owner, tag_s=0.0)
         present = self._flows.get(work.owner)
         if present is not None:
-            own.take_floors(present)
+            own.copy_floors(present)
         own.push(work)
         return shares([*others, own])[work.owner]
 
-    def by_owner(self) -> list[OwnerWork]:
+    def by_owner(self) -> list[OwnerBacklog]:
         """Return what each owner has waiting."""
         return [
-            OwnerWork(owner=flow.owner, work_s=flow.work_s, weight=flow.weight)
+            OwnerBacklog(owner=flow.owner, work_s=flow.work_s, weight=flow.weight)
             for flow in self._backlogged()
         ]
 
@@ -207,7 +207,7 @@
         goes first, then what is farthest over its share, then the latest. The
         list ends before `work` itself would be the one to go.
         """
-        over = self._over_share(work)
+        over = self._excess_shares(work)
         rows = [
             (other.brownout_order, -over[other.owner], -other.latest_start_ns, other)
             for other in (*self, work)
@@ -217,20 +217,20 @@
         order = [row[3] for row in rows]
         return order[: order.index(work)] if work in order else order
 
-    def lower_orders(self, work: Work) -> list[Work]:
+    def preceding_lower_order(self, work: Work) -> list[Work]:
         """Return the owner's work before `work` of a lower brown-out order."""
         flow = self._flows.get(work.owner)
         if flow is None:
             return []
         lower = [
             other
-            for other in flow.before(work)
+            for other in flow.preceding(work)
             if other.brownout_order < work.brownout_order
         ]
         lower.sort(key=lambda other: (other.brownout_order, -other.predicted_s))
         return lower
 
-    def longest_before(self, work: Work) -> Work | None:
+    def longest_preceding(self, work: Work) -> Work | None:
         """Return the longest of the owner's work before `work`, if it is longer.
 
         Only work of the same or a lower brown-out order counts.
@@ -240,13 +240,13 @@
             return None
         longer = [
             other
-            for other in flow.before(work)
+            for other in flow.preceding(work)
             if other.brownout_order <= work.brownout_order
             and other.predicted_s > work.predicted_s
         ]
         return max(longer, key=lambda other: other.predicted_s, default=None)
 
-    def _over_share(self, work: Work) -> dict[str, float]:
+    def _excess_shares(self, work: Work) -> dict[str, float]:
         """Return by owner its part of the waiting work less its share."""
         work_s = {flow.owner: flow.work_s for flow in self._backlogged()}
         work_s[work.owner] = work_s.get(work.owner, 0.0) + work.predicted_s
@@ -267,7 +267,7 @@
     def _backlogged(self) -> list[Flow]:
         return [flow for flow in self._flows.values() if flow.waiting]
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         if len(self._flows) < MAX_IDLE_FLOWS:
             return
         for owner, flow in list(self._flows.items()):
--- a/src/trefoilpaddle/state/gateway_shares.py
+++ b/src/trefoilpaddle/state/gateway_shares.py
@@ -11,7 +11,7 @@
 """Entries are dealt into so many buckets; each bucket has one home, so that a
 gateway talks to few homes however many entries there are."""
 
-FORGET_GATEWAY_S: Final = 300.0
+REMOVED_GATEWAY_RETENTION_S: Final = 300.0
 """How long a gateway that left the list keeps its share: it may be alive on the
 other side of a partition and still use it."""
 
@@ -54,7 +54,7 @@
         self._revision = hosts.revision
         listed = frozenset(h.process_id for h in hosts.hosts if h.role == "gateway")
         for name in self._listed - listed:
-            self._gone[name] = self._clock() + FORGET_GATEWAY_S
+            self._gone[name] = self._clock() + REMOVED_GATEWAY_RETENTION_S
         for name in listed:
             self._gone.pop(name, None)
         self._listed = listed
@@ -84,12 +84,12 @@
         names = self.gateways()
         shares = self._slot_shares.get((entry, limit))
         if shares is None:
-            shares = _dealt(entry, limit, names)
+            shares = _divide_slots(entry, limit, names)
             self._slot_shares[(entry, limit)] = shares
         return shares
 
 
-def _dealt(entry: str, limit: int, names: frozenset[str]) -> dict[str, int]:
+def _divide_slots(entry: str, limit: int, names: frozenset[str]) -> dict[str, int]:
     if not names:
         return {}
     order = sorted(names, key=lambda name: place_score(entry, name), reverse=True)
--- a/src/trefoilpaddle/state/journal.py
+++ b/src/trefoilpaddle/state/journal.py
@@ -16,10 +16,10 @@
 from .events import Event as Event
 from .log_format import LogFormat
 
-WORK_AFTER_S: Final = 0.05
+FLUSH_DELAY_S: Final = 0.05
 """Longest time until new decisions are worked off."""
 
-MAX_NEW: Final = 64
+MAX_UNFLUSHED: Final = 64
 """New decisions after which they are worked off at once."""
 
 EVENT_WORDS: Final = {
@@ -215,14 +215,14 @@
             listener(decision)
         if len(new) == 1:
             self._flush_later()
-        elif len(new) >= MAX_NEW:
+        elif len(new) >= MAX_UNFLUSHED:
             self.flush()
 
     def subscribe(self, listener: Callable[[Decision], None]) -> None:
         """Call `listener` with each decision from now on, at once."""
         self._listeners.append(listener)
 
-    def subscribe_later(self, listener: Callable[[Decision], None]) -> None:
+    def subscribe_on_flush(self, listener: Callable[[Decision], None]) -> None:
         """Call `listener` with each decision when it is worked off; counters do."""
         self._later_listeners.append(listener)
 
@@ -257,7 +257,7 @@
         except RuntimeError:  # no loop: a tool or a test
             self.flush()
         else:
-            loop.call_later(WORK_AFTER_S, self.flush)
+            loop.call_later(FLUSH_DELAY_S, self.flush)
 
     def _keep(self, record: Record) -> None:
         if len(self._records) >= self._n_records:
--- a/src/trefoilpaddle/state/lease_allowance.py
+++ b/src/trefoilpaddle/state/lease_allowance.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Want:
+class LimitReport:
     """What a gateway tells its home of one limit; fields as in `LeaseWant`."""
 
     want: float
@@ -58,7 +58,7 @@
         self._bucket = TokenBucket()
         self.refused_until_s = now_s
 
-    def use_share(
+    def refill_from_share(
         self,
         now_s: float,
         *,
@@ -72,14 +72,14 @@
             now_s, rate_per_s=rate_per_s, from_s=from_s, burst_s=burst_s, need=need
         )
 
-    def left(self, now_s: float) -> float:
+    def available(self, now_s: float) -> float:
         """Return the units that may be used now."""
         leased = self._units if now_s < self._until_s else 0.0
         return leased + self._bucket.level
 
-    def has(self, now_s: float, n_units: float) -> bool:
+    def check_available(self, now_s: float, n_units: float) -> bool:
         """Return True if `n_units` may be used; else note that they are missed."""
-        if self.left(now_s) >= n_units:
+        if self.available(now_s) >= n_units:
             return True
         self._missed += n_units
         self._need = max(self._need, n_units)
@@ -92,7 +92,7 @@
         self._bucket.level -= n_units - leased
         self._used += leased
 
-    def is_missed(self) -> bool:
+    def has_misses(self) -> bool:
         """Return True if a request lacked units since the last report."""
         return self._missed > 0.0
 
@@ -100,12 +100,12 @@
         """Return True if a request may soon find too few units."""
         return self._units < self._low
 
-    def give_back(self, n_units: float) -> None:
+    def return_unused(self, n_units: float) -> None:
         """Return units taken and not used after all."""
         self._units += n_units
         self._used -= n_units
 
-    def report(self, now_s: float, *, period_s: float, n_spare: float) -> Want:
+    def report(self, now_s: float, *, period_s: float, n_spare: float) -> LimitReport:
         """Return what to tell the home, and count it as told.
 
         Units beyond the next period's expected use, or `n_spare` if that is
@@ -122,7 +122,7 @@
         self._low = LOW_SHARE * target
         returned = max(0.0, self._units - target)
         self._units -= returned
-        want = Want(
+        want = LimitReport(
             want=max(0.0, target - self._units),
             used=max(0.0, self._used),
             returned=returned,
@@ -153,7 +153,7 @@
     ----------
     now_s : float
         Own monotonic clock.
-    asked_s : float
+    last_request_s : float
         When the entry's home was last asked for anything.
     """
 
@@ -168,10 +168,10 @@
         "refused_until_s",
     )
 
-    def __init__(self, *, now_s: float, asked_s: float) -> None:
+    def __init__(self, *, now_s: float, last_request_s: float) -> None:
         self._granted = 0
         self._until_s = now_s
-        self._sent_s = asked_s
+        self._sent_s = last_request_s
         self._pending = 0
         self._peak = 0
         self.n_used = 0
@@ -190,7 +190,7 @@
             return min(self._granted, share)
         return share
 
-    def has(self, n_allowed: int) -> bool:
+    def check_available(self, n_allowed: int) -> bool:
         """Return True if a place is free; else note that it is missed."""
         if self.n_used < n_allowed:
             return True
@@ -202,7 +202,7 @@
         self.n_used += 1
         self._peak = max(self._peak, self.n_used)
 
-    def is_missed(self) -> bool:
+    def has_misses(self) -> bool:
         """Return True if a request lacked a place since the last report."""
         return self._pending > 0
 
@@ -210,7 +210,9 @@
         """Free one place."""
         self.n_used -= 1
 
-    def report(self, now_s: float, *, share: int, limit: int, n_spare: int) -> Want:
+    def report(
+        self, now_s: float, *, share: int, limit: int, n_spare: int
+    ) -> LimitReport:
         """Return what to tell the home; places beyond it are given up at once.
 
         `n_spare` free places are kept for the next request, unless another
@@ -226,12 +228,12 @@
         self._sent_s = now_s
         self._peak = self.n_used
         self._pending = 0
-        return Want(want=want, keep=keep)
+        return LimitReport(want=want, keep=keep)
 
     def grant(
-        self, n_places: int, *, sent_s: float, now_s: float, retry_after_s: float
+        self, n_slots: int, *, sent_s: float, now_s: float, retry_after_s: float
     ) -> None:
         """Take the answer to the ask sent at `sent_s`."""
-        self._granted = n_places
+        self._granted = n_slots
         self._until_s = sent_s + LEASE_S
         self.refused_until_s = now_s + retry_after_s
--- a/src/trefoilpaddle/state/lease_table.py
+++ b/src/trefoilpaddle/state/lease_table.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Lent:
+class LeaseResult:
     """Answer to one want.
 
     Parameters
@@ -31,14 +31,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Held:
+class HeldUnits:
     """Units or places that one gateway may have, and until when."""
 
     n_held: float
     until_s: float
 
 
-class FlowPool:
+class RatePool:
     """Units of one rate limit, refilled by the shares of the gateways heard.
 
     The pool starts empty and refills only for gateways that rely on this home,
@@ -56,14 +56,14 @@
     def __init__(self, *, now_s: float) -> None:
         self.level = 0.0
         self._now_s = now_s
-        self._held: dict[str, Held] = {}
+        self._held: dict[str, HeldUnits] = {}
         self._active: dict[str, float] = {}
 
-    def note(self, gateway: str, *, keep: float, returned: float) -> None:
+    def record_return(self, gateway: str, *, keep: float, returned: float) -> None:
         """Take what `gateway` gives back; it has `keep` units left in hand."""
         self.level += returned
         until_s = self._now_s + LEASE_S + MARGIN_S
-        self._held[gateway] = Held(n_held=keep, until_s=until_s)
+        self._held[gateway] = HeldUnits(n_held=keep, until_s=until_s)
 
     def advance(
         self, now_s: float, *, rate_per_s: float, burst_s: float, need: float
@@ -74,14 +74,14 @@
         """
         self.level += rate_per_s * max(0.0, now_s - self._now_s)
         self._now_s = now_s
-        _drop_over(self._active, now_s)
+        _remove_expired(self._active, now_s)
         for name in [g for g, held in self._held.items() if held.until_s <= now_s]:
             del self._held[name]
         most = max(need, rate_per_s * max(MIN_BURST_S, burst_s))
         n_held = sum(held.n_held for held in self._held.values())
         self.level = max(0.0, min(self.level, most - n_held))
 
-    def lend(
+    def grant(
         self,
         gateway: str,
         *,
@@ -89,7 +89,7 @@
         need: float,
         keep: float,
         rate_per_s: float,
-    ) -> Lent:
+    ) -> LeaseResult:
         """Lend `gateway` whole units.
 
         Parameters
@@ -111,14 +111,16 @@
             granted = 0.0
         self.level -= granted
         until_s = self._now_s + LEASE_S + MARGIN_S
-        self._held[gateway] = Held(n_held=keep + granted, until_s=until_s)
+        self._held[gateway] = HeldUnits(n_held=keep + granted, until_s=until_s)
         if granted >= need:
-            return Lent(granted=granted)
+            return LeaseResult(granted=granted)
         wait_s = (need - self.level) / rate_per_s if rate_per_s > 0.0 else LEASE_S
-        return Lent(granted=0.0, retry_after_s=max(0.0, wait_s), is_contended=True)
+        return LeaseResult(
+            granted=0.0, retry_after_s=max(0.0, wait_s), is_contended=True
+        )
 
 
-def _drop_over(until_s: dict[str, float], now_s: float) -> None:
+def _remove_expired(until_s: dict[str, float], now_s: float) -> None:
     for name in [name for name, end_s in until_s.items() if end_s <= now_s]:
         del until_s[name]
 
@@ -126,18 +128,18 @@
 class SlotPool:
     """Places of one concurrency limit.
 
-    Lends at most the shares of the gateways heard, together; the shares of all
+    Lends at most the shares of the gateways delegating, together; the shares of all
     others stay theirs, because they may be using them unheard.
     """
 
     __slots__ = ("_active", "_contended_s", "_held")
 
     def __init__(self) -> None:
-        self._held: dict[str, Held] = {}
+        self._held: dict[str, HeldUnits] = {}
         self._active: dict[str, float] = {}
         self._contended_s = -math.inf
 
-    def lend(
+    def grant(
         self,
         gateway: str,
         *,
@@ -146,8 +148,8 @@
         now_s: float,
         deadline_s: float,
         shares: dict[str, int],
-        heard: frozenset[str],
-    ) -> Lent:
+        delegating: frozenset[str],
+    ) -> LeaseResult:
         """Return how many places `gateway` may use in all from now on.
 
         Parameters
@@ -159,53 +161,57 @@
             The home's clock, and the longest that a request may hold a place.
         shares : dict of str to int
             The shares of all gateways.
-        heard : frozenset of str
+        delegating : frozenset of str
             Those that rely on this home now, `gateway` among them.
         """
-        self._note_activity(gateway, want, now_s)
-        free = self._free(gateway, now_s=now_s, shares=shares, heard=heard)
-        allowed = sum(shares.get(name, 0) for name in heard)
+        self._record_activity(gateway, want, now_s)
+        free = self._free_slots(
+            gateway, now_s=now_s, shares=shares, delegating=delegating
+        )
+        allowed = sum(shares.get(name, 0) for name in delegating)
         part = max(1, math.ceil(allowed / max(1, len(self._active))))
         is_contended = self._contended_s > now_s
         granted = max(0, min(want, free, part if is_contended else want))
         if granted < want and granted < part:
             self._contended_s = now_s + LEASE_S
         until_s = now_s + LEASE_S + MARGIN_S + deadline_s
-        self._held[gateway] = Held(n_held=max(granted, keep), until_s=until_s)
-        return Lent(
+        self._held[gateway] = HeldUnits(n_held=max(granted, keep), until_s=until_s)
+        return LeaseResult(
             granted=granted,
             retry_after_s=MARGIN_S if granted < want else 0.0,
             is_contended=self._contended_s > now_s,
         )
 
     def fits(
-        self, *, now_s: float, shares: dict[str, int], heard: frozenset[str]
+        self, *, now_s: float, shares: dict[str, int], delegating: frozenset[str]
     ) -> bool:
         """Return True if what is lent fits into the shares of those heard."""
-        return self._free("", now_s=now_s, shares=shares, heard=heard) >= 0
+        return (
+            self._free_slots("", now_s=now_s, shares=shares, delegating=delegating) >= 0
+        )
 
-    def _free(
+    def _free_slots(
         self,
         gateway: str,
         *,
         now_s: float,
         shares: dict[str, int],
-        heard: frozenset[str],
+        delegating: frozenset[str],
     ) -> int:
         """Return places neither lent to others nor kept for the unheard."""
-        free = sum(shares.get(name, 0) for name in heard)
+        free = sum(shares.get(name, 0) for name in delegating)
         for name, held in list(self._held.items()):
             if held.until_s <= now_s:
                 del self._held[name]
-            elif name in heard and name != gateway:
+            elif name in delegating and name != gateway:
                 free -= int(held.n_held)
-            elif name not in heard:
+            elif name not in delegating:
                 free -= max(0, int(held.n_held) - shares.get(name, 0))
         return free
 
-    def _note_activity(self, gateway: str, want: int, now_s: float) -> None:
+    def _record_activity(self, gateway: str, want: int, now_s: float) -> None:
         if want > 0:
             self._active[gateway] = now_s + LEASE_S
         else:
             self._active.pop(gateway, None)
-        _drop_over(self._active, now_s)
+        _remove_expired(self._active, now_s)
--- a/src/trefoilpaddle/state/lease_times.py
+++ b/src/trefoilpaddle/state/lease_times.py
@@ -8,10 +8,10 @@
 MARGIN_S: Final = 0.2
 """How much longer a home counts it: clocks of two hosts may run apart by 5%."""
 
-STALE_ASK_S: Final = 0.5
+MAX_REQUEST_AGE_S: Final = 0.5
 """A home drops an ask that may have been under way for longer."""
 
-HOLD_S: Final = STALE_ASK_S + LEASE_S + MARGIN_S
+HOLD_S: Final = MAX_REQUEST_AGE_S + LEASE_S + MARGIN_S
 """After an ask is sent, the home may count on it for this long."""
 
 
--- a/src/trefoilpaddle/state/log_stream.py
+++ b/src/trefoilpaddle/state/log_stream.py
@@ -40,7 +40,7 @@
     def write(self, text: str) -> int:
         """Take whole lines; they are written by `flush`, or dropped."""
         n_lines = text.count("\n")
-        if not self._takes(n_lines) or len(self._unsent) > MAX_UNSENT_BYTES:
+        if not self._admits(n_lines) or len(self._unsent) > MAX_UNSENT_BYTES:
             self.n_dropped += n_lines
             return len(text)
         if self.n_dropped:
@@ -67,7 +67,7 @@
         """Write what the reader still takes; the descriptor stays open."""
         self.flush()
 
-    def _takes(self, n_lines: int) -> bool:
+    def _admits(self, n_lines: int) -> bool:
         now_s = time.monotonic()
         refill = (now_s - self._refilled_s) * MAX_LINES_PER_S
         self._refilled_s = now_s
--- a/src/trefoilpaddle/state/members.py
+++ b/src/trefoilpaddle/state/members.py
@@ -51,7 +51,7 @@
     beat: int
     millicores: int = 0
 
-    def overrules(self, other: "MemberRecord") -> bool:
+    def supersedes(self, other: "MemberRecord") -> bool:
         """Return True if this is to be believed rather than `other`."""
         return self._rank() > other._rank()
 
@@ -97,9 +97,9 @@
             total ^= digest
         return total
 
-    def join(self, records: Iterable[MemberRecord]) -> list[MemberRecord]:
+    def merge(self, records: Iterable[MemberRecord]) -> list[MemberRecord]:
         """Take in `records` and return those that were news."""
-        return [record for record in records if self._join_one(record)]
+        return [record for record in records if self._merge_one(record)]
 
     def forget(self, process_id: str) -> None:
         """Drop the record of `process_id`, if there is one."""
@@ -108,13 +108,13 @@
             self._count(record)
             self.version += 1
 
-    def say(self, process_id: str, state: MemberState) -> MemberRecord | None:
+    def set_state(self, process_id: str, state: MemberState) -> MemberRecord | None:
         """Set what is said of a process; return the record if that was news."""
         record = self.records.get(process_id)
         if record is None:
             return None
         said = replace(record, state=state)
-        return said if self._join_one(said) else None
+        return said if self._merge_one(said) else None
 
     def present(self) -> Iterator[MemberRecord]:
         """Yield the members that are not dead."""
@@ -139,9 +139,9 @@
             if self.digests.get(domain, 0) != digests.get(domain, 0)
         }
 
-    def _join_one(self, record: MemberRecord) -> bool:
+    def _merge_one(self, record: MemberRecord) -> bool:
         was = self.records.get(record.process_id)
-        if was is not None and not record.overrules(was):
+        if was is not None and not record.supersedes(was):
             return False
         if was is None and record.state is MemberState.DEAD:
             return False
--- a/src/trefoilpaddle/state/model_plan.py
+++ b/src/trefoilpaddle/state/model_plan.py
@@ -10,7 +10,7 @@
 MODELS_PER_TARGET: Final = 4
 """How many models one target is taken to hold; engines do not report it."""
 
-N_ROUNDS: Final = 3
+N_STABLE_ROUNDS: Final = 3
 """Rounds in a row that must agree before a model is loaded or unloaded."""
 
 
@@ -57,7 +57,7 @@
     return float(2.0 ** math.floor(math.log2(max(demand, 1e-3))))
 
 
-def planned(
+def plan_placement(
     models: Iterable[str], demand: Mapping[str, float], targets: Iterable[str]
 ) -> dict[str, frozenset[str]]:
     """Return for each model the sidecars whose targets should hold it.
@@ -96,7 +96,7 @@
     return any((place_score(model, h.process_id), h.process_id) > own for h in holders)
 
 
-class Steadied:
+class StableChanges:
     """Changes wanted, each passed on only when wanted several rounds in a row."""
 
     __slots__ = ("_rounds",)
@@ -104,7 +104,7 @@
     def __init__(self) -> None:
         self._rounds: dict[str, int] = {}
 
-    def agreed(self, wanted: Iterable[str]) -> list[str]:
+    def confirm(self, wanted: Iterable[str]) -> list[str]:
         """Note what this round wants and return what ``N_ROUNDS`` have."""
         self._rounds = {name: self._rounds.get(name, 0) + 1 for name in wanted}
-        return sorted(name for name, n in self._rounds.items() if n >= N_ROUNDS)
+        return sorted(name for name, n in self._rounds.items() if n >= N_STABLE_ROUNDS)
--- a/src/trefoilpaddle/state/prefix.py
+++ b/src/trefoilpaddle/state/prefix.py
@@ -68,16 +68,18 @@
             n_prefixes=n_prefixes, n_holders=MAX_HOLDERS, keep_s=keep_s
         )
 
-    def note(self, service: str, hashes: tuple[int, ...], process_id: str) -> None:
+    def record(self, service: str, hashes: tuple[int, ...], process_id: str) -> None:
         """Remember that a prompt with these prefixes went to `process_id`."""
         prefixes = ((service, value) for value in hashes)
-        self._holders.note(prefixes, process_id, time.monotonic())
+        self._holders.record(prefixes, process_id, time.monotonic())
 
     def shares(self, service: str, hashes: tuple[int, ...]) -> dict[str, float]:
         """Return which share of the hashed blocks each target has seen lately."""
         now_s = time.monotonic()
         shares: dict[str, float] = {}
         for n_blocks in range(len(hashes), 0, -1):
-            for process_id in self._holders.of((service, hashes[n_blocks - 1]), now_s):
+            for process_id in self._holders.holders_of(
+                (service, hashes[n_blocks - 1]), now_s
+            ):
                 shares.setdefault(process_id, n_blocks / len(hashes))
         return shares
--- a/src/trefoilpaddle/state/prefix_holders.py
+++ b/src/trefoilpaddle/state/prefix_holders.py
@@ -28,7 +28,7 @@
         self._keep_s = keep_s
         self._at_s: OrderedDict[Prefix, dict[str, float]] = OrderedDict()
 
-    def note(self, prefixes: Iterable[Prefix], holder: str, now_s: float) -> None:
+    def record(self, prefixes: Iterable[Prefix], holder: str, now_s: float) -> None:
         """Remember that a prompt with these prefixes went to `holder`."""
         for prefix in prefixes:
             at_s = self._at_s.setdefault(prefix, {})
@@ -39,7 +39,7 @@
         while len(self._at_s) > self._n_prefixes:
             self._at_s.popitem(last=False)
 
-    def of(self, prefix: Prefix, now_s: float) -> list[str]:
+    def holders_of(self, prefix: Prefix, now_s: float) -> list[str]:
         """Return who got a prefix lately."""
         at_s = self._at_s.get(prefix, {})
         return [holder for holder in at_s if self._is_fresh(at_s[holder], now_s)]
--- a/src/trefoilpaddle/state/published.py
+++ b/src/trefoilpaddle/state/published.py
@@ -71,7 +71,7 @@
         if catalogue == self.catalogue:
             return False
         self._catalogue = catalogue
-        self._tell()
+        self._notify_listeners()
         return True
 
     def set_hosts(self, hosts: "HostList") -> bool:
@@ -79,9 +79,9 @@
         if hosts.revision <= self.hosts.revision:
             return False
         self._hosts = hosts
-        self._tell()
+        self._notify_listeners()
         return True
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
--- a/src/trefoilpaddle/state/reason_words.py
+++ b/src/trefoilpaddle/state/reason_words.py
@@ -4,7 +4,7 @@
 
 from ..protocol.reasons import Reason
 
-REASON_WORDS: Final = {
+REASON_CLAUSES: Final = {
     Reason.PREDICTED_LATE: "it could not have been done within its deadline",
     Reason.DEADLINE_PASSED: "its deadline had passed",
     Reason.LEAVING: "the target is leaving",
@@ -41,11 +41,11 @@
     Reason.INTERNAL: "of a fault in trefoilpaddle itself; see the log",
 }
 
-WORDS_BY_NAME: Final = {
-    reason.name.lower(): words for reason, words in REASON_WORDS.items()
+CLAUSES_BY_NAME: Final = {
+    reason.name.lower(): words for reason, words in REASON_CLAUSES.items()
 }
 
 
 def reason_words(name: str) -> str:
     """Return the clause for the reason called `name`; an unheard-of one shows."""
-    return WORDS_BY_NAME.get(name, name.replace("_", " "))
+    return CLAUSES_BY_NAME.get(name, name.replace("_", " "))
--- a/src/trefoilpaddle/state/slowness.py
+++ b/src/trefoilpaddle/state/slowness.py
@@ -59,16 +59,16 @@
         """
         return self.at(now_s) * math.pow(self._spread, 2.0 * pressure - 1.0)
 
-    def note(self, *, service_s: float, predicted_s: float, now_s: float) -> None:
+    def record(self, *, service_s: float, predicted_s: float, now_s: float) -> None:
         """Take in one ended call; one without prediction says nothing."""
         if predicted_s <= 0.0:
             return
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, service_s / predicted_s))
-        self._note_spread(ratio / self.at(now_s))
+        self._record_spread(ratio / self.at(now_s))
         self._ratio = self.at(now_s) + STEP * (ratio - self.at(now_s))
         self._when_s = now_s
 
-    def _note_spread(self, relative: float) -> None:
+    def _record_spread(self, relative: float) -> None:
         """Move the tracked quantile of the ratio over its mean."""
         above = QUANTILE if relative > self._spread else QUANTILE - 1.0
         moved = self._spread * (1.0 + QUANTILE_STEP * above)
--- a/src/trefoilpaddle/state/timeline.py
+++ b/src/trefoilpaddle/state/timeline.py
@@ -90,7 +90,9 @@
 TIMELINE: Final = TypeAdapter(Timeline)
 
 
-def tell(records: Iterable[Record], *, process_id: str, now_s: float) -> Iterator[Step]:
+def steps_of(
+    records: Iterable[Record], *, process_id: str, now_s: float
+) -> Iterator[Step]:
     """Yield each record as a step, with its age at `now_s`."""
     for record in records:
         decision = record.decision
--- a/src/trefoilpaddle/state/timeline_order.py
+++ b/src/trefoilpaddle/state/timeline_order.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Heard:
+class ProcessSteps:
     """What one process told.
 
     Parameters
@@ -24,14 +24,14 @@
         Its process id and its target: how other processes' steps name it.
     steps : tuple of Step
         Oldest first.
-    heard_s : float
+    reported_s : float
         Time at which it told them, by the clock of who asked; known only to
         half the time that the question and its answer took.
     """
 
     names: frozenset[str]
     steps: tuple[Step, ...]
-    heard_s: float
+    reported_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -40,33 +40,35 @@
     step: Step
 
 
-def in_order(heards: Sequence[Heard], *, now_s: float) -> tuple[Step, ...]:
+def merge_steps(reports: Sequence[ProcessSteps], *, now_s: float) -> tuple[Step, ...]:
     """Return all steps oldest first, their ages as of `now_s`.
 
     Ages are exact within a process, and between processes only to the time
     that asking took. A stage call cannot begin before it was sent nor end
     after its result was there; steps that seem to are moved in between.
     """
-    timed = [_timed(heard) for heard in heards]
+    timed = [_timed(report) for report in reports]
     everything = [one for part in timed for one in part]
     moved: list[_Timed] = []
-    for heard, part in zip(heards, timed, strict=True):
-        shift_s = _shift_s(part, _naming(everything, heard))
+    for report, part in zip(reports, timed, strict=True):
+        shift_s = _shift_s(part, _naming(everything, report))
         moved += (replace(one, at_s=one.at_s + shift_s) for one in part)
     moved.sort(key=lambda one: one.at_s)
     return tuple(replace(one.step, age_s=now_s - one.at_s) for one in moved)
 
 
-def _timed(heard: Heard) -> list[_Timed]:
-    return [_Timed(at_s=heard.heard_s - step.age_s, step=step) for step in heard.steps]
+def _timed(report: ProcessSteps) -> list[_Timed]:
+    return [
+        _Timed(at_s=report.reported_s - step.age_s, step=step) for step in report.steps
+    ]
 
 
-def _naming(everything: Iterable[_Timed], heard: Heard) -> list[_Timed]:
+def _naming(everything: Iterable[_Timed], report: ProcessSteps) -> list[_Timed]:
     """Return the steps of other processes that name this one."""
     return [
         one
         for one in everything
-        if one.step.peer in heard.names and one.step.process_id not in heard.names
+        if one.step.peer in report.names and one.step.process_id not in report.names
     ]
 
 
--- a/src/trefoilpaddle/state/spent_ids.py
+++ b/src/trefoilpaddle/state/used_ids.py
@@ -20,7 +20,7 @@
 
 
 @unique
-class Spent(Enum):
+class UsedState(Enum):
     """Why an id is spent."""
 
     NEVER_STARTED = auto()
@@ -39,12 +39,12 @@
     __slots__ = ("ids", "last_ns", "opened_ns")
 
     def __init__(self, *, opened_ns: int) -> None:
-        self.ids: dict[bytes, Spent] = {}
+        self.ids: dict[bytes, UsedState] = {}
         self.opened_ns = opened_ns
         self.last_ns = opened_ns
 
 
-class SpentIds:
+class UsedIds:
     """Remembers spent ids, and refuses by age where memory was cut.
 
     Guards against a start message that arrives late on another connection,
@@ -77,15 +77,15 @@
     def __len__(self) -> int:
         return sum(len(generation.ids) for generation in self._generations)
 
-    def add(self, attempt_id: bytes, spent: Spent, *, now_ns: int) -> None:
+    def add(self, attempt_id: bytes, spent: UsedState, *, now_ns: int) -> None:
         """Remember that `attempt_id` is spent; an id that ran stays so."""
-        if self.get(attempt_id) is Spent.RAN:
-            spent = Spent.RAN
+        if self.get(attempt_id) is UsedState.RAN:
+            spent = UsedState.RAN
         generation = self._open_generation(now_ns)
         generation.ids[attempt_id] = spent
         generation.last_ns = now_ns
 
-    def get(self, attempt_id: bytes) -> Spent | None:
+    def get(self, attempt_id: bytes) -> UsedState | None:
         """Return why `attempt_id` is spent, or None if it is not remembered."""
         for generation in reversed(self._generations):
             spent = generation.ids.get(attempt_id)
--- a/src/trefoilpaddle/state/work_queue.py
+++ b/src/trefoilpaddle/state/work_queue.py
@@ -64,7 +64,7 @@
         self.charged_share = 1.0
 
 
-class Ahead:
+class WorkAhead:
     """What would start before a piece of work.
 
     Parameters
@@ -82,7 +82,7 @@
         self.work_s = work_s
 
 
-class OwnerWork:
+class OwnerBacklog:
     """What one owner has waiting.
 
     Parameters
@@ -127,15 +127,15 @@
         """Take out `work`; return False if it does not wait."""
         ...
 
-    def settle(self, work: Work, *, used_s: float) -> None:
+    def correct_charge(self, work: Work, *, used_s: float) -> None:
         """Replace what `work` was charged by what it has used."""
         ...
 
-    def ahead(self, work: Work) -> Ahead:
+    def ahead(self, work: Work) -> WorkAhead:
         """Return what would start before `work`, which need not wait yet."""
         ...
 
-    def by_owner(self) -> list[OwnerWork]:
+    def by_owner(self) -> list[OwnerBacklog]:
         """Return what each owner has waiting, where owners get shares."""
         ...
 
@@ -143,11 +143,11 @@
         """Return waiting work that may give way to `work`, the first to go first."""
         ...
 
-    def lower_orders(self, work: Work) -> list[Work]:
+    def preceding_lower_order(self, work: Work) -> list[Work]:
         """Return the owner's work before `work` of a lower brown-out order."""
         ...
 
-    def longest_before(self, work: Work) -> Work | None:
+    def longest_preceding(self, work: Work) -> Work | None:
         """Return the longest of the owner's work before `work`, if it is longer.
 
         Only work of the same or a lower brown-out order counts.
@@ -190,14 +190,14 @@
         self._take_off(work)
         return True
 
-    def settle(self, work: Work, *, used_s: float) -> None:
+    def correct_charge(self, work: Work, *, used_s: float) -> None:
         """Charge nobody."""
 
-    def ahead(self, work: Work) -> Ahead:
+    def ahead(self, work: Work) -> WorkAhead:
         """Return all that waits."""
-        return Ahead(n_ahead=len(self._waiting), work_s=self.work_s)
+        return WorkAhead(n_ahead=len(self._waiting), work_s=self.work_s)
 
-    def by_owner(self) -> list[OwnerWork]:
+    def by_owner(self) -> list[OwnerBacklog]:
         """Return nothing: owners get no shares here."""
         return []
 
@@ -205,11 +205,11 @@
         """Return nothing: all waiting work came first."""
         return []
 
-    def lower_orders(self, work: Work) -> list[Work]:
+    def preceding_lower_order(self, work: Work) -> list[Work]:
         """Return nothing: all waiting work came first."""
         return []
 
-    def longest_before(self, work: Work) -> Work | None:
+    def longest_preceding(self, work: Work) -> Work | None:
         """Return nothing: all waiting work came first."""
         return None
 
--- a/tests/claims_fleet.py
+++ b/tests/claims_fleet.py
@@ -34,8 +34,8 @@
 from trefoilpaddle.state.claim_table import ClaimTable
 from trefoilpaddle.state.hosts import Host, HostList
 from trefoilpaddle.state.journal import Journal
-from trefoilpaddle.state.places import place_list
 from trefoilpaddle.state.published import Published
+from trefoilpaddle.state.replicas import replica_list
 from trefoilpaddle.state.settings import LogFormat
 from trefoilpaddle.transport.connection import Address
 
@@ -266,7 +266,7 @@
     def replica_names(self, key: str) -> tuple[str, ...]:
         """Names of the replicas of a key of bank-a under the current list."""
         hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
-        pair = place_list(hosts).pair(account_key("bank-a", key).text)
+        pair = replica_list(hosts).pair(account_key("bank-a", key).text)
         return tuple(replica.process_id.removesuffix("-sidecar") for replica in pair)
 
     def hosts_without(self, *names: str) -> list[Host]:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -25,7 +25,7 @@
     sidecar_process,
     sidecar_settings,
 )
-from tests.harness_slots import NOBODY_THERE, GatewaySlot, SidecarSlot, Told
+from tests.harness_slots import NOT_CONNECTED, CallerAnswer, GatewaySlot, SidecarSlot
 from tests.harness_target import Run, Target
 from tests.harness_tasks import OWNER_OF_TASK, cancel_tasks_of, name_owners_of_tasks
 from tests.waiting import until
@@ -36,17 +36,17 @@
 from trefoilpaddle.roles.process import Process
 from trefoilpaddle.roles.sidecar import Sidecar
 from trefoilpaddle.state.hosts import Host, HostList, HostState
-from trefoilpaddle.state.places import place_list
+from trefoilpaddle.state.replicas import replica_list
 from trefoilpaddle.transport.connection import Address
 
 __all__ = [
     "CHAIN",
     "FREE",
     "ONCE",
+    "CallerAnswer",
     "Fleet",
     "GatewaySlot",
     "SidecarSlot",
-    "Told",
     "fleet",
     "until",
 ]
@@ -89,7 +89,7 @@
     def key_placed_at(self, service: str) -> str:
         """Return a key whose places are all sidecars of `service`."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
-        places = place_list(hosts)
+        places = replica_list(hosts)
         for number in itertools.count():
             key = f"key-{number}"
             pair = places.pair(account_key("club", key).text)
@@ -100,7 +100,7 @@
     def places_of(self, key: str) -> list[SidecarSlot]:
         """Return the slots that decide about `key`, the first place first."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
-        pair = place_list(hosts).pair(account_key("club", key).text)
+        pair = replica_list(hosts).pair(account_key("club", key).text)
         return [self.slot(p.process_id.removesuffix("-sidecar")) for p in pair]
 
     def runs(self, service: str) -> list[Run]:
@@ -275,7 +275,7 @@
         cancel_tasks_of(slot.name)
         # Of a connection that was accepted a moment before, no task may have begun
         # yet: it would be neither served nor closed, and its caller wait for ever.
-        for asking in slot.asking:
+        for asking in slot.open_requests:
             asking.cancel()
         self._dead.append(slot.stack)
         slot.gateway = None
@@ -312,11 +312,11 @@
         gateway: int = 0,
         key: str = "",
         deadline_s: float = 0.0,
-    ) -> Told:
+    ) -> CallerAnswer:
         """Send one request as a caller would and return what it was told."""
         slot = self.gateways[gateway]
         if slot.gateway is None:
-            return Told(text=text, status=0, body=NOBODY_THERE, request_id="")
+            return CallerAnswer(text=text, status=0, body=NOT_CONNECTED, request_id="")
         text = text or f"text {next(self._numbers)}"
         headers = {"X-Client-Account": "club"}
         if key:
@@ -325,32 +325,32 @@
             headers["X-Deadline-S"] = str(deadline_s)
         url = f"{slot.url}/v1/pipelines/{pipeline}"
         asking = asyncio.create_task(self._post(url, text, headers))
-        slot.asking.add(asking)
-        asking.add_done_callback(slot.asking.discard)
+        slot.open_requests.add(asking)
+        asking.add_done_callback(slot.open_requests.discard)
         try:
             return await asking
         except asyncio.CancelledError:
             if _is_cancelling():
                 asking.cancel()
                 raise
-            return Told(text=text, status=0, body=None, request_id="")
+            return CallerAnswer(text=text, status=0, body=None, request_id="")
 
-    async def _post(self, url: str, text: str, headers: dict[str, str]) -> Told:
+    async def _post(self, url: str, text: str, headers: dict[str, str]) -> CallerAnswer:
         assert self._client is not None
         try:
             async with self._client.post(
                 url, json={"text": text}, headers=headers
             ) as response:
-                return Told(
+                return CallerAnswer(
                     text=text,
                     status=response.status,
                     body=orjson.loads(await response.read()),
                     request_id=response.headers.get("X-Request-Id", ""),
                 )
         except aiohttp.ClientConnectorError:
-            return Told(text=text, status=0, body=NOBODY_THERE, request_id="")
+            return CallerAnswer(text=text, status=0, body=NOT_CONNECTED, request_id="")
         except aiohttp.ClientError:
-            return Told(text=text, status=0, body=None, request_id="")
+            return CallerAnswer(text=text, status=0, body=None, request_id="")
 
 
 def _is_cancelling() -> bool:
@@ -386,7 +386,7 @@
     """
     home = process.server._answerers[Claim].__self__  # type: ignore[attr-defined]
     home._book._born_s -= LONG_S
-    home._book.history.cut_s -= LONG_S
+    home._book.history.complete_since_s -= LONG_S
 
 
 def _address_of(slot: SidecarSlot) -> Address:
--- a/tests/harness_slots.py
+++ b/tests/harness_slots.py
@@ -11,12 +11,12 @@
 from trefoilpaddle.roles.process import Process
 from trefoilpaddle.roles.sidecar import Sidecar
 
-NOBODY_THERE: Final = "nobody there"
+NOT_CONNECTED: Final = "nobody there"
 """Stands for the answer where nobody was there to connect to."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Told:
+class CallerAnswer:
     """What a caller was told."""
 
     text: str
@@ -32,7 +32,7 @@
     @property
     def is_unsent(self) -> bool:
         """True if nobody was there to connect to."""
-        return self.is_lost and self.body == NOBODY_THERE
+        return self.is_lost and self.body == NOT_CONNECTED
 
     @property
     def is_answered(self) -> bool:
@@ -76,7 +76,7 @@
     relays: dict[str, Relay]
     stack: contextlib.AsyncExitStack = field(default_factory=contextlib.AsyncExitStack)
     gateway: Gateway | None = None
-    asking: set[asyncio.Task[Told]] = field(default_factory=set)
+    open_requests: set[asyncio.Task[CallerAnswer]] = field(default_factory=set)
 
     @property
     def url(self) -> str:
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -17,8 +17,8 @@
 from trefoilpaddle.state.gateway_shares import bucket_key, bucket_of
 from trefoilpaddle.state.hosts import Host, HostList
 from trefoilpaddle.state.journal import Journal
-from trefoilpaddle.state.places import place_list
 from trefoilpaddle.state.published import Published
+from trefoilpaddle.state.replicas import replica_list
 from trefoilpaddle.state.settings import LogFormat
 
 ENTRY = "bank-a.draft"
@@ -131,7 +131,7 @@
     def home_name(self) -> str:
         """Name of the home of the entry under the current list."""
         hosts = HostList(revision=self.revision, hosts=tuple(self.hosts))
-        pair = place_list(hosts).pair(bucket_key(bucket_of(ENTRY)))
+        pair = replica_list(hosts).pair(bucket_key(bucket_of(ENTRY)))
         return pair[0].process_id.removesuffix("-sidecar")
 
     def address(self, name: str) -> str:
--- a/tests/queue_bench.py
+++ b/tests/queue_bench.py
@@ -187,11 +187,11 @@
     def _on_end(self, work: Work, now_s: float) -> None:
         begin_s, _ = self._running.pop(work.attempt_id)
         used_s = now_s - begin_s
-        self.queue.settle(work, used_s=used_s)
+        self.queue.correct_charge(work, used_s=used_s)
         tally = self._tally_of[work.attempt_id]
         tally.used_s += used_s
         if used_s >= self._service_s[work.attempt_id]:
-            self._slowness.note(
+            self._slowness.record(
                 service_s=used_s, predicted_s=work.predicted_s, now_s=now_s
             )
         if now_s <= self._due_s[work.attempt_id]:
--- a/tests/test_cli_check.py
+++ b/tests/test_cli_check.py
@@ -67,7 +67,7 @@
         )
         account = in_force.accounts["bank-a"]
         in_force.accounts["bank-a"] = type(account)(token_sha256="2" * 64)
-        found = differences(in_force=in_force, published=published)
+        found = differences(active=in_force, published=published)
         assert [str(difference) for difference in found] == [
             "change account/bank-a.token_sha256: … -> another",
             "change entry/bank-a-drafts.limits.rate_per_s: 9.0 -> 0.5",
--- a/tests/test_cli_operators.py
+++ b/tests/test_cli_operators.py
@@ -12,7 +12,7 @@
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state import timeline_text
 from trefoilpaddle.state.events import Event
-from trefoilpaddle.state.reason_words import REASON_WORDS
+from trefoilpaddle.state.reason_words import REASON_CLAUSES
 from trefoilpaddle.state.status import FLEET
 from trefoilpaddle.state.timeline import TIMELINE
 
@@ -33,7 +33,7 @@
         assert of_requests <= timeline_text.SENTENCES.keys()
 
     def test_every_reason_has_its_words(self) -> None:
-        assert REASON_WORDS.keys() == set(Reason) - {Reason.NONE}
+        assert REASON_CLAUSES.keys() == set(Reason) - {Reason.NONE}
 
 
 class TestStatusTable:
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -31,7 +31,7 @@
         n = slots.n_slots
         service_s = 0.1 * stretch(n) * noise.lognormvariate(0.0, 0.3)
         now_s += service_s / n
-        slots.note(
+        slots.record(
             Sample(
                 service_s=service_s,
                 predicted_s=0.1,
@@ -80,7 +80,7 @@
                     mean_running=mean_running,
                     now_s=float(now_s),
                 )
-                slots.note(sample)
+                slots.record(sample)
         assert slots.n_slots == 4
 
     def test_a_new_number_in_the_catalogue_is_taken(self) -> None:
@@ -94,7 +94,7 @@
     def test_it_follows_what_is_measured(self) -> None:
         slowness = Slowness()
         for i in range(100):
-            slowness.note(service_s=0.5, predicted_s=0.1, now_s=0.1 * i)
+            slowness.record(service_s=0.5, predicted_s=0.1, now_s=0.1 * i)
         assert slowness.at(10.0) == pytest.approx(5.0, rel=0.01)
 
     def test_it_tells_how_far_calls_scatter(self) -> None:
@@ -102,7 +102,7 @@
         slowness = Slowness()
         for i in range(3000):
             service_s = 0.1 * noise.lognormvariate(0.0, 0.4)
-            slowness.note(service_s=service_s, predicted_s=0.1, now_s=0.1 * i)
+            slowness.record(service_s=service_s, predicted_s=0.1, now_s=0.1 * i)
         high = slowness.allowed_at(300.0, pressure=1.0)
         n_below = sum(noise.lognormvariate(0.0, 0.4) <= high for _ in range(3000))
         assert 0.75 <= n_below / 3000 <= 0.95
@@ -114,5 +114,5 @@
         """
         slowness = Slowness()
         for i in range(100):
-            slowness.note(service_s=0.5, predicted_s=0.1, now_s=0.1 * i)
+            slowness.record(service_s=0.5, predicted_s=0.1, now_s=0.1 * i)
         assert slowness.at(30.0) < 1.01
--- a/tests/test_config_build.py
+++ b/tests/test_config_build.py
@@ -56,10 +56,10 @@
 class TestHoldingBack:
     def test_invalid_change_is_held_back_and_the_last_valid_value_stays(self) -> None:
         items, builder = ConfigItems(), CatalogueBuilder()
-        items.join(COMPLETE, revision=4)
-        builder.put_in_force(items)
-        items.join([item("entry/drafts", 5, ENTRY | {"weight": -1})], revision=5)
-        selection = builder.put_in_force(items)
+        items.merge(COMPLETE, revision=4)
+        builder.activate(items)
+        items.merge([item("entry/drafts", 5, ENTRY | {"weight": -1})], revision=5)
+        selection = builder.activate(items)
         assert selection.catalogue.entries["drafts"].weight == 1.0
         assert selection.catalogue.revision == 5
         (held,) = selection.held_back
@@ -68,30 +68,30 @@
 
     def test_deletion_of_a_used_key_is_held_back_while_it_is_used(self) -> None:
         items, builder = ConfigItems(), CatalogueBuilder()
-        items.join(COMPLETE, revision=4)
-        builder.put_in_force(items)
-        items.join([item("service/search", 5, None)], revision=5)
-        selection = builder.put_in_force(items)
+        items.merge(COMPLETE, revision=4)
+        builder.activate(items)
+        items.merge([item("service/search", 5, None)], revision=5)
+        selection = builder.activate(items)
         assert "search" in selection.catalogue.services
         assert "draft" in selection.catalogue.pipelines
         assert selection.held_back[0].key == "service/search"
         deleted = [item("entry/drafts", 6, None), item("pipeline/draft", 7, None)]
-        items.join(deleted, revision=7)
-        selection = builder.put_in_force(items)
+        items.merge(deleted, revision=7)
+        selection = builder.activate(items)
         assert not selection.held_back
         assert not selection.catalogue.services
 
     def test_late_joiner_takes_the_last_valid_value_from_a_peer(self) -> None:
         early, builder = ConfigItems(), CatalogueBuilder()
-        early.join(COMPLETE, revision=4)
-        builder.put_in_force(early)
-        early.join([item("entry/drafts", 5, {"owner": "X"})], revision=5)
-        expected = builder.put_in_force(early)
+        early.merge(COMPLETE, revision=4)
+        builder.activate(early)
+        early.merge([item("entry/drafts", 5, {"owner": "X"})], revision=5)
+        expected = builder.activate(early)
         late = ConfigItems()
-        late.join([*COMPLETE[:3], item("entry/drafts", 5, {"owner": "X"})], revision=5)
-        assert not CatalogueBuilder().put_in_force(late).catalogue.entries
-        late.join(early.since(0), revision=early.revision)
-        assert CatalogueBuilder().put_in_force(late) == expected
+        late.merge([*COMPLETE[:3], item("entry/drafts", 5, {"owner": "X"})], revision=5)
+        assert not CatalogueBuilder().activate(late).catalogue.entries
+        late.merge(early.since(0), revision=early.revision)
+        assert CatalogueBuilder().activate(late) == expected
         assert late.digest == early.digest
 
 
@@ -130,14 +130,14 @@
             while at < len(published):
                 to = data.draw(st.integers(at + 1, len(published)))
                 last = {one.key: one for one in published[at:to]}
-                items.join(last.values(), revision=to)
-                builder.put_in_force(items)
+                items.merge(last.values(), revision=to)
+                builder.activate(items)
                 at = to
         for _ in range(2):
             for items, builder in processes:
                 for other, _ in processes:
-                    items.join(other.since(0), revision=other.revision)
-                builder.put_in_force(items)
-        first, *rest = [builder.put_in_force(items) for items, builder in processes]
+                    items.merge(other.since(0), revision=other.revision)
+                builder.activate(items)
+        first, *rest = [builder.activate(items) for items, builder in processes]
         assert all(other == first for other in rest)
         assert len({items.digest for items, _ in processes}) == 1
--- a/tests/test_config_schedules.py
+++ b/tests/test_config_schedules.py
@@ -171,7 +171,7 @@
             assert node.published.catalogue.revision >= revision
         for node in nodes:
             assert newest_of(node) == service.newest_at(node.state.items.revision)
-            rebuilt = CatalogueBuilder().put_in_force(copy.deepcopy(node.state.items))
+            rebuilt = CatalogueBuilder().activate(copy.deepcopy(node.state.items))
             assert rebuilt.catalogue == node.published.catalogue
             assert rebuilt.held_back == node.state.held_back
         if kind == "restart":
--- a/tests/test_explain_record.py
+++ b/tests/test_explain_record.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from tests.harness import CHAIN, FREE, ONCE, Fleet, Told, fleet
+from tests.harness import CHAIN, FREE, ONCE, CallerAnswer, Fleet, fleet
 from tests.harness_target import Run
 from tests.waiting import until
 from trefoilpaddle.coordination.explaining.timeline_gather import TimelineGatherer
@@ -78,7 +78,7 @@
     return {step.attempt_id for step in steps if step.event in events}
 
 
-def check(timeline: Timeline, told: Told, runs: list[Run]) -> None:
+def check(timeline: Timeline, told: CallerAnswer, runs: list[Run]) -> None:
     """Compare a timeline with the answer to the caller and the runs at the targets."""
     assert not timeline.absences
     steps = timeline.steps
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -151,7 +151,7 @@
             work = queue.pop(now_ns=0)
             assert work is not None
             used[work.owner] += 1.0
-            queue.settle(work, used_s=1.0)
+            queue.correct_charge(work, used_s=1.0)
         assert abs(used["honest"] - used["wrong"]) <= 2.0
 
     def test_work_that_did_not_run_costs_its_owner_nothing(self) -> None:
@@ -161,7 +161,7 @@
             queue.push(work_of("b"))
         first = queue.pop(now_ns=0)
         assert first is not None
-        queue.settle(first, used_s=0.0)
+        queue.correct_charge(first, used_s=0.0)
         second = queue.pop(now_ns=0)
         assert second is not None
         assert second.owner == first.owner
@@ -206,7 +206,7 @@
         queue.push(high)
         queue.push(low)
         newcomer = work_of("a", brownout_order=3)
-        assert queue.lower_orders(newcomer) == [low, high]
+        assert queue.preceding_lower_order(newcomer) == [low, high]
         assert queue.displaceable(newcomer)[0] is low
 
 
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -10,7 +10,7 @@
 from tests.waiting import until
 from trefoilpaddle.protocol.gen.stage.ttypes import BarState, Outcome, Started
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.budget import FIRST_CREDIT
+from trefoilpaddle.state.budget import INITIAL_CREDIT
 from trefoilpaddle.state.journal import Event
 from trefoilpaddle.state.settings import PolicySettings
 from trefoilpaddle.transport.link import Link
@@ -141,7 +141,7 @@
 
             statuses = await asyncio.gather(*(status() for _ in range(40)))
             assert statuses == [200] * 40
-            assert len(leaving.calls) > 2 * FIRST_CREDIT
+            assert len(leaving.calls) > 2 * INITIAL_CREDIT
             assert len(other.runs) == 40
             assert not leaving.runs
 
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from trefoilpaddle.protocol.reasons import Reason
-from trefoilpaddle.state.budget import FIRST_CREDIT, RetryBudget
+from trefoilpaddle.state.budget import INITIAL_CREDIT, RetryBudget
 from trefoilpaddle.state.deadline_split import stage_budget_s
 from trefoilpaddle.state.estimate import Estimate, WorkSize
 from trefoilpaddle.state.prefix import BLOCK_WORDS, prefix_hashes
@@ -27,7 +27,7 @@
             estimate.learn(size, measured_s)
         wanted = WorkSize(n_bytes=30_000, n_tokens=100)
         assert math.isclose(estimate.expected_s(wanted), 0.18, rel_tol=0.02)
-        assert math.isclose(estimate.size_s(wanted), 0.06, rel_tol=0.05)
+        assert math.isclose(estimate.input_size_s(wanted), 0.06, rel_tol=0.05)
 
     def test_the_fit_follows_a_service_that_slows_down(self) -> None:
         estimate = Estimate()
@@ -72,7 +72,7 @@
                 budget.earn()
             else:
                 budget.spend()
-            assert budget.n_spent <= FIRST_CREDIT + share * budget.n_calls
+            assert budget.n_spent <= INITIAL_CREDIT + share * budget.n_calls
 
 
 class TestDeadlineSplit:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,7 +10,7 @@
 
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.journal import (
-    MAX_NEW,
+    MAX_UNFLUSHED,
     Batch,
     Decision,
     Event,
@@ -86,12 +86,12 @@
             logger, "handle", lambda record: written.append(len(record.msg.records))
         )
         journal = journal_of(1000)
-        for _ in range(MAX_NEW + 3):
+        for _ in range(MAX_UNFLUSHED + 3):
             journal.record(ROUTED)
-        assert written == [MAX_NEW]
+        assert written == [MAX_UNFLUSHED]
         journal.flush()
         journal.flush()
-        assert written == [MAX_NEW, 3]
+        assert written == [MAX_UNFLUSHED, 3]
 
     def test_listeners_hear_each_decision(self) -> None:
         journal = journal_of(1)
@@ -104,7 +104,7 @@
     async def test_counters_hear_each_decision_once_it_is_worked_off(self) -> None:
         journal = journal_of(10)
         heard: list[Decision] = []
-        journal.subscribe_later(heard.append)
+        journal.subscribe_on_flush(heard.append)
         journal.record(ROUTED)
         journal.record(ROUTED)
         assert not heard
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,10 @@
 from tests.limits_fleet import DEADLINE_S, ENTRY, LimitsFleet, refusal
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.catalogue import Limits
-from trefoilpaddle.state.gateway_shares import FORGET_GATEWAY_S, GatewayShares
+from trefoilpaddle.state.gateway_shares import (
+    REMOVED_GATEWAY_RETENTION_S,
+    GatewayShares,
+)
 from trefoilpaddle.state.hosts import HostList
 from trefoilpaddle.state.lease_times import HOLD_S, slot_hold_s
 
@@ -223,7 +226,7 @@
         fleet.deliver_list("g0", *(name for name in fleet.published if name[0] == "s"))
         await fleet.run_for(10.0)
         assert await fleet.n_admitted("g0", 20) == 5
-        fleet.advance_time(FORGET_GATEWAY_S)
+        fleet.advance_time(REMOVED_GATEWAY_RETENTION_S)
         await fleet.run_for(3.0)
         assert await fleet.n_admitted("g0", 20) == 10
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -316,14 +316,14 @@
 class TestMemberTable:
     def test_only_a_higher_beat_clears_a_suspicion(self) -> None:
         table = MemberTable()
-        table.join([record(3, MemberState.SUSPECT)])
-        assert not table.join([record(3, MemberState.LIVE)])
-        assert table.join([record(4, MemberState.LIVE, incarnation=9)])
+        table.merge([record(3, MemberState.SUSPECT)])
+        assert not table.merge([record(3, MemberState.LIVE)])
+        assert table.merge([record(4, MemberState.LIVE, incarnation=9)])
 
     def test_dead_members_count_in_no_digest(self) -> None:
         table = MemberTable()
-        table.join([record(1, MemberState.LIVE)])
-        table.join([record(1, MemberState.DEAD)])
+        table.merge([record(1, MemberState.LIVE)])
+        table.merge([record(1, MemberState.DEAD)])
         assert table.digest == 0
         table.forget("p-gateway")
         assert table.digest == 0
--- a/tests/test_path_calls.py
+++ b/tests/test_path_calls.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from tests.harness import CHAIN, FREE, ONCE, Fleet, SidecarSlot, Told, fleet
+from tests.harness import CHAIN, FREE, ONCE, CallerAnswer, Fleet, SidecarSlot, fleet
 from tests.waiting import until
 
 
@@ -18,7 +18,7 @@
     return slot.sidecar.dispatcher.load().n_queued
 
 
-def assert_complete(result: Told) -> None:
+def assert_complete(result: CallerAnswer) -> None:
     assert result.is_answered, result
     assert result.echo == result.text
 
@@ -278,7 +278,7 @@
         async with fleet(n_gateways=2, n_per_service=2) as f:
             for slot in f.slots:
                 slot.target.service_s = 0.02
-            results: list[Told] = []
+            results: list[CallerAnswer] = []
 
             async def caller(number: int) -> None:
                 for _ in range(12):
--- a/tests/test_path_schedules.py
+++ b/tests/test_path_schedules.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from tests.harness import CHAIN, FREE, ONCE, Fleet, Told, fleet
+from tests.harness import CHAIN, FREE, ONCE, CallerAnswer, Fleet, fleet
 from tests.stop_schedules import play as run_stops
 from tests.waiting import until
 
@@ -87,7 +87,7 @@
     """All tries of one example and their results."""
 
     calls: list[Call] = field(default_factory=list)
-    tasks: list[asyncio.Task[Told]] = field(default_factory=list)
+    tasks: list[asyncio.Task[CallerAnswer]] = field(default_factory=list)
     dead_gateways: set[int] = field(default_factory=set)
 
     def begin(self, f: Fleet, call: Call) -> None:
@@ -185,7 +185,7 @@
         check(f, tries.calls, results)
 
 
-def check(f: Fleet, calls: list[Call], results: list[Told]) -> None:
+def check(f: Fleet, calls: list[Call], results: list[CallerAnswer]) -> None:
     plain_texts = [run.text for run in f.runs("plain")]
     all_runs = f.runs("plain") + f.runs("pool")
     for call, result in zip(calls, results, strict=True):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -28,10 +28,10 @@
 from trefoilpaddle.state.journal import Journal
 from trefoilpaddle.state.model_plan import (
     MODELS_PER_TARGET,
-    N_ROUNDS,
+    N_STABLE_ROUNDS,
     Holder,
     may_unload,
-    planned,
+    plan_placement,
     wanted_copies,
 )
 from trefoilpaddle.state.published import Published
@@ -54,7 +54,7 @@
         self, demand: dict[str, float], n_targets: int
     ) -> None:
         targets = [f"s{i}" for i in range(n_targets)]
-        plan = planned(MODELS, demand, targets)
+        plan = plan_placement(MODELS, demand, targets)
         assert all(plan[model] for model in MODELS)
         for target in targets:
             n_held = sum(target in places for places in plan.values())
@@ -169,7 +169,7 @@
 
     async def test_too_few_rounds_change_nothing(self) -> None:
         fleet = Fleet(MODELS)
-        await fleet.rounds(N_ROUNDS - 1)
+        await fleet.rounds(N_STABLE_ROUNDS - 1)
         assert fleet.n_orders == 0
 
     async def test_demand_moves_copies_and_keeps_the_last(self) -> None:
@@ -207,7 +207,7 @@
         fleet = Fleet(("m0",), n_sidecars=1)
         orders = fleet.orders["s0"]
         orders.n_busy = 100
-        await fleet.rounds(N_ROUNDS)
+        await fleet.rounds(N_STABLE_ROUNDS)
         assert orders.n_busy == 99
         await fleet.rounds(4)
         assert orders.n_busy == 99
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -295,15 +295,15 @@
 
     def test_only_shared_leading_blocks_count(self) -> None:
         record = PrefixRecord()
-        record.note(SERVICE, (1, 2, 3, 4), "a")
-        record.note(SERVICE, (1, 9), "b")
+        record.record(SERVICE, (1, 2, 3, 4), "a")
+        record.record(SERVICE, (1, 9), "b")
         assert record.shares(SERVICE, (1, 2, 5, 6)) == {"a": 0.5, "b": 0.25}
         assert record.shares("other", (1, 2)) == {}
 
     def test_the_record_is_bounded(self) -> None:
         record = PrefixRecord(n_prefixes=10)
         for value in range(100):
-            record.note(SERVICE, (value,), "a")
+            record.record(SERVICE, (value,), "a")
         assert record.shares(SERVICE, (5,)) == {}
         assert record.shares(SERVICE, (99,)) == {"a": 1.0}
 
--- a/tests/test_used_ids.py
+++ b/tests/test_used_ids.py
@@ -3,12 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from trefoilpaddle.state.spent_ids import Spent, SpentIds
+from trefoilpaddle.state.used_ids import UsedIds, UsedState
 
 NS_PER_S = 1_000_000_000
 
 
-def is_refused(used: SpentIds, attempt_id: bytes, *, sent_ns: int) -> bool:
+def is_refused(used: UsedIds, attempt_id: bytes, *, sent_ns: int) -> bool:
     return used.get(attempt_id) is not None or used.is_before_horizon(sent_ns)
 
 
@@ -25,13 +25,13 @@
 
         In the meantime, so many other attempts were used that old ids were dropped.
         """
-        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=max_ids)
+        used = UsedIds(keep_ns=60 * NS_PER_S, max_ids=max_ids)
         now_ns = 100 * NS_PER_S
         known: list[tuple[bytes, int]] = []
         for number, step_s in enumerate(steps_s):
             now_ns += int(step_s * NS_PER_S)
             attempt_id = number.to_bytes(16)
-            used.add(attempt_id, Spent.NEVER_STARTED, now_ns=now_ns)
+            used.add(attempt_id, UsedState.NEVER_STARTED, now_ns=now_ns)
             known.append((attempt_id, now_ns - int(late_s * NS_PER_S)))
             assert len(used) <= max(max_ids, 7)
         for attempt_id, sent_ns in known:
@@ -41,23 +41,23 @@
     def test_no_recent_start_is_refused_below_the_id_limit(
         self, steps_s: list[float]
     ) -> None:
-        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=10_000)
+        used = UsedIds(keep_ns=60 * NS_PER_S, max_ids=10_000)
         now_ns = 100 * NS_PER_S
         for number, step_s in enumerate(steps_s):
             now_ns += int(step_s * NS_PER_S)
-            used.add(number.to_bytes(16), Spent.RAN, now_ns=now_ns)
+            used.add(number.to_bytes(16), UsedState.RAN, now_ns=now_ns)
             fresh_ns = now_ns - 59 * NS_PER_S
             assert used.is_complete(now_ns)
             assert not is_refused(used, b"x" * 16, sent_ns=fresh_ns)
 
     def test_truncated_record_reports_that_it_is_incomplete(self) -> None:
-        used = SpentIds(keep_ns=60 * NS_PER_S, max_ids=7)
+        used = UsedIds(keep_ns=60 * NS_PER_S, max_ids=7)
         for number in range(20):
-            used.add(number.to_bytes(16), Spent.RAN, now_ns=100 * NS_PER_S + number)
+            used.add(number.to_bytes(16), UsedState.RAN, now_ns=100 * NS_PER_S + number)
         assert not used.is_complete(100 * NS_PER_S + 20)
 
     def test_id_that_ran_is_never_recorded_as_not_started(self) -> None:
-        used = SpentIds()
-        used.add(b"a" * 16, Spent.RAN, now_ns=1)
-        used.add(b"a" * 16, Spent.NEVER_STARTED, now_ns=2)
-        assert used.get(b"a" * 16) is Spent.RAN
+        used = UsedIds()
+        used.add(b"a" * 16, UsedState.RAN, now_ns=1)
+        used.add(b"a" * 16, UsedState.NEVER_STARTED, now_ns=2)
+        assert used.get(b"a" * 16) is UsedState.RAN
--- a/tools/measure_limits.py
+++ b/tools/measure_limits.py
@@ -193,8 +193,8 @@
     entry = bench.catalogue.entries["e0"]
     n_done, n = 0, 20_000
     hands = limiter._allowances_of("e0", entry)
-    hands._rate.give_back(2.0 * n)
-    hands._tokens.give_back(2.0 * n)
+    hands._rate.return_unused(2.0 * n)
+    hands._tokens.return_unused(2.0 * n)
     begin_s = time.process_time()
     for _ in range(n):
         admission = limiter.admit("e0", entry, 0)
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -15,7 +15,7 @@
 
 from trefoilpaddle.state import catalogue, settings
 from trefoilpaddle.state.events import Event
-from trefoilpaddle.state.reason_words import REASON_WORDS
+from trefoilpaddle.state.reason_words import REASON_CLAUSES
 
 ROOT: Final = Path(__file__).resolve().parent.parent
 MADE: Final = "<!-- Made by `make docs` from the code; change it there. -->"
@@ -184,7 +184,7 @@
     for event in Event:
         lines.append(f"| {int(event)} | `{event.name.lower()}` | {docs[event.name]} |")
     lines += ["", "## Reasons", "", "| reason | because |", "| --- | --- |"]
-    for reason, words in REASON_WORDS.items():
+    for reason, words in REASON_CLAUSES.items():
         lines.append(f"| `{reason.name.lower()}` | {words} |")
     return "\n".join(lines) + "\n"
 
