--- a/src/trefoilpaddle/state/budget.py
+++ b/src/trefoilpaddle/state/budget.py
@@ -1,27 +1,27 @@
-"""Budget of retries and hedges: a share of a service's calls."""
+"""Budget for retries and hedges, as a share of a service's calls."""
 
 from typing import Final
 
 INITIAL_CREDIT: Final = 5.0
-"""Repeats that a service has before its calls have earned any."""
+"""Repeated calls that a service may make before its first calls earn credit."""
 
 MAX_CREDIT: Final = 20.0
-"""Most repeats that a service can save up."""
+"""Largest credit that a service can accumulate, in repeated calls."""
 
 
 class RetryBudget:
-    """Credit that each first call earns and each repeated call spends.
+    """Credit that each first call earns and each repeated call uses.
 
-    Repeated calls stay below `share` times the first calls plus the bounded
-    first credit. Guards against retries that multiply the load of a service
-    that fails because it is overloaded; without the bound they keep it down.
+    Repeated calls stay below `share` times the first calls plus the initial
+    credit. Without this bound, retries multiply the load of a service that
+    fails because it is overloaded, and keep it overloaded.
 
     Parameters
     ----------
     share : float
         Credit earned by one first call.
     is_limited : bool
-        False never refuses; the baseline.
+        If False, no repeated call is refused; the baseline policy.
     """
 
     __slots__ = ("_credit", "_is_limited", "n_calls", "n_refused", "n_spent", "share")
@@ -40,7 +40,7 @@
         self._credit = min(MAX_CREDIT, self._credit + self.share)
 
     def spend(self) -> bool:
-        """Take credit for one repeated call; return False if there is none."""
+        """Use credit for one repeated call; return False if there is none."""
         if self._is_limited and self._credit < 1.0:
             self.n_refused += 1
             return False
@@ -55,7 +55,7 @@
     Parameters
     ----------
     is_limited : bool
-        Passed on to each budget.
+        See `RetryBudget`.
     """
 
     __slots__ = ("_by_service", "_is_limited")
@@ -65,7 +65,7 @@
         self._by_service: dict[str, RetryBudget] = {}
 
     def of(self, service: str, *, share: float) -> RetryBudget:
-        """Return the budget of `service`, following its present share."""
+        """Return the budget of `service`, with `share` as its new share."""
         budget = self._by_service.get(service)
         if budget is None:
             budget = RetryBudget(share=share, is_limited=self._is_limited)
--- a/src/trefoilpaddle/state/claim_table.py
+++ b/src/trefoilpaddle/state/claim_table.py
@@ -1,4 +1,4 @@
-"""Claims on request keys that one place knows, bounded in count, bytes, time."""
+"""Claims on request keys at one replica, bounded in count, bytes and time."""
 
 import heapq
 import time
@@ -8,25 +8,26 @@
 from typing import Final
 
 MAX_CLAIMS: Final = 100_000
-"""Claims kept; a full table refuses new ones rather than forget any."""
+"""Largest number of claims; a full table refuses new ones and evicts none."""
 
 MAX_RESULTS_BYTES: Final = 32 * 1024 * 1024
-"""Memory of all stored answers together."""
+"""Largest total size of all stored answers."""
 
 MAX_RESULT_BYTES: Final = 256 * 1024
-"""Largest answer that is stored; a retry of a larger one learns only that it ran."""
+"""Largest answer that is stored; a retry after a larger one is told only that the
+request ran."""
 
 
 @unique
 class ClaimPhase(Enum):
-    """How far a claim has come."""
+    """Phase of a claim."""
 
     PENDING = auto()
-    """The first place is still asking others."""
+    """The primary is still querying the other replicas."""
     RUNNING = auto()
     DONE = auto()
     MOVED = auto()
-    """Another place decides and may have granted it."""
+    """Another replica decides about the key and may have granted it."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -38,21 +39,23 @@
     key, request_id : str
         The key, and the request of the try that holds it.
     gateway, gateway_incarnation : str, int
-        The process that runs the request; of a moved key, the place that asked.
+        The gateway that runs the request; for a moved key, the replica that
+        requested the move.
     grant : int
-        Number of the copy that the first place asked for last.
+        Number that the primary drew for its latest copy of the claim.
     fingerprint : int
-        Of pipeline and body.
+        Checksum of pipeline and body.
     is_idempotent : bool
         True if the request may be run again.
     phase : ClaimPhase
-        How far it has come.
+        The current phase.
     result : bytes, optional
         The stored answer of a finished request.
     overdue_s : float
-        Own clock; a request still running then will not be reported any more.
+        Time, on this process's clock, after which a running request counts as
+        lost: its gateway will not report an outcome any more.
     expires_s : float
-        Own clock; the record is forgotten then.
+        Time, on this process's clock, at which the record is removed.
     """
 
     key: str
@@ -69,19 +72,19 @@
 
 
 class ClaimTable:
-    """Records by key.
+    """Claim records by key.
 
-    A record is never dropped before its time: a full table refuses new ones,
-    because a forgotten claim would let a retry run a second time.
+    A record is never evicted before it expires: a full table refuses new ones,
+    because without its claim a request could be run a second time by a retry.
 
     Parameters
     ----------
     window_s : float
-        How long a finished claim is kept for retries.
+        Retry window: how long a finished claim is kept.
     max_claims, max_results_bytes : int
-        Bounds; an answer over the second is forgotten, its claim is not.
+        Bounds. An answer beyond the second is not stored, but its claim is kept.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = (
@@ -114,20 +117,20 @@
         return len(self._records)
 
     def get(self, key: str) -> ClaimRecord | None:
-        """Return the record of `key`, or None without one."""
+        """Return the record of `key`, or None if there is none."""
         self._expire()
         return self._records.get(key)
 
     def add(self, record: ClaimRecord, *, budget_s: float) -> bool:
-        """Keep a new record; return False if the table is full.
+        """Add a record; return False if the table is full.
 
         Parameters
         ----------
         record : ClaimRecord
-            Of a key that has none.
+            Record of a key that has none yet.
         budget_s : float
-            Seconds in which the request must end; the record outlives them by
-            a whole retry window.
+            Seconds within which the request must end. The record is kept for
+            one retry window longer.
         """
         self._expire()
         if len(self._records) >= self._max_claims:
@@ -138,14 +141,14 @@
         return True
 
     def records_after(self, key: str) -> list[ClaimRecord]:
-        """Return the records of keys beyond `key`, in order of key."""
+        """Return the records whose keys sort after `key`, in order of key."""
         self._expire()
         return [self._records[name] for name in sorted(self._records) if name > key]
 
     def add_copy(
         self, record: ClaimRecord, *, overdue_in_s: float, expires_in_s: float
     ) -> bool:
-        """Keep a record that another place holds; return False if full."""
+        """Add a record received from another replica; return False if full."""
         result, record.result = record.result, None
         if not self.add(record, budget_s=overdue_in_s):
             return False
@@ -156,11 +159,11 @@
         return True
 
     def expire_after(self, record: ClaimRecord, *, for_s: float) -> None:
-        """Forget `record` after `for_s` seconds from now."""
+        """Let `record` expire `for_s` seconds from now."""
         self._expire_at(record, self._clock() + for_s)
 
     def finish(self, record: ClaimRecord, *, result: bytes | None) -> None:
-        """Mark `record` done; None where the answer was too large to keep."""
+        """Mark `record` done; `result` is None if the answer is not to be stored."""
         if record.phase is ClaimPhase.DONE:
             return
         record.phase = ClaimPhase.DONE
@@ -170,7 +173,7 @@
         self._expire_at(record, self._clock() + self.window_s)
 
     def remove(self, key: str) -> None:
-        """Forget `key`, whose request was not run."""
+        """Remove the record of `key`, if there is one."""
         record = self._records.pop(key, None)
         if record is not None and record.result is not None:
             self._results_bytes -= len(record.result)
--- a/src/trefoilpaddle/state/estimate.py
+++ b/src/trefoilpaddle/state/estimate.py
@@ -1,7 +1,7 @@
-"""Predicted service time of a stage from the size of its work.
+"""Predicts the service time of a stage from the size of its work.
 
-A small online least-squares fit with forgetting, and on top of it a tracked
-quantile of the ratio between measured and fitted time. See Ljung, "System
+A recursive least-squares fit with a forgetting factor, combined with a tracked
+quantile of the ratio of measured to fitted time. See Ljung, "System
 Identification" (1999), section 11.2, for the recursion.
 """
 
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WorkSize:
-    """What the time of a stage call depends on.
+    """Size of a stage call, on which its service time depends.
 
     Parameters
     ----------
     n_bytes : int
-        Size of the work's body.
+        Size of the call's body.
     n_tokens : int
-        Most tokens that may be generated; 0 where none are.
+        Largest number of tokens that may be generated; 0 if none are.
     """
 
     n_bytes: int
@@ -43,13 +43,13 @@
 
 
 class Estimate:
-    """Running estimate of one kind of stage call, in seconds."""
+    """Running estimate of the service time of one kind of stage call."""
 
     __slots__ = ("_covariance", "_ratio", "_weights", "n_samples")
 
     def __init__(self) -> None:
         self._weights = (0.0, 0.0, 0.0)
-        # The upper triangle of a symmetric matrix, row by row.
+        # Upper triangle of a symmetric matrix, row by row.
         variance = INITIAL_VARIANCE
         self._covariance = (variance, 0.0, 0.0, variance, 0.0, variance)
         self._ratio = 1.0
@@ -57,7 +57,7 @@
 
     @property
     def is_warm(self) -> bool:
-        """Return True once enough calls were seen to refuse work by it."""
+        """True once there are enough samples to refuse work by this estimate."""
         return self.n_samples >= MIN_SAMPLES
 
     def expected_s(self, size: WorkSize) -> float:
@@ -69,15 +69,15 @@
         return max(MIN_S, base_s * one + byte_s * n_bytes + token_s * n_tokens)
 
     def input_size_s(self, size: WorkSize) -> float:
-        """Return the part of the fitted seconds that grows with the input."""
+        """Return the part of the fitted seconds that is in proportion to the bytes."""
         return max(0.0, self._weights[1] * size.features()[1])
 
     def high_s(self, size: WorkSize) -> float:
-        """Return the seconds that `QUANTILE` of such calls stay below."""
+        """Return the seconds below which ``QUANTILE`` of such calls stay."""
         return self.expected_s(size) * max(1.0, self._ratio)
 
     def learn(self, size: WorkSize, measured_s: float) -> None:
-        """Take one measured call into the fit and the quantile."""
+        """Update the fit and the quantile with one measured call."""
         if self.n_samples:
             self._learn_ratio(measured_s / self.expected_s(size))
         self._learn_weights(size.features(), measured_s)
@@ -91,7 +91,7 @@
     def _learn_weights(
         self, features: tuple[float, float, float], measured_s: float
     ) -> None:
-        """Do one step of the recursion, written out: it runs for every call."""
+        """Do one step of the recursion, unrolled because it runs for every call."""
         x, y, z = features
         xx, xy, xz, yy, yz, zz = self._covariance
         gain_x = xx * x + xy * y + xz * z
@@ -114,9 +114,10 @@
             (yz - gain_y * gain_z / scale) / FORGETTING_FACTOR,
             (zz - gain_z * gain_z / scale) / FORGETTING_FACTOR,
         )
-        # Work whose size never varies excites one direction alone; forgetting
-        # then grows the others without end, and the first odd size would throw
-        # the fit off. Halving all keeps the matrix positive.
+        # If the size of the work never varies, only one direction is excited.
+        # Forgetting then increases the variance of the others without bound, and
+        # the first different size would distort the fit. Halving all entries
+        # keeps the matrix positive definite.
         if max(covariance[0], covariance[3], covariance[5]) > MAX_VARIANCE:
             xx, xy, xz, yy, yz, zz = covariance
             covariance = (xx / 2, xy / 2, xz / 2, yy / 2, yz / 2, zz / 2)
@@ -124,7 +125,7 @@
 
 
 class Estimates:
-    """Estimates by kind of call, made on first use; the oldest go first."""
+    """Estimates by kind of call, created on first use; the oldest are evicted first."""
 
     __slots__ = ("_by_kind",)
 
@@ -132,7 +133,7 @@
         self._by_kind: dict[tuple[str, ...], Estimate] = {}
 
     def of(self, *kind: str) -> Estimate:
-        """Return the estimate of one kind of call, named by its parts."""
+        """Return the estimate of the kind of call with this composite key."""
         estimate = self._by_kind.get(kind)
         if estimate is None:
             if len(self._by_kind) >= MAX_KINDS:
--- a/src/trefoilpaddle/state/fair_queue.py
+++ b/src/trefoilpaddle/state/fair_queue.py
@@ -1,9 +1,10 @@
-"""Fair queueing by owner in predicted target-seconds, by slack inside a share.
+"""Fair queueing of target time among owners; each owner's work is in slack order.
 
-Between owners this is start-time fair queueing (Goyal, Vin and Cheng, 1996):
-each owner's tag advances by the work it is given over its share, the owner with
-the smallest tag is served next, and an owner that was idle starts at the
-present virtual time, so that it can neither save up nor be punished.
+Between owners this is start-time fair queueing (Goyal, Vin and Cheng, 1996).
+Each owner has a tag in virtual time, which advances by the work started for the
+owner divided by its share. The owner with the smallest tag is served next. An
+owner that was idle restarts at the current virtual time: idle time earns it no
+credit.
 """
 
 from bisect import bisect_left, insort
@@ -14,10 +15,13 @@
 from .work_queue import OwnerBacklog, Work, WorkAhead
 
 MIN_CHARGE_S: Final = 0.001
-"""Charged for work of unknown size, until it is known what it used."""
+"""Least charge for work at its start; covers work whose size cannot be predicted.
+
+The charge is corrected when the used time is known.
+"""
 
 MAX_IDLE_FLOWS: Final = 1000
-"""Idle owners remembered for the tag that they have run up."""
+"""Number of owners from which idle owners whose tag is past are evicted."""
 
 
 def _slack_key(work: Work) -> int:
@@ -25,14 +29,14 @@
 
 
 class Flow:
-    """One owner at one target: what waits, and how far it has been served.
+    """The queued work of one owner at one target, and its position in virtual time.
 
     Parameters
     ----------
     owner : str
         The owner.
     tag_s : float
-        Virtual time at which it is served next.
+        Virtual time at which the owner is served next, in target-seconds.
     """
 
     __slots__ = (
@@ -55,11 +59,11 @@
         self._n_of_entry: Counter[str] = Counter()
 
     def floor_share(self) -> float:
-        """Return the share kept for its entries that have work."""
+        """Return the sum of the floor shares of the entries that have queued work."""
         return sum(self._floors.values())
 
     def copy_floors(self, other: "Flow") -> None:
-        """Keep the floors that `other` keeps now."""
+        """Replace the floor shares by those of `other`."""
         self._floors = dict(other._floors)
 
     def push(self, work: Work) -> None:
@@ -71,14 +75,18 @@
         self._floors[work.entry] = work.floor_share
 
     def pop(self, now_ns: int) -> Work:
-        """Take out the smallest slack that can still be met, else any."""
+        """Remove and return the work that starts next.
+
+        This is the work with the least slack among that which can still start in
+        time, or the most overdue work if there is none.
+        """
         at = bisect_left(self.waiting, now_ns, key=_slack_key)
         work = self.waiting.pop(at if at < len(self.waiting) else 0)
         self._take_off(work)
         return work
 
     def remove(self, work: Work) -> bool:
-        """Take out `work`; return False if it does not wait."""
+        """Remove `work`; return False if it is not queued."""
         at = bisect_left(self.waiting, work.latest_start_ns, key=_slack_key)
         while at < len(self.waiting):
             if self.waiting[at] is work:
@@ -91,7 +99,7 @@
         return False
 
     def preceding(self, work: Work) -> list[Work]:
-        """Return what goes before `work` inside this share."""
+        """Return the owner's queued work that has less slack than `work`."""
         at = bisect_left(self.waiting, work.latest_start_ns, key=_slack_key)
         return self.waiting[:at]
 
@@ -104,7 +112,7 @@
 
 
 class FairQueue:
-    """Waiting work of all owners; see the module for the order."""
+    """Queued work of all owners; the module docstring describes the order."""
 
     __slots__ = ("_flows", "_n_waiting", "_now_s", "work_s")
 
@@ -135,7 +143,7 @@
         self.work_s += work.predicted_s
 
     def pop(self, *, now_ns: int) -> Work | None:
-        """Take out what starts next and charge its owner; None when empty."""
+        """Remove the work that starts next and charge its owner; None when empty."""
         waiting = self._backlogged()
         if not waiting:
             return None
@@ -150,7 +158,7 @@
         return work
 
     def remove(self, work: Work) -> bool:
-        """Take out `work`; return False if it does not wait."""
+        """Remove `work`; return False if it is not queued."""
         flow = self._flows.get(work.owner)
         if flow is None or not flow.remove(work):
             return False
@@ -158,18 +166,19 @@
         return True
 
     def correct_charge(self, work: Work, *, used_s: float) -> None:
-        """Replace what the owner was charged for `work` by what it has used."""
+        """Replace the predicted charge for `work` by the time that it used."""
         flow = self._flows.get(work.owner)
         if flow is not None and work.charged_s > 0.0:
             flow.tag_s += (used_s - work.charged_s) / work.charged_share
         work.charged_s = 0.0
 
     def ahead(self, work: Work) -> WorkAhead:
-        """Return what would start before `work`, which need not wait yet.
+        """Return the work that would start before `work`, queued or not.
 
-        While the owner's own work before it is served, the others get their
-        shares too; besides, they first catch up with what the owner has been
-        served beyond its share. More than all that waits is never ahead.
+        While the owner's own preceding work is served, the other owners get
+        their shares as well. If the owner was served more than its share, the
+        others first catch up. The others' part is at most all of their queued
+        work.
         """
         flow = self._flows.get(work.owner)
         before = flow.preceding(work) if flow is not None else []
@@ -181,7 +190,7 @@
         return WorkAhead(n_ahead=len(before), work_s=ahead_s)
 
     def share_of(self, work: Work) -> float:
-        """Return the share of the owner of `work` were it waiting."""
+        """Return the share that the owner of `work` has once `work` is queued."""
         others = [flow for flow in self._backlogged() if flow.owner != work.owner]
         if not others:
             return 1.0
@@ -193,19 +202,20 @@
         return shares([*others, own])[work.owner]
 
     def by_owner(self) -> list[OwnerBacklog]:
-        """Return what each owner has waiting."""
+        """Return the queued work of each owner."""
         return [
             OwnerBacklog(owner=flow.owner, work_s=flow.work_s, weight=flow.weight)
             for flow in self._backlogged()
         ]
 
     def displaceable(self, work: Work) -> list[Work]:
-        """Return waiting work that may give way to `work`, the first to go first.
+        """Return queued work that may be dropped for `work`, first to drop first.
 
-        Only owners that have more waiting than their share give way, so that a
-        burst pushes nobody else out; of their work, the lower brown-out order
-        goes first, then what is farthest over its share, then the latest. The
-        list ends before `work` itself would be the one to go.
+        Only owners whose part of the queue is at least their share are listed,
+        so that a burst of one owner displaces no other owner's work. Of their
+        work, a lower brown-out order is dropped first, then that of the owner
+        farthest over its share, then the one with the most slack. The list ends
+        where `work` itself would be dropped.
         """
         over = self._excess_shares(work)
         rows = [
@@ -218,7 +228,7 @@
         return order[: order.index(work)] if work in order else order
 
     def preceding_lower_order(self, work: Work) -> list[Work]:
-        """Return the owner's work before `work` of a lower brown-out order."""
+        """Return the owner's work ahead of `work` that has a lower brown-out order."""
         flow = self._flows.get(work.owner)
         if flow is None:
             return []
@@ -231,9 +241,9 @@
         return lower
 
     def longest_preceding(self, work: Work) -> Work | None:
-        """Return the longest of the owner's work before `work`, if it is longer.
+        """Return the owner's longest work ahead of `work` if longer than `work`.
 
-        Only work of the same or a lower brown-out order counts.
+        Only work of the same or a lower brown-out order is considered.
         """
         flow = self._flows.get(work.owner)
         if flow is None:
@@ -247,7 +257,7 @@
         return max(longer, key=lambda other: other.predicted_s, default=None)
 
     def _excess_shares(self, work: Work) -> dict[str, float]:
-        """Return by owner its part of the waiting work less its share."""
+        """Return for each owner its part of the queued work minus its share."""
         work_s = {flow.owner: flow.work_s for flow in self._backlogged()}
         work_s[work.owner] = work_s.get(work.owner, 0.0) + work.predicted_s
         total_s = sum(work_s.values()) or 1.0
@@ -276,10 +286,11 @@
 
 
 def shares(flows: Iterable[Flow]) -> dict[str, float]:
-    """Return each owner's share among `flows`; they sum to 1.
+    """Return the share of each owner among `flows`.
 
-    Each gets the floors of its entries, and what is left over is divided by
-    weight. Floors that together exceed the whole are scaled down.
+    Each owner gets the floor shares of its entries; the rest is divided by
+    weight. Floor shares that sum to more than 1 are scaled down to 1. The
+    shares sum to 1, or slightly more where an owner gets the minimum.
     """
     flows = list(flows)
     floors = {flow.owner: flow.floor_share() for flow in flows}
@@ -287,7 +298,7 @@
     scale = 1.0 / total_floor if total_floor > 1.0 else 1.0
     rest = max(0.0, 1.0 - total_floor * scale)
     total_weight = sum(flow.weight for flow in flows)
-    # An owner without floor keeps a sliver when the floors take the whole.
+    # An owner without a floor gets a minimum share if the floors sum to 1.
     return {
         flow.owner: max(
             1e-3, floors[flow.owner] * scale + rest * flow.weight / total_weight
--- a/src/trefoilpaddle/state/held_results.py
+++ b/src/trefoilpaddle/state/held_results.py
@@ -1,4 +1,4 @@
-"""Answers kept in memory until the gateway has acknowledged them, bounded."""
+"""Answers held in bounded memory until the gateway has acknowledged them."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -9,7 +9,7 @@
 
 
 class Answer:
-    """The chunks of one attempt's answer, in order, with count and checksum."""
+    """The chunks of one attempt's answer, in order, with size and checksum."""
 
     __slots__ = ("_checksum", "chunks", "n_bytes")
 
@@ -30,16 +30,18 @@
 
 
 class HeldResults:
-    """Bounds all answers in memory; finished ones wait to be acknowledged.
+    """Accounts for the memory of all answers, and expires the finished ones.
 
     Parameters
     ----------
     max_bytes : int
-        Most bytes of all answers; of the finished ones the oldest goes first.
+        Largest size of all answers together. If it would be exceeded, the oldest
+        finished answer is dropped first.
     keep_ns : int
-        How long one is held.
+        How long a finished answer is held.
     on_drop : callable
-        Called with the id of each attempt whose answer is dropped unasked.
+        Called with the id of each attempt whose answer is dropped before it was
+        acknowledged.
     """
 
     __slots__ = (
@@ -66,10 +68,10 @@
         return iter(self._held)
 
     def grow(self, n_bytes: int) -> bool:
-        """Count bytes of an answer that is still open.
+        """Count `n_bytes` more of answers that are still open.
 
-        Finished answers are dropped to make room; return False if there is
-        none left to drop, and the bytes may not be kept.
+        Finished answers are dropped as far as necessary. Returns False if that
+        does not suffice; the bytes must then not be kept.
         """
         while self._held and self._is_over(n_bytes):
             self._drop(next(iter(self._held)))
@@ -79,17 +81,17 @@
         return True
 
     def shrink(self, n_bytes: int) -> None:
-        """Count off bytes of an answer that was open."""
+        """Subtract `n_bytes` of an answer that is not open any more."""
         self.open_bytes -= n_bytes
 
     def hold(self, attempt_id: bytes, *, n_bytes: int, now_ns: int) -> None:
-        """Hold an answer, so far counted as open, that is now finished."""
+        """Hold a finished answer, whose bytes were counted as open until now."""
         self.shrink(n_bytes)
         self._held[attempt_id] = (n_bytes, now_ns + self._keep_ns)
         self.held_bytes += n_bytes
 
     def release(self, attempt_id: bytes) -> bool:
-        """Forget an acknowledged answer; return False if it is not held."""
+        """Remove an acknowledged answer; return False if it is not held."""
         held = self._held.pop(attempt_id, None)
         if held is None:
             return False
@@ -97,7 +99,7 @@
         return True
 
     def expire(self, now_ns: int) -> None:
-        """Drop every answer that was held for long enough."""
+        """Drop every answer whose holding time is over."""
         while self._held:
             attempt_id, (_, until_ns) = next(iter(self._held.items()))
             if until_ns > now_ns:
--- a/src/trefoilpaddle/state/lease_allowance.py
+++ b/src/trefoilpaddle/state/lease_allowance.py
@@ -1,4 +1,4 @@
-"""What a gateway may use of one limit: units or places in its allowance."""
+"""Part of one limit that a gateway may use: units of a rate, or slots."""
 
 import math
 from dataclasses import dataclass
@@ -8,16 +8,18 @@
 from .token_bucket import TokenBucket
 
 HEADROOM_PERIODS: Final = 1.5
+"""Report periods for which the expected use is kept in the allowance."""
+
 LOW_SHARE: Final = 0.4
-"""Part of the units last wanted below which more are asked for in advance."""
+"""Part of the target level below which more units are requested in advance."""
 
 RATE_HALF_LIFE_S: Final = 2.0
-"""Time over which the rate of use is averaged."""
+"""Time constant of the moving average of the rate of use."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LimitReport:
-    """What a gateway tells its home of one limit; fields as in `LeaseWant`."""
+    """A gateway's report of one limit to its home; fields as in `LeaseWant`."""
 
     want: float
     used: float = 0.0
@@ -27,10 +29,11 @@
 
 
 class RateAllowance:
-    """Units of one rate limit in a gateway's allowance.
+    """Units of one rate limit that a gateway may use.
 
-    Under a lease, units come from the home alone. Long after the last ask, the
-    gateway's own share refills a bucket here instead.
+    While the gateway's share is delegated to the home, units come only from the
+    home's grants. Once the delegation has expired, a local token bucket refills
+    from the gateway's own share instead.
     """
 
     __slots__ = (
@@ -67,18 +70,18 @@
         burst_s: float,
         need: float,
     ) -> None:
-        """Refill from the gateway's own share, its own again since `from_s`."""
+        """Refill from the gateway's share, which is not delegated from `from_s` on."""
         self._bucket.advance(
             now_s, rate_per_s=rate_per_s, from_s=from_s, burst_s=burst_s, need=need
         )
 
     def available(self, now_s: float) -> float:
-        """Return the units that may be used now."""
+        """Return the number of units that may be used now."""
         leased = self._units if now_s < self._until_s else 0.0
         return leased + self._bucket.level
 
     def check_available(self, now_s: float, n_units: float) -> bool:
-        """Return True if `n_units` may be used; else note that they are missed."""
+        """Return True if `n_units` may be used; otherwise record them as missing."""
         if self.available(now_s) >= n_units:
             return True
         self._missed += n_units
@@ -86,30 +89,31 @@
         return False
 
     def take(self, now_s: float, n_units: float) -> None:
-        """Use up `n_units`, which `has` has found."""
+        """Use `n_units`, whose availability `check_available` has confirmed."""
         leased = min(n_units, self._units if now_s < self._until_s else 0.0)
         self._units -= leased
         self._bucket.level -= n_units - leased
         self._used += leased
 
     def has_misses(self) -> bool:
-        """Return True if a request lacked units since the last report."""
+        """Return True if a request found too few units since the last report."""
         return self._missed > 0.0
 
     def is_low(self) -> bool:
-        """Return True if a request may soon find too few units."""
+        """Return True if the leased units are below the level for a new request."""
         return self._units < self._low
 
     def return_unused(self, n_units: float) -> None:
-        """Return units taken and not used after all."""
+        """Put back units that a request took and did not use."""
         self._units += n_units
         self._used -= n_units
 
     def report(self, now_s: float, *, period_s: float, n_spare: float) -> LimitReport:
-        """Return what to tell the home, and count it as told.
+        """Return the report for the home and reset the counts in it.
 
-        Units beyond the next period's expected use, or `n_spare` if that is
-        more, are given back.
+        The target level is the missing units plus the expected use of
+        ``HEADROOM_PERIODS`` periods, or plus `n_spare` if that is more. Units
+        above it are returned to the home.
         """
         passed_s = max(1e-3, now_s - self._reported_s)
         weight = min(1.0, passed_s / RATE_HALF_LIFE_S)
@@ -137,7 +141,7 @@
     def grant(
         self, n_units: float, *, sent_s: float, now_s: float, retry_after_s: float
     ) -> None:
-        """Take what the ask sent at `sent_s` brought."""
+        """Add the units granted in response to the request sent at `sent_s`."""
         if now_s >= self._until_s:
             self._units = 0.0
         if n_units > 0.0 or self._units > 0.0:
@@ -147,14 +151,14 @@
 
 
 class SlotAllowance:
-    """Places of one concurrency limit in a gateway's allowance.
+    """Slots of one concurrency limit that a gateway may use.
 
     Parameters
     ----------
     now_s : float
-        Own monotonic clock.
+        This process's monotonic clock.
     last_request_s : float
-        When the entry's home was last asked for anything.
+        Time of the last lease request to the entry's home.
     """
 
     __slots__ = (
@@ -179,10 +183,11 @@
         self.refused_until_s = now_s
 
     def n_allowed(self, now_s: float, *, share: int, deadline_s: float) -> int:
-        """Return how many places may be in use now.
+        """Return how many slots may be in use now.
 
-        Without a lease it is the gateway's share, but for as long as a home may
-        have lent a part of it, no more than was left when it was last asked.
+        Without a lease this is the gateway's share. For as long as a home may
+        still lease a part of that share to others, it is at most the number of
+        slots kept at the last report.
         """
         if now_s < self._until_s:
             return self._granted
@@ -191,32 +196,32 @@
         return share
 
     def check_available(self, n_allowed: int) -> bool:
-        """Return True if a place is free; else note that it is missed."""
+        """Return True if a slot is free; otherwise record it as missing."""
         if self.n_used < n_allowed:
             return True
         self._pending += 1
         return False
 
     def take(self) -> None:
-        """Use one place, which `has` has found."""
+        """Use one slot, whose availability `check_available` has confirmed."""
         self.n_used += 1
         self._peak = max(self._peak, self.n_used)
 
     def has_misses(self) -> bool:
-        """Return True if a request lacked a place since the last report."""
+        """Return True if a request found no free slot since the last report."""
         return self._pending > 0
 
     def release(self) -> None:
-        """Free one place."""
+        """Free one slot."""
         self.n_used -= 1
 
     def report(
         self, now_s: float, *, share: int, limit: int, n_spare: int
     ) -> LimitReport:
-        """Return what to tell the home; places beyond it are given up at once.
+        """Return the report for the home; slots above its `keep` are dropped at once.
 
-        `n_spare` free places are kept for the next request, unless another
-        gateway waits for them.
+        `n_spare` free slots, or more if more were in use since the last report,
+        are requested for coming requests, unless another gateway waits for slots.
         """
         headroom = max(n_spare, self._peak - self.n_used)
         if self.is_contended:
@@ -233,7 +238,7 @@
     def grant(
         self, n_slots: int, *, sent_s: float, now_s: float, retry_after_s: float
     ) -> None:
-        """Take the answer to the ask sent at `sent_s`."""
+        """Apply the response to the request sent at `sent_s`."""
         self._granted = n_slots
         self._until_s = sent_s + LEASE_S
         self.refused_until_s = now_s + retry_after_s
--- a/src/trefoilpaddle/state/lease_table.py
+++ b/src/trefoilpaddle/state/lease_table.py
@@ -1,4 +1,4 @@
-"""What a home has lent of one limit: units of a rate, or places."""
+"""Grants of one limit by its home: units of a rate, or slots."""
 
 import math
 from dataclasses import dataclass
@@ -7,22 +7,22 @@
 from .lease_times import LEASE_S, MARGIN_S
 
 MIN_BURST_S: Final = 1.0
-"""Shortest burst over all gateways: units in their allowances must last from one ask
-to the next."""
+"""Shortest burst over all gateways: the units in their allowances must last from one
+lease request to the next."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseResult:
-    """Answer to one want.
+    """Response to the report of one limit.
 
     Parameters
     ----------
     granted : float
-        Units, or places in all.
+        Further units of a rate, or total number of slots.
     retry_after_s : float
-        When more may be had; 0 if all that was wanted is granted.
+        Seconds until more may be granted; 0 if the request is satisfied.
     is_contended : bool
-        True if some gateway lately got less than it wanted.
+        True if some gateway recently got less than it wanted.
     """
 
     granted: float
@@ -32,23 +32,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeldUnits:
-    """Units or places that one gateway may have, and until when."""
+    """Units or slots that one gateway may hold, and until when."""
 
     n_held: float
     until_s: float
 
 
 class RatePool:
-    """Units of one rate limit, refilled by the shares of the gateways heard.
+    """Units of one rate limit, refilled from the shares of the delegating gateways.
 
-    The pool starts empty and refills only for gateways that rely on this home,
-    so two homes believed at once together refill no more than the limit. Units
-    leave it once; what a gateway does not give back counts as used.
+    The pool starts empty and refills only for gateways that delegate their share
+    to this home, so that two processes that act as the home at the same time
+    together refill no more than the limit. A granted unit leaves the pool; units
+    that a gateway does not return count as used.
 
     Parameters
     ----------
     now_s : float
-        The home's monotonic clock.
+        The home's monotonic clock, in seconds.
     """
 
     __slots__ = ("_active", "_held", "_now_s", "level")
@@ -60,7 +61,7 @@
         self._active: dict[str, float] = {}
 
     def record_return(self, gateway: str, *, keep: float, returned: float) -> None:
-        """Take what `gateway` gives back; it has `keep` units left in hand."""
+        """Add the units that `gateway` returns; it still holds `keep` units."""
         self.level += returned
         until_s = self._now_s + LEASE_S + MARGIN_S
         self._held[gateway] = HeldUnits(n_held=keep, until_s=until_s)
@@ -68,9 +69,10 @@
     def advance(
         self, now_s: float, *, rate_per_s: float, burst_s: float, need: float
     ) -> None:
-        """Refill up to `now_s` at `rate_per_s`, the shares of those heard.
+        """Refill until `now_s` at `rate_per_s`, the sum of the delegated shares.
 
-        With what the gateways hold, at most the burst or `need` units are kept.
+        The pool and the gateways' holdings together are capped at the burst, or
+        at `need` units if that is more.
         """
         self.level += rate_per_s * max(0.0, now_s - self._now_s)
         self._now_s = now_s
@@ -90,17 +92,17 @@
         keep: float,
         rate_per_s: float,
     ) -> LeaseResult:
-        """Lend `gateway` whole units.
+        """Grant `gateway` a whole number of units.
 
         Parameters
         ----------
         want, need : float
-            Further units wanted, and the least that helps a waiting request;
-            `need` is 0 when none waits.
+            Further units wanted, and the least that a waiting request needs;
+            `need` is 0 if no request waits. Less than `need` is not granted.
         keep : float
-            Units that it has in hand.
+            Units that the gateway holds.
         rate_per_s : float
-            At which the pool refills.
+            Refill rate of the pool.
         """
         granted = 0.0
         if want > 0.0:
@@ -126,10 +128,11 @@
 
 
 class SlotPool:
-    """Places of one concurrency limit.
+    """Slots of one concurrency limit.
 
-    Lends at most the shares of the gateways delegating, together; the shares of all
-    others stay theirs, because they may be using them unheard.
+    Grants at most the sum of the shares of the delegating gateways. The shares
+    of all other gateways stay reserved for them, because they may be using
+    them without contact to this home.
     """
 
     __slots__ = ("_active", "_contended_s", "_held")
@@ -150,19 +153,20 @@
         shares: dict[str, int],
         delegating: frozenset[str],
     ) -> LeaseResult:
-        """Return how many places `gateway` may use in all from now on.
+        """Return how many slots in total `gateway` may use from now on.
 
         Parameters
         ----------
         want, keep : int
-            Places wanted, and places that it does not exceed until it has the
-            answer.
+            Slots wanted in total, and the number that the gateway does not
+            exceed until it has the response.
         now_s, deadline_s : float
-            The home's clock, and the longest that a request may hold a place.
+            The home's clock, and the longest time that a request holds a slot,
+            in seconds.
         shares : dict of str to int
-            The shares of all gateways.
+            The share of each gateway, in slots.
         delegating : frozenset of str
-            Those that rely on this home now, `gateway` among them.
+            Gateways that delegate their share to this home, including `gateway`.
         """
         self._record_activity(gateway, want, now_s)
         free = self._free_slots(
@@ -185,7 +189,7 @@
     def fits(
         self, *, now_s: float, shares: dict[str, int], delegating: frozenset[str]
     ) -> bool:
-        """Return True if what is lent fits into the shares of those heard."""
+        """Return True if the leased slots fit into the shares of `delegating`."""
         return (
             self._free_slots("", now_s=now_s, shares=shares, delegating=delegating) >= 0
         )
@@ -198,7 +202,10 @@
         shares: dict[str, int],
         delegating: frozenset[str],
     ) -> int:
-        """Return places neither lent to others nor kept for the unheard."""
+        """Return the slots neither leased to others nor reserved for other shares.
+
+        Negative if more is leased than the delegated shares allow.
+        """
         free = sum(shares.get(name, 0) for name in delegating)
         for name, held in list(self._held.items()):
             if held.until_s <= now_s:
--- a/src/trefoilpaddle/state/lease_times.py
+++ b/src/trefoilpaddle/state/lease_times.py
@@ -1,24 +1,25 @@
-"""Times of leases; the proof in docs/design/limits.md rests on their order."""
+"""Durations of leases; the proof in docs/design/limits.md depends on their order."""
 
 from typing import Final
 
 LEASE_S: Final = 2.0
-"""How long a gateway uses what an ask brought, from the sending of that ask."""
+"""Time that a gateway uses a grant, counted from sending the lease request."""
 
 MARGIN_S: Final = 0.2
-"""How much longer a home counts it: clocks of two hosts may run apart by 5%."""
+"""Extra time that the home counts a grant: the clock rates of two hosts may
+differ by 5%."""
 
 MAX_REQUEST_AGE_S: Final = 0.5
-"""A home drops an ask that may have been under way for longer."""
+"""A home drops a lease request that may have been in transit for longer."""
 
 HOLD_S: Final = MAX_REQUEST_AGE_S + LEASE_S + MARGIN_S
-"""After an ask is sent, the home may count on it for this long."""
+"""Longest time after sending a lease request for which the home may rely on it."""
 
 
 def slot_hold_s(deadline_s: float) -> float:
-    """Return the same for concurrency, where requests outlast the lease.
+    """Return the time as in ``HOLD_S`` for slots, whose requests outlast the lease.
 
-    A place lent to another gateway is free again only when that gateway has
-    heard so, or lost its lease, and the request on it has ended.
+    A slot leased to another gateway is free again only when that gateway has
+    been notified, or its lease has expired, and the request in it has ended.
     """
     return HOLD_S + LEASE_S + MARGIN_S + deadline_s
--- a/src/trefoilpaddle/state/members.py
+++ b/src/trefoilpaddle/state/members.py
@@ -1,4 +1,4 @@
-"""What this process has heard of each other process, and digests over it."""
+"""Latest membership record of each process, and digests over the records."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
@@ -9,7 +9,7 @@
 
 @unique
 class MemberState(IntEnum):
-    """What is said of a member; of equal beats the higher state overrules."""
+    """State of a member; with equal beats, the higher state takes precedence."""
 
     LIVE = 0
     SUSPECT = 1
@@ -19,24 +19,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberRecord:
-    """What is said of one process.
+    """Membership record of one process.
 
     Parameters
     ----------
     process_id : str
         Stable over restarts.
     incarnation : int
-        Of the start that is meant; random, so two cannot be ordered by it.
+        Random id of one start of the process; says nothing about which of two
+        starts is newer.
     address : str
-        ``ip:port`` for peers.
+        ``ip:port`` on which the process listens for peers.
     role, failure_domain, region, service, target : str
-        As in the host list.
+        As in `trefoilpaddle.state.hosts.Host`.
     state : MemberState
-        What is said of it.
+        State of the process as reported.
     beat : int
-        Raised only by the process itself, to overrule what is said of it.
+        Counter that only the process itself raises, to supersede reports about it.
     millicores : int
-        Processor that the process may use, in thousandths of a core; 0 if untold.
+        CPU that the process may use, in thousandths of a core; 0 if not reported.
     """
 
     process_id: str
@@ -52,14 +53,14 @@
     millicores: int = 0
 
     def supersedes(self, other: "MemberRecord") -> bool:
-        """Return True if this is to be believed rather than `other`."""
+        """Return True if this record takes precedence over `other`."""
         return self._rank() > other._rank()
 
     def _rank(self) -> tuple[int, int, int]:
         return (self.beat, self.state, self.incarnation)
 
     def fingerprint(self) -> int:
-        """Return a number that differs when anything said of it does."""
+        """Return a checksum of process id, incarnation, beat and state."""
         return checksum(
             f"{self.process_id}\0{self.incarnation}\0{self.beat}\0{self.state}".encode()
         )
@@ -68,18 +69,18 @@
 class MemberTable:
     """The newest record of each process.
 
-    Dead members are kept for a while, so that an old record cannot bring them
-    back, but they count in no digest: two processes forget them at different
-    times and must not remind each other for ever.
+    Dead members are kept for a while, so that an old record cannot add them
+    again. They are left out of the digests: processes remove them at different
+    times, and would otherwise keep sending them to each other.
 
     Attributes
     ----------
     records : dict of str to MemberRecord
         By process id.
     digests : dict of str to int
-        By failure domain, over the members that are not dead.
+        Digest for each failure domain, over the members that are not dead.
     version : int
-        Rises with each change.
+        Increases with each change.
     """
 
     __slots__ = ("digests", "records", "version")
@@ -91,30 +92,30 @@
 
     @property
     def digest(self) -> int:
-        """One digest over all failure domains."""
+        """Digest over all failure domains."""
         total = 0
         for digest in self.digests.values():
             total ^= digest
         return total
 
     def merge(self, records: Iterable[MemberRecord]) -> list[MemberRecord]:
-        """Take in `records` and return those that were news."""
+        """Merge `records` and return those that changed the table."""
         return [record for record in records if self._merge_one(record)]
 
     def forget(self, process_id: str) -> None:
-        """Drop the record of `process_id`, if there is one."""
+        """Remove the record of `process_id`, if there is one."""
         record = self.records.pop(process_id, None)
         if record is not None:
-            self._count(record)
+            self._toggle_in_digest(record)
             self.version += 1
 
     def set_state(self, process_id: str, state: MemberState) -> MemberRecord | None:
-        """Set what is said of a process; return the record if that was news."""
+        """Set the state of a process; return the new record if it changed the table."""
         record = self.records.get(process_id)
         if record is None:
             return None
-        said = replace(record, state=state)
-        return said if self._merge_one(said) else None
+        changed = replace(record, state=state)
+        return changed if self._merge_one(changed) else None
 
     def present(self) -> Iterator[MemberRecord]:
         """Yield the members that are not dead."""
@@ -131,7 +132,7 @@
         ]
 
     def differing(self, digests: dict[str, int]) -> set[str]:
-        """Return the failure domains whose digest is not the one in `digests`."""
+        """Return the failure domains whose digest differs from that in `digests`."""
         domains = self.digests.keys() | digests.keys()
         return {
             domain
@@ -140,19 +141,19 @@
         }
 
     def _merge_one(self, record: MemberRecord) -> bool:
-        was = self.records.get(record.process_id)
-        if was is not None and not record.supersedes(was):
+        former = self.records.get(record.process_id)
+        if former is not None and not record.supersedes(former):
             return False
-        if was is None and record.state is MemberState.DEAD:
+        if former is None and record.state is MemberState.DEAD:
             return False
-        if was is not None:
-            self._count(was)
+        if former is not None:
+            self._toggle_in_digest(former)
         self.records[record.process_id] = record
-        self._count(record)
+        self._toggle_in_digest(record)
         self.version += 1
         return True
 
-    def _count(self, record: MemberRecord) -> None:
+    def _toggle_in_digest(self, record: MemberRecord) -> None:
         if record.state is MemberState.DEAD:
             return
         domain = record.failure_domain
--- a/src/trefoilpaddle/state/model_plan.py
+++ b/src/trefoilpaddle/state/model_plan.py
@@ -1,4 +1,4 @@
-"""Which models a target should hold, decided alike by every sidecar."""
+"""Plans which models a target should hold; every sidecar gets the same plan."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,20 +8,20 @@
 from ..protocol.checksum import place_score
 
 MODELS_PER_TARGET: Final = 4
-"""How many models one target is taken to hold; engines do not report it."""
+"""Assumed number of models that one target can hold; engines do not report it."""
 
 N_STABLE_ROUNDS: Final = 3
-"""Rounds in a row that must agree before a model is loaded or unloaded."""
+"""Consecutive rounds that must want a change before a model is loaded or unloaded."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Holder:
-    """A target as its sidecar reports it.
+    """Models that a target holds, as reported by its sidecar.
 
     Parameters
     ----------
     process_id : str
-        The sidecar.
+        Process id of the sidecar.
     loaded : frozenset of str
         Models that the target holds.
     """
@@ -35,18 +35,18 @@
 ) -> dict[str, int]:
     """Return how many targets should hold each model.
 
-    Every model gets two copies where there is room, so that one may fail; the
-    rest of the room goes by demand, rounded to powers of two so that sidecars
-    that heard slightly different demand come to the same numbers.
+    Every model gets two copies if capacity allows, so that one may fail. The
+    remaining capacity is divided by demand. Demand is rounded down to powers of
+    two, so that sidecars with slightly different reports get the same numbers.
     """
     names = sorted(models)
-    room = n_targets * MODELS_PER_TARGET
-    if not names or room >= len(names) * n_targets:
+    capacity = n_targets * MODELS_PER_TARGET
+    if not names or capacity >= len(names) * n_targets:
         return dict.fromkeys(names, n_targets)
-    least = min(2, max(1, room // len(names)), n_targets)
+    least = min(2, max(1, capacity // len(names)), n_targets)
     weights = {name: _rounded(demand.get(name, 0.0)) for name in names}
     total = sum(weights.values())
-    spare = max(0, room - least * len(names))
+    spare = max(0, capacity - least * len(names))
     return {
         name: min(n_targets, least + int(spare * weights[name] / total))
         for name in names
@@ -65,31 +65,31 @@
     Parameters
     ----------
     models : iterable of str
-        To keep loaded.
+        Models to keep loaded.
     demand : mapping of str to float
-        Target-seconds a second asked for, by model, over the whole service.
+        Requested target-seconds per second of each model, over the whole service.
     targets : iterable of str
         Process ids of the service's sidecars.
     """
     names = sorted(targets)
-    room = dict.fromkeys(names, MODELS_PER_TARGET)
+    capacity = dict.fromkeys(names, MODELS_PER_TARGET)
     copies = wanted_copies(models, demand, n_targets=len(names))
     plan: dict[str, frozenset[str]] = {}
     for model, n_copies in copies.items():
         order = sorted(names, key=lambda name: place_score(model, name), reverse=True)
-        chosen = [name for name in order if room[name] > 0][:n_copies]
+        chosen = [name for name in order if capacity[name] > 0][:n_copies]
         for name in chosen:
-            room[name] -= 1
+            capacity[name] -= 1
         plan[model] = frozenset(chosen)
     return plan
 
 
 def may_unload(model: str, *, me: str, others: Iterable[Holder]) -> bool:
-    """Return True if a holder that goes before `me` keeps a copy of `model`.
+    """Return True if a holder that ranks above `me` has a copy of `model`.
 
-    Guards against the last copy going: two holders that unload at the same
-    moment, each trusting in the other. The one that is first in rendezvous
-    order among the holders it sees never unloads.
+    Guards against the loss of the last copy when two holders unload at the same
+    time, each relying on the other. The holder that ranks first in rendezvous
+    order among those that it knows never unloads.
     """
     own = (place_score(model, me), me)
     holders = [other for other in others if model in other.loaded]
@@ -97,7 +97,7 @@
 
 
 class StableChanges:
-    """Changes wanted, each passed on only when wanted several rounds in a row."""
+    """Confirms a wanted change once several consecutive rounds have wanted it."""
 
     __slots__ = ("_rounds",)
 
@@ -105,6 +105,6 @@
         self._rounds: dict[str, int] = {}
 
     def confirm(self, wanted: Iterable[str]) -> list[str]:
-        """Note what this round wants and return what ``N_ROUNDS`` have."""
+        """Record the changes that this round wants and return the confirmed ones."""
         self._rounds = {name: self._rounds.get(name, 0) + 1 for name in wanted}
         return sorted(name for name, n in self._rounds.items() if n >= N_STABLE_ROUNDS)
--- a/src/trefoilpaddle/state/prefix.py
+++ b/src/trefoilpaddle/state/prefix.py
@@ -1,4 +1,4 @@
-"""Where prompt prefixes went: chained hashes of blocks, with their age."""
+"""Records which targets received which prompt prefixes, by chained block hashes."""
 
 import time
 from typing import Final
@@ -8,29 +8,29 @@
 from .prefix_holders import PrefixHolders
 
 BLOCK_WORDS: Final = 32
-"""Words of a block."""
+"""Words per block."""
 
 MAX_BLOCKS: Final = 32
-"""Leading blocks of a prompt that are hashed."""
+"""Largest number of leading blocks of a prompt that are hashed."""
 
 MAX_PREFIXES: Final = 20_000
-"""Prefixes remembered."""
+"""Largest number of remembered prefixes."""
 
 MAX_HOLDERS: Final = 8
-"""Targets remembered for each prefix."""
+"""Largest number of remembered targets of each prefix."""
 
 KEEP_S: Final = 120.0
-"""Age after which a prefix is taken as evicted."""
+"""Age after which a prefix is assumed to be evicted from the target's cache."""
 
 _SIGN_BIT: Final = 1 << 63
 _RANGE: Final = 1 << 64
 
 
 def prefix_hashes(prompt: str) -> tuple[int, ...]:
-    """Return one hash for each leading block of `prompt`, each over all before.
+    """Return one hash for each leading block of `prompt`, chained over the prefix.
 
-    Two prompts share the first n hashes exactly when they share the first n
-    blocks of words; a last block that is not full has no hash.
+    Two prompts have the same first n hashes exactly if their first n blocks of
+    words are the same. An incomplete last block has no hash.
     """
     words = prompt.split(None, BLOCK_WORDS * MAX_BLOCKS)
     n_blocks = min(MAX_BLOCKS, len(words) // BLOCK_WORDS)
@@ -46,17 +46,18 @@
 
 
 class PrefixRecord:
-    """This gateway's own record of which target got which prefix, and when.
+    """Which target received which prefix from this gateway, and when.
 
-    Engines tell what they cache late and with gaps; what was sent where is
-    known here at once. Both are hints: a prefix may have been evicted.
+    Engines report their cached prefixes late and incompletely, whereas the
+    gateway knows at once what it sent to a target. Both are only hints: a prefix
+    may have been evicted.
 
     Parameters
     ----------
     n_prefixes : int
-        How many prefixes are remembered.
+        Largest number of remembered prefixes.
     keep_s : float
-        Age at which a record counts no more.
+        Age in seconds after which a record is ignored.
     """
 
     __slots__ = ("_holders",)
@@ -69,12 +70,12 @@
         )
 
     def record(self, service: str, hashes: tuple[int, ...], process_id: str) -> None:
-        """Remember that a prompt with these prefixes went to `process_id`."""
+        """Record that a prompt with these prefixes was sent to `process_id`."""
         prefixes = ((service, value) for value in hashes)
         self._holders.record(prefixes, process_id, time.monotonic())
 
     def shares(self, service: str, hashes: tuple[int, ...]) -> dict[str, float]:
-        """Return which share of the hashed blocks each target has seen lately."""
+        """Return the share of the hashed blocks that each target recently received."""
         now_s = time.monotonic()
         shares: dict[str, float] = {}
         for n_blocks in range(len(hashes), 0, -1):
--- a/src/trefoilpaddle/state/prefix_holders.py
+++ b/src/trefoilpaddle/state/prefix_holders.py
@@ -1,4 +1,4 @@
-"""Which targets were sent which prefixes, and when: bounded, and by age."""
+"""Records which targets received which prefixes, bounded in number and age."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
 
 
 class PrefixHolders(Generic[Prefix]):
-    """The last targets of each prefix; those used longest ago are forgotten.
+    """The most recent targets of each prefix; evicts the least recently used.
 
     Parameters
     ----------
     n_prefixes : int
-        How many prefixes are remembered.
+        Largest number of remembered prefixes.
     n_holders : int
-        How many targets of each are.
+        Largest number of remembered targets of each prefix.
     keep_s : float
-        Age at which a record counts no more.
+        Age in seconds after which a record is ignored.
     """
 
     __slots__ = ("_at_s", "_keep_s", "_n_holders", "_n_prefixes")
@@ -29,7 +29,7 @@
         self._at_s: OrderedDict[Prefix, dict[str, float]] = OrderedDict()
 
     def record(self, prefixes: Iterable[Prefix], holder: str, now_s: float) -> None:
-        """Remember that a prompt with these prefixes went to `holder`."""
+        """Record that a prompt with these prefixes was sent to `holder` at `now_s`."""
         for prefix in prefixes:
             at_s = self._at_s.setdefault(prefix, {})
             at_s[holder] = now_s
@@ -40,17 +40,17 @@
             self._at_s.popitem(last=False)
 
     def holders_of(self, prefix: Prefix, now_s: float) -> list[str]:
-        """Return who got a prefix lately."""
+        """Return the targets that recently received `prefix`."""
         at_s = self._at_s.get(prefix, {})
         return [holder for holder in at_s if self._is_fresh(at_s[holder], now_s)]
 
     def has(self, prefix: Prefix, holder: str, now_s: float) -> bool:
-        """Return True if `holder` got a prefix lately."""
+        """Return True if `holder` recently received `prefix`."""
         at_s = self._at_s.get(prefix, {}).get(holder)
         return at_s is not None and self._is_fresh(at_s, now_s)
 
     def forget(self, holder: str) -> None:
-        """Forget a target that has ended; its successor has got nothing."""
+        """Remove a target that has exited; its successor starts with an empty cache."""
         for at_s in self._at_s.values():
             at_s.pop(holder, None)
 
--- a/src/trefoilpaddle/state/rendezvous.py
+++ b/src/trefoilpaddle/state/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who agrees on the places agrees on the choice."""
+"""Rendezvous hashing: processes with the same candidates make the same choice."""
 
 import heapq
 from collections.abc import Iterable
@@ -7,9 +7,9 @@
 
 
 def highest(key: str, places: Iterable[str], *, n: int) -> list[str]:
-    """Return the `n` places that score highest for `key`, best first.
+    """Return the `n` candidates with the highest score for `key`, best first.
 
-    Adding or removing a place changes the choice of only those keys that it
-    wins or had won.
+    Adding or removing a candidate changes the choice only for keys for which it
+    is or was among the `n` best.
     """
     return heapq.nlargest(n, places, key=lambda place: place_score(key, place))
--- a/src/trefoilpaddle/state/replicas.py
+++ b/src/trefoilpaddle/state/replicas.py
@@ -1,4 +1,4 @@
-"""Places of a key: the sidecars that decide about it under a published list."""
+"""Replicas of a key: the sidecars that keep its claims under a published host list."""
 
 import time
 from collections import deque
@@ -10,11 +10,12 @@
 from .hosts import Host, HostList, HostState
 
 N_FORMER_LISTS: Final = 32
+"""Largest number of replaced lists that are kept."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Replica:
-    """A sidecar that can decide about keys."""
+    """A sidecar that can keep the claims of keys."""
 
     process_id: str
     failure_domain: str
@@ -23,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaList:
-    """The places of one published list.
+    """The sidecars that can be replicas under one published host list.
 
     Parameters
     ----------
     revision : int
-        Of the published list.
-    replicas : tuple of Place
+        Revision of the host list.
+    replicas : tuple of Replica
         Its live sidecars.
     """
 
@@ -37,26 +38,26 @@
     replicas: tuple[Replica, ...]
 
     def pair(self, key: str) -> tuple[Replica, ...]:
-        """Return the first and second place of `key`; fewer in a shorter list.
+        """Return the primary and the backup of `key`; fewer if the list is shorter.
 
-        The first is the one with the highest rendezvous score. The second is
-        the highest in another failure domain, if there is another, so that no
-        loss of one domain takes both. When one host joins or leaves the list,
-        the pairs before and after share a place.
+        The primary has the highest rendezvous score. The backup has the highest
+        score in another failure domain, if there is one, so that the loss of one
+        domain does not take both. When one host joins or leaves the list, the
+        pairs before and after have a replica in common.
         """
         if not self.replicas:
             return ()
         scored = [
-            (place_score(key, place.process_id), place) for place in self.replicas
+            (place_score(key, replica.process_id), replica) for replica in self.replicas
         ]
-        first = _highest(scored)
-        rest = [item for item in scored if item[1] is not first]
-        apart = [
-            item for item in rest if item[1].failure_domain != first.failure_domain
+        primary = _highest(scored)
+        rest = [item for item in scored if item[1] is not primary]
+        other_domains = [
+            item for item in rest if item[1].failure_domain != primary.failure_domain
         ]
         if not rest:
-            return (first,)
-        return first, _highest(apart or rest)
+            return (primary,)
+        return primary, _highest(other_domains or rest)
 
 
 def _highest(scored: Iterable[tuple[int, Replica]]) -> Replica:
@@ -64,7 +65,7 @@
 
 
 def replica_list(hosts: HostList) -> ReplicaList:
-    """Return the places of `hosts`."""
+    """Return the live sidecars of `hosts`."""
     return ReplicaList(
         revision=hosts.revision,
         replicas=tuple(_replica(host) for host in hosts.hosts if _is_replica(host)),
@@ -84,15 +85,15 @@
 
 
 class ReplicaHistory:
-    """The present list of places and the lists that it replaced lately.
+    """The current replica list and the recently replaced ones.
 
     Parameters
     ----------
     keep_s : float
-        How long a replaced list is kept; a process cut off from the platform
-        may go on deciding under it.
+        How long a replaced list is kept, because a process partitioned from the
+        platform may still decide under it.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     __slots__ = ("_clock", "_former", "_keep_s", "complete_since_s", "current")
@@ -105,10 +106,10 @@
         self._former: deque[tuple[float, ReplicaList]] = deque()
         self.current = ReplicaList(revision=0, replicas=())
         self.complete_since_s = clock()
-        """When this process began to know every list; set anew by a cut."""
+        """Time since which every list is known; reset when a list is dropped early."""
 
     def set_hosts(self, hosts: HostList) -> None:
-        """Take `hosts` as the present list, if newer."""
+        """Make `hosts` the current list if it is newer."""
         if hosts.revision <= self.current.revision:
             return
         replaced = self.current
@@ -121,7 +122,7 @@
         self._limit_former()
 
     def add_former(self, replicas: ReplicaList, *, replaced_ago_s: float) -> None:
-        """Take a list that another process held, as one replaced here too."""
+        """Add a list that another process had, as one that was replaced here too."""
         if replicas.revision == self.current.revision:
             return
         if any(known.revision == replicas.revision for _, known in self._former):
@@ -131,21 +132,24 @@
         self._limit_former()
 
     def _limit_former(self) -> None:
-        # A burst of list changes must not fill memory. Forgetting a list makes
-        # this process one that does not know the past, which it then says.
+        # Bounds memory in a burst of list changes. Without the dropped list this
+        # process may lack claims, which `complete_since_s` records.
         if len(self._former) > N_FORMER_LISTS:
             self._former.popleft()
             self.complete_since_s = self._clock()
 
     def lists_with_ages(self) -> list[tuple[float, ReplicaList]]:
-        """Return the present and former lists and how long ago each was replaced."""
+        """Return the seconds since each list was replaced, and the list.
+
+        The current list comes first, with 0.
+        """
         now_s = self._clock()
         self.former()
         former = [(now_s - at_s, replicas) for at_s, replicas in self._former]
         return [(0.0, self.current), *former]
 
     def former(self) -> list[ReplicaList]:
-        """Return the replaced lists that may still be in use, newest first."""
+        """Return the replaced lists that may still be in use, latest replaced first."""
         oldest_s = self._clock() - self._keep_s
         while self._former and self._former[0][0] < oldest_s:
             self._former.popleft()
--- a/src/trefoilpaddle/state/requests.py
+++ b/src/trefoilpaddle/state/requests.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of the requests of the last minutes."""
+"""States of the recent requests of this gateway."""
 
 import time
 from collections import OrderedDict
@@ -10,7 +10,7 @@
 
 @unique
 class RequestState(StrEnum):
-    """How far a request is, in the words of the callers' interface."""
+    """State of a request; the values are those of the interface for callers."""
 
     IN_PROGRESS = "in progress"
     ANSWERED = "answered"
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestRecord:
-    """One request as told to its caller.
+    """State of one request as reported to its caller.
 
     Parameters
     ----------
     request_id, account, pipeline : str
-        Which request, whose, of which pipeline.
+        Id of the request, its client account and its pipeline.
     state : RequestState
-        How far it is.
+        The current state.
     reason : Reason
-        Why it ended so.
+        Reason of the outcome.
     changed_s : float
-        This process's monotonic clock at the last change.
+        Time of the last change on this process's monotonic clock, in seconds.
     """
 
     request_id: str
@@ -49,9 +49,9 @@
     Parameters
     ----------
     n_records : int
-        How many are kept.
+        Largest number of records.
     keep_s : float
-        For how long after the last change.
+        How long a record is kept after its last change.
     """
 
     __slots__ = ("_keep_s", "_n_records", "_records")
@@ -62,7 +62,7 @@
         self._records: OrderedDict[str, RequestRecord] = OrderedDict()
 
     def begin(self, *, request_id: str, account: str, pipeline: str) -> None:
-        """Remember a request that is in progress from now on."""
+        """Record a request as in progress."""
         self._put(
             RequestRecord(
                 request_id=request_id,
@@ -75,7 +75,7 @@
         )
 
     def end(self, request_id: str, *, state: RequestState, reason: Reason) -> None:
-        """Remember how a request ended; one already forgotten stays so."""
+        """Record the outcome of a request, unless its record was evicted."""
         record = self._records.get(request_id)
         if record is None:
             return
@@ -83,7 +83,7 @@
         self._put(replace(record, state=state, reason=reason, changed_s=now_s))
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Return what is known of a request, or None when forgotten."""
+        """Return the record of a request, or None if unknown or expired."""
         record = self._records.get(request_id)
         if record is None or time.monotonic() - record.changed_s > self._keep_s:
             return None
--- a/src/trefoilpaddle/state/slowness.py
+++ b/src/trefoilpaddle/state/slowness.py
@@ -1,22 +1,22 @@
-"""How much slower than predicted the target is of late, and how surely."""
+"""Tracks how much slower than predicted a target has been recently."""
 
 import math
 from typing import Final
 
 STEP: Final = 0.1
-"""Weight of one call in the ratio."""
+"""Weight of one call in the moving average of the ratio."""
 
 GRACE_S: Final = 2.0
-"""Age up to which the last measurement counts in full."""
+"""Age up to which the last measurement has its full effect."""
 
 FADE_S: Final = 2.0
-"""Time in which an older one fades to a third."""
+"""Time constant with which the effect of an older measurement decays."""
 
 MIN_SLOWNESS: Final = 0.5
-"""Least ratio that one call counts with."""
+"""Lower bound of the ratio of one call."""
 
 MAX_SLOWNESS: Final = 20.0
-"""Largest ratio that is believed, of one call and of a report."""
+"""Upper bound of the ratio, of one call and in a report."""
 
 QUANTILE: Final = 0.85
 QUANTILE_STEP: Final = 0.05
@@ -25,11 +25,11 @@
 
 
 class Slowness:
-    """Running ratio of measured to predicted service time; 1 is as predicted.
+    """Moving average of the ratio of measured to predicted service time.
 
-    Without a new measurement for ``GRACE_S`` it fades back to 1. A target that
-    was slow while everything was refused because of it would otherwise never be
-    tried again.
+    A value of 1 means as predicted. Without a new measurement for ``GRACE_S``,
+    the value decays to 1: if a slow target caused all its work to be refused, it
+    would otherwise get no more calls and no new measurement.
     """
 
     __slots__ = ("_ratio", "_spread", "_when_s")
@@ -52,15 +52,15 @@
         now_s : float
             Seconds on a monotonic clock.
         pressure : float
-            From 0, nothing else waits, to 1, much does. Under pressure it is
-            the ratio that ``QUANTILE`` of the calls stay below, since the time
-            of a call that is late after all is missing to others; without it,
-            the ratio that few calls stay below, since nobody else is hurt.
+            From 0, no other work waits, to 1, much work waits. At 1 the result
+            is the ratio below which ``QUANTILE`` of the calls stay, because the
+            time of a late call is lost to other work. At 0 it is a ratio below
+            which few calls stay, because a late call harms no other work.
         """
         return self.at(now_s) * math.pow(self._spread, 2.0 * pressure - 1.0)
 
     def record(self, *, service_s: float, predicted_s: float, now_s: float) -> None:
-        """Take in one ended call; one without prediction says nothing."""
+        """Record one finished call; a call without a prediction is ignored."""
         if predicted_s <= 0.0:
             return
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, service_s / predicted_s))
@@ -69,7 +69,7 @@
         self._when_s = now_s
 
     def _record_spread(self, relative: float) -> None:
-        """Move the tracked quantile of the ratio over its mean."""
+        """Update the tracked quantile of the ratio relative to its average."""
         above = QUANTILE if relative > self._spread else QUANTILE - 1.0
         moved = self._spread * (1.0 + QUANTILE_STEP * above)
         self._spread = min(MAX_SPREAD, max(1.0, moved))
--- a/src/trefoilpaddle/state/tally.py
+++ b/src/trefoilpaddle/state/tally.py
@@ -1,4 +1,4 @@
-"""Who used what in the last minute, counted from the decisions."""
+"""Use by owner and by stage in the last minute, counted from the decisions."""
 
 import time
 from collections import Counter, deque
@@ -10,26 +10,26 @@
 from .journal import Decision, Event
 
 BUCKET_S: Final = 5.0
-"""Time that is counted together."""
+"""Length of the span of time that one bucket covers."""
 
 N_BUCKETS: Final = 12
-"""Buckets kept."""
+"""Number of buckets kept."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Use:
-    """What one owner or stage used.
+    """Requests, calls and target time of one owner or stage.
 
     Parameters
     ----------
     n_accepted, n_answered, n_failed : int
-        Requests at a gateway.
+        Numbers of requests at a gateway.
     n_calls : int
-        Stage calls finished at a target.
+        Stage calls finished at a target with a result.
     cost_s, queued_s : float
-        Target-seconds used and seconds waited, at a target.
+        Target-seconds used and seconds queued at a target.
     refused : Counter of str
-        Refusals by the reason's name.
+        Numbers of refusals by the reason's name.
     """
 
     n_accepted: int = 0
@@ -41,7 +41,7 @@
     refused: Counter[str] = field(default_factory=Counter)
 
     def add(self, other: "Use") -> None:
-        """Count `other` in."""
+        """Add the counts of `other`."""
         self.n_accepted += other.n_accepted
         self.n_answered += other.n_answered
         self.n_failed += other.n_failed
@@ -51,9 +51,9 @@
         self.refused.update(other.refused)
 
     def count(self, decision: Decision) -> None:
-        """Count one decision in."""
-        # By a table and not by match: comparing with enum members one after
-        # the other took longer than all else that is done for a decision.
+        """Count one decision."""
+        # Looked up in a table: comparing with one enum member after the other by
+        # `match` took longer than all other work for a decision.
         counter = COUNTERS.get(int(decision.event))
         if counter is not None:
             counter(self, decision)
@@ -106,8 +106,8 @@
 class Tally:
     """Use by owner and by stage over the last ``N_BUCKETS * BUCKET_S`` seconds.
 
-    Memory is bounded by the owners and stages of the catalogue: decisions name
-    no others.
+    Memory is bounded by the numbers of owners and stages of the catalogue,
+    because decisions name no others.
     """
 
     __slots__ = ("_buckets", "_clock")
@@ -117,7 +117,7 @@
         self._buckets: deque[_Bucket] = deque()
 
     def count(self, decision: Decision) -> None:
-        """Count one decision; subscribe this to a journal."""
+        """Count one decision; to be subscribed to a journal."""
         if int(decision.event) not in COUNTERS:
             return
         bucket = self._now()
--- a/src/trefoilpaddle/state/token_bucket.py
+++ b/src/trefoilpaddle/state/token_bucket.py
@@ -1,8 +1,8 @@
-"""A token bucket on a monotonic clock, for a share that comes and goes."""
+"""A token bucket on a monotonic clock, for a share that is delegated at times."""
 
 
 class TokenBucket:
-    """Units that refill at a rate; the level is read and written freely."""
+    """Units that refill at a rate; the owner reads and writes `level` directly."""
 
     __slots__ = ("_now_s", "level")
 
@@ -21,8 +21,9 @@
     ) -> None:
         """Refill up to `now_s`, to at most `burst_s` of the rate or `need` units.
 
-        The share is this bucket's own since `from_s`; what it held before, and
-        all of it while `from_s` is still to come, belongs to somebody else.
+        The share belongs to this bucket from `from_s` on. Units from before that
+        time are discarded, and nothing is added while `from_s` is in the future,
+        because then the share is used by another process.
         """
         if from_s > self._now_s:
             self.level = 0.0
--- a/src/trefoilpaddle/state/used_ids.py
+++ b/src/trefoilpaddle/state/used_ids.py
@@ -1,4 +1,4 @@
-"""Ids of attempts that must never start again: finished, refused or barred."""
+"""Ids of attempts that must not start again: finished, refused or barred."""
 
 from collections import deque
 from enum import Enum, auto, unique
@@ -7,33 +7,33 @@
 from ..protocol.const import NS_PER_S
 
 KEEP_NS: Final = 120 * NS_PER_S
-"""How long an id is remembered; longer than any deadline a gateway accepts."""
+"""How long an id is remembered; longer than any deadline that a gateway accepts."""
 
 MAX_IDS: Final = 120_000
-"""Most ids remembered, some 20 MB."""
+"""Largest number of remembered ids; they take about 20 MB."""
 
 N_GENERATIONS: Final = 6
-"""Parts in which the memory is dropped."""
+"""Number of parts in which ids are kept and dropped."""
 
 CLOCK_MARGIN_NS: Final = NS_PER_S // 20
-"""More than two hosts' clocks can drift apart during one elapsed span."""
+"""Upper bound of the drift between two hosts' clocks during one elapsed span."""
 
 
 @unique
 class UsedState(Enum):
-    """Why an id is spent."""
+    """How an attempt id was used."""
 
     NEVER_STARTED = auto()
     RAN = auto()
 
 
 class Generation:
-    """Ids spent within one span of time.
+    """Ids used within one span of time.
 
     Parameters
     ----------
     opened_ns : int
-        When the span began.
+        Start of the span on this process's monotonic clock.
     """
 
     __slots__ = ("ids", "last_ns", "opened_ns")
@@ -45,25 +45,25 @@
 
 
 class UsedIds:
-    """Remembers spent ids, and refuses by age where memory was cut.
+    """Remembers used ids; refuses old messages whose ids may have been dropped.
 
     Guards against a start message that arrives late on another connection,
-    after its attempt was barred or has run: it would run a second time, or
-    after a gateway was promised that it never will. While the id is remembered
-    the id refuses it. When ids are dropped, for age or for number, the moment
-    at which the newest of them was spent becomes the *horizon*. A start message
-    was written before its attempt was spent, and its stamp plus its elapsed
-    span is a lower bound of that moment on this process's own clock; so every
-    message that could belong to a dropped id lies before the horizon, and all
-    messages from before the horizon are refused. Cutting the memory can only
-    refuse too much, never run twice.
+    after its attempt was barred or has run. Without this check, the attempt
+    would run a second time, or would run after a gateway was promised that it
+    never starts. While the id is remembered, the message is refused by its id. When ids are dropped, by
+    age or by number, the time at which the newest of them was used becomes the
+    *horizon*. A start message is written before its attempt is used, and its
+    stamp plus its elapsed span is a lower bound of the time of writing on this
+    process's clock. So every message of a dropped id lies before the horizon,
+    and all messages from before the horizon are refused. Dropping ids can cause
+    a refusal too many, but never a second run.
 
     Parameters
     ----------
     keep_ns : int
-        How long an id is kept at least, while the number allows.
+        How long an id is kept, unless `max_ids` is reached.
     max_ids : int
-        How many ids are kept at most.
+        Largest number of ids.
     """
 
     __slots__ = ("_generations", "_horizon_ns", "_keep_ns", "_max_ids")
@@ -77,28 +77,28 @@
     def __len__(self) -> int:
         return sum(len(generation.ids) for generation in self._generations)
 
-    def add(self, attempt_id: bytes, spent: UsedState, *, now_ns: int) -> None:
-        """Remember that `attempt_id` is spent; an id that ran stays so."""
+    def add(self, attempt_id: bytes, state: UsedState, *, now_ns: int) -> None:
+        """Record that `attempt_id` is used; an id that ran keeps that state."""
         if self.get(attempt_id) is UsedState.RAN:
-            spent = UsedState.RAN
+            state = UsedState.RAN
         generation = self._open_generation(now_ns)
-        generation.ids[attempt_id] = spent
+        generation.ids[attempt_id] = state
         generation.last_ns = now_ns
 
     def get(self, attempt_id: bytes) -> UsedState | None:
-        """Return why `attempt_id` is spent, or None if it is not remembered."""
+        """Return how `attempt_id` was used, or None if it is not remembered."""
         for generation in reversed(self._generations):
-            spent = generation.ids.get(attempt_id)
-            if spent is not None:
-                return spent
+            state = generation.ids.get(attempt_id)
+            if state is not None:
+                return state
         return None
 
     def is_before_horizon(self, sent_ns: int) -> bool:
-        """Return True if a message sent at `sent_ns` may be of a dropped id."""
+        """Return True if a message sent at `sent_ns` may belong to a dropped id."""
         return self._horizon_ns > 0 and sent_ns <= self._horizon_ns + CLOCK_MARGIN_NS
 
     def is_complete(self, now_ns: int) -> bool:
-        """Return True if every id spent within the keeping time is remembered."""
+        """Return True if every id used within the retention time is remembered."""
         return self._horizon_ns <= now_ns - self._keep_ns
 
     def _open_generation(self, now_ns: int) -> Generation:
--- a/src/trefoilpaddle/state/work_queue.py
+++ b/src/trefoilpaddle/state/work_queue.py
@@ -1,4 +1,4 @@
-"""Work that waits for a free slot at the target, and what a queue must offer."""
+"""Work that waits for a free slot at a target, and the interface of its queue."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -6,25 +6,24 @@
 
 
 class Work:
-    """One attempt as its queue sees it.
+    """One queued attempt.
 
     Parameters
     ----------
     attempt_id : bytes
         The attempt.
     owner, entry : str
-        Whose share it uses, and the governing entry.
+        The owner whose share it uses, and the governing entry.
     weight : float
         The owner's weight.
     floor_share : float
-        Share of the target kept for the entry while it has work.
+        Share of the target reserved for the entry while it has work, 0 to 1.
     brownout_order : int
-        Lower goes first when work must be refused.
+        Work with a lower value is refused first under overload.
     predicted_s : float
         Predicted target-seconds.
     latest_start_ns : int
-        Last moment, on this process's clock, at which a start can still be in
-        time.
+        Latest start on this process's monotonic clock that can still be in time.
     """
 
     __slots__ = (
@@ -65,14 +64,14 @@
 
 
 class WorkAhead:
-    """What would start before a piece of work.
+    """Amount of queued work that would start before an attempt.
 
     Parameters
     ----------
     n_ahead : int
-        Pieces of waiting work that go first inside its share.
+        Number of attempts of the same owner that start first.
     work_s : float
-        Target-seconds of all waiting work that goes first.
+        Target-seconds of all queued work that starts first.
     """
 
     __slots__ = ("n_ahead", "work_s")
@@ -83,16 +82,16 @@
 
 
 class OwnerBacklog:
-    """What one owner has waiting.
+    """Queued work of one owner.
 
     Parameters
     ----------
     owner : str
         The owner.
     work_s : float
-        Its predicted target-seconds.
+        Predicted target-seconds of its queued work.
     weight : float
-        Its weight.
+        The owner's weight.
     """
 
     __slots__ = ("owner", "weight", "work_s")
@@ -104,11 +103,11 @@
 
 
 class WorkQueue(Protocol):
-    """Decides which waiting work starts next."""
+    """Decides which queued work starts next."""
 
     @property
     def work_s(self) -> float:
-        """Predicted target-seconds that wait."""
+        """Predicted target-seconds of all queued work."""
         ...
 
     def __len__(self) -> int: ...
@@ -120,43 +119,43 @@
         ...
 
     def pop(self, *, now_ns: int) -> Work | None:
-        """Take out what starts next and charge it, or return None when empty."""
+        """Remove the work that starts next and charge it; None when empty."""
         ...
 
     def remove(self, work: Work) -> bool:
-        """Take out `work`; return False if it does not wait."""
+        """Remove `work`; return False if it is not queued."""
         ...
 
     def correct_charge(self, work: Work, *, used_s: float) -> None:
-        """Replace what `work` was charged by what it has used."""
+        """Replace the predicted charge for `work` by the time that it used."""
         ...
 
     def ahead(self, work: Work) -> WorkAhead:
-        """Return what would start before `work`, which need not wait yet."""
+        """Return the work that would start before `work`, queued or not."""
         ...
 
     def by_owner(self) -> list[OwnerBacklog]:
-        """Return what each owner has waiting, where owners get shares."""
+        """Return the queued work of each owner; empty if owners have no shares."""
         ...
 
     def displaceable(self, work: Work) -> list[Work]:
-        """Return waiting work that may give way to `work`, the first to go first."""
+        """Return queued work that may be dropped for `work`, first to drop first."""
         ...
 
     def preceding_lower_order(self, work: Work) -> list[Work]:
-        """Return the owner's work before `work` of a lower brown-out order."""
+        """Return the owner's work ahead of `work` that has a lower brown-out order."""
         ...
 
     def longest_preceding(self, work: Work) -> Work | None:
-        """Return the longest of the owner's work before `work`, if it is longer.
+        """Return the owner's longest work ahead of `work` if longer than `work`.
 
-        Only work of the same or a lower brown-out order counts.
+        Only work of the same or a lower brown-out order is considered.
         """
         ...
 
 
 class FifoQueue:
-    """First come, first served: the baseline."""
+    """First come, first served: the baseline policy."""
 
     __slots__ = ("_waiting", "work_s")
 
@@ -176,7 +175,7 @@
         self.work_s += work.predicted_s
 
     def pop(self, *, now_ns: int) -> Work | None:
-        """Take out the oldest work, or return None when empty."""
+        """Remove the oldest work and return it; None when empty."""
         if not self._waiting:
             return None
         _, work = self._waiting.popitem(last=False)
@@ -184,33 +183,33 @@
         return work
 
     def remove(self, work: Work) -> bool:
-        """Take out `work`; return False if it does not wait."""
+        """Remove `work`; return False if it is not queued."""
         if self._waiting.pop(work.attempt_id, None) is None:
             return False
         self._take_off(work)
         return True
 
     def correct_charge(self, work: Work, *, used_s: float) -> None:
-        """Charge nobody."""
+        """Do nothing: owners are not charged."""
 
     def ahead(self, work: Work) -> WorkAhead:
-        """Return all that waits."""
+        """Return the whole queue."""
         return WorkAhead(n_ahead=len(self._waiting), work_s=self.work_s)
 
     def by_owner(self) -> list[OwnerBacklog]:
-        """Return nothing: owners get no shares here."""
+        """Return an empty list: owners have no shares here."""
         return []
 
     def displaceable(self, work: Work) -> list[Work]:
-        """Return nothing: all waiting work came first."""
+        """Return an empty list: all queued work came before `work`."""
         return []
 
     def preceding_lower_order(self, work: Work) -> list[Work]:
-        """Return nothing: all waiting work came first."""
+        """Return an empty list: no work is dropped for later work."""
         return []
 
     def longest_preceding(self, work: Work) -> Work | None:
-        """Return nothing: all waiting work came first."""
+        """Return None: no work is dropped for later work."""
         return None
 
     def _take_off(self, work: Work) -> None:
