--- a/src/trefoilpaddle/state/__init__.py
+++ b/src/trefoilpaddle/state/__init__.py
@@ -1,1 +1,1 @@
-"""What one process knows and holds, in memory only."""
+"""State of one process, kept in memory only."""
--- a/src/trefoilpaddle/state/catalogue.py
+++ b/src/trefoilpaddle/state/catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue: what operators publish, as typed and frozen values.
+"""The catalogue that operators publish, as typed and frozen values.
 
 A published key is ``entry/NAME``, ``pipeline/NAME``, ``service/NAME`` or
 ``account/NAME``; its value is the JSON of the data class of that kind.
@@ -29,7 +29,7 @@
 
 @unique
 class Takes(StrEnum):
-    """What a stage is given to work on."""
+    """Input of a stage."""
 
     INPUT = "input"
     PREVIOUS = "previous"
@@ -38,18 +38,18 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Limits:
-    """What binds an entry over all gateways together; None binds nothing.
+    """Limits of an entry over all gateways together; None means no limit.
 
     Parameters
     ----------
     rate_per_s : float, optional
-        Accepted requests a second.
+        Accepted requests per second.
     burst_s : float
         Seconds of the rate that may be used at once.
     n_concurrent : int, optional
-        Requests accepted and not yet answered.
+        Requests that are accepted and not yet answered.
     tokens_per_s : float, optional
-        Generated tokens a second.
+        Generated tokens per second.
     """
 
     rate_per_s: Positive | None = None
@@ -60,32 +60,32 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Entry:
-    """A catalogue entry: an owner, a class of work and the limits that bind it.
+    """A catalogue entry: an owner, a class of work and their limits.
 
     Parameters
     ----------
     owner : str
-        Who is served and whose share is used.
+        Owner of the work, whose share of the targets is used.
     class_of_work : str
-        What kind of work, in the owner's words.
+        Kind of work, as named by the owner.
     pipelines : tuple of str
         Pipelines that the entry allows; the first entry in order of name that
         matches client account, class of work and pipeline governs a request.
     accounts : tuple of str
         Client accounts that the entry serves.
     limits : Limits
-        What binds it.
+        Limits of the entry.
     weight : float
-        The owner's weight in fair sharing of each target.
+        The owner's weight in the fair sharing of each target.
     floor_share : float
-        Share of each target kept for the entry while it has work, 0 to 1.
+        Share of each target reserved for the entry while it has work, 0 to 1.
     deadline_s : float
-        Deadline when a caller names none, and the longest that one may name.
+        Default deadline of a request, and the longest that a caller may give.
     brownout_order : int
-        Lower goes first when work must be refused.
+        Work with a lower value is refused first under overload.
     attainment_weight : float
-        How attainment is weighed against cost by stage: 1 only attainment
-        counts, 0 only cost.
+        Weight of attainment against cost by stage: with 1 only attainment
+        counts, with 0 only cost.
     """
 
     owner: Name
@@ -107,24 +107,25 @@
     Parameters
     ----------
     name : str
-        Unique in the pipeline.
+        Name of the stage, unique in the pipeline.
     service : str
-        The service whose targets run it.
+        The service whose targets run the stage.
     path : str
         Path of the call at the target.
     idempotent : bool
         False if the stage must run at most once per request.
     takes : Takes
-        What it works on.
+        Input of the stage: the request's input, the previous stage's result, or
+        both.
     streams : bool
         True if its answer is streamed; only the last stage's reaches a caller.
     max_tokens : int
-        Most tokens to generate; engines only.
+        Largest number of tokens to generate; engines only.
     prompt_prefix : str
-        Text before the work itself; engines only. Prompts that share it can
-        share cached work.
+        Text in front of the input; engines only. Prompts with the same prefix
+        can share cached work.
     model : str
-        Model to ask for; engines only.
+        Model to request from the engine; engines only.
     """
 
     name: Name
@@ -140,12 +141,12 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Pipeline:
-    """Stages run one after the other under one deadline.
+    """Stages that run one after the other under one deadline.
 
     Parameters
     ----------
     stages : tuple of Stage
-        In the order in which they run.
+        The stages in the order in which they run.
     """
 
     stages: Annotated[tuple[Stage, ...], Field(min_length=1, max_length=16)]
@@ -153,18 +154,18 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Service:
-    """Targets of one kind that can stand in for each other.
+    """Interchangeable targets of one kind.
 
     Parameters
     ----------
     kind : ServiceKind
-        How targets are called.
+        How the targets are called.
     n_slots : int
-        Calls that one target bears at once, to begin with.
+        Initial number of calls that one target runs at once.
     max_queue_s : float
-        Predicted target-seconds that may wait at one target.
+        Largest sum of predicted target-seconds in the queue of one target.
     retry_share : float
-        Retries and hedges allowed, as a share of the service's calls.
+        Allowed retries and hedges, as a share of the service's calls.
     reports_load : bool
         True if the targets answer ``GET /load``.
     models : tuple of str
@@ -181,7 +182,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Account:
-    """A client account: who a caller is.
+    """A client account, which identifies a caller.
 
     Parameters
     ----------
@@ -205,14 +206,14 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Catalogue:
-    """Everything in force, at one revision.
+    """All active catalogue values at one revision.
 
     Parameters
     ----------
     revision : int
-        Highest revision of the configuration service in it; 0 when empty.
+        Highest revision of the configuration service that it includes; 0 if empty.
     entries, pipelines, services, accounts : dict of str to value
-        By name.
+        The values by name.
     entry_revisions : dict of str to int
         Revision at which each entry was last changed.
     """
@@ -229,8 +230,8 @@
     ) -> tuple[str, Entry] | None:
         """Return name and value of the entry that governs a request, if any.
 
-        Of the entries that match, the first by name governs, so that every
-        process chooses the same.
+        Of the matching entries the first by name governs, so that every process
+        chooses the same one.
         """
         for name in sorted(self.entries):
             entry = self.entries[name]
--- a/src/trefoilpaddle/state/catalogue_build.py
+++ b/src/trefoilpaddle/state/catalogue_build.py
@@ -1,8 +1,8 @@
-"""Builds the catalogue in force from published versions.
+"""Builds the active catalogue from published versions.
 
-The verdict on a version depends on nothing but published content, so it comes
-out the same in every process. A version that cannot be read, or that names
-what does not exist, is held back whole; the accepted one below it stays.
+The verdict on a version depends only on published content, so it is the same in
+every process. A version that cannot be read, or that refers to a key that does
+not exist, is held back as a whole; the last accepted version stays active.
 """
 
 from collections.abc import Collection, Iterator, Mapping
@@ -19,18 +19,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeldBack:
-    """A published version that is not in force, and why.
+    """A published version that is not active, with the reasons.
 
     Parameters
     ----------
     key : str
-        The key.
+        The published key.
     revision : int
-        Revision of the version held back.
+        Revision of the version that is held back.
     stays : int
-        Revision of the version that stays in force; 0 if there is none.
+        Revision of the version that stays active; 0 if there is none.
     problems : tuple of Problem
-        Why.
+        Why the version is held back.
     """
 
     key: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Selection:
-    """The catalogue in force and what was held back from it."""
+    """The active catalogue and the versions that are held back."""
 
     catalogue: Catalogue
     held_back: tuple[HeldBack, ...]
@@ -54,16 +54,16 @@
     Parameters
     ----------
     revision : int
-        Revision of the version; 0 if none can be in force.
+        Revision of the version; 0 if none can be active.
     value : CatalogueValue or None
-        None where the key does not exist.
-    names : tuple of str
-        Keys that the value cannot do without.
+        The value; None if the key does not exist.
+    references : tuple of str
+        Keys that must exist for the value to be valid.
     """
 
     revision: int
     value: CatalogueValue | None
-    names: tuple[str, ...] = ()
+    references: tuple[str, ...] = ()
 
 
 ABSENT: Final = _Choice(revision=0, value=None)
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _DanglingReference:
-    """A chosen value that names a key which does not exist."""
+    """A reference of a chosen value to a key that does not exist."""
 
     holder: str
     named: str
 
 
 class CatalogueBuilder:
-    """Chooses the version in force of each key; remembers what it has read."""
+    """Chooses the active version of each key; caches the verdicts on versions."""
 
     __slots__ = ("_choices", "_holders", "_last", "_read")
 
@@ -93,32 +93,32 @@
     def activate(
         self, items: ConfigItems, changed: Collection[str] | None = None
     ) -> Selection:
-        """Return the catalogue that `items` put in force and mark it accepted.
+        """Return the catalogue that results from `items` and mark it accepted.
 
-        Each key begins with its newest version. While some value names a key
-        that does not exist, the newer of the two changes falls back: the
-        deletion of what is named, or else the value that names it.
+        Each key starts with its newest version. While some value refers to a key
+        that does not exist, the newer of the two changes is reverted: the
+        deletion of the referenced key, or else the value that refers to it.
 
         Parameters
         ----------
         items : ConfigItems
-            All versions known.
+            All known versions.
         changed : collection of str, optional
-            Keys that changed since the last call; all if None. The outcome is
-            the same, only sooner where nothing is held back.
+            Keys that changed since the last call; None means all. The result is
+            the same, but is computed faster if nothing is held back.
         """
         selection = (
             self._select_changed(items, changed) if changed is not None else None
         )
         self._last = selection or self._select_all(items)
-        self._forget(items)
+        self._evict_verdicts(items)
         return self._last
 
     def _select_all(self, items: ConfigItems) -> Selection:
         choices = {key: self._first(key, at) for key, at in items.keys.items()}
         reasons: dict[str, Problem] = {}
-        while blamed := _changes_to_revert(choices, items):
-            for key, problem in blamed.items():
+        while reverted := _changes_to_revert(choices, items):
+            for key, problem in reverted.items():
                 reasons.setdefault(key, problem)
                 choices[key] = self._fall_back(key, items.keys[key], choices[key])
         held_back = tuple(self._held_back(choices, reasons, items))
@@ -128,7 +128,7 @@
         self._choices = choices
         self._holders = {}
         for key, choice in choices.items():
-            self._hold(key, choice)
+            self._add_references(key, choice)
         return Selection(
             catalogue=_catalogue(choices, revision=items.revision), held_back=held_back
         )
@@ -136,10 +136,10 @@
     def _select_changed(
         self, items: ConfigItems, changed: Collection[str]
     ) -> Selection | None:
-        """Return the selection after a few changes, or None if all must be seen.
+        """Return the selection after a few changes, or None if it needs all keys.
 
-        With nothing held back before, and every changed key's newest version
-        sound and consistent, each key's newest version is in force.
+        If nothing was held back before and the newest version of every changed
+        key is valid and consistent, the newest version of each key is active.
         """
         if self._last is None or self._last.held_back:
             return None
@@ -153,9 +153,9 @@
         if any(self._is_inconsistent(key, choice, new) for key, choice in new.items()):
             return None
         for key, choice in new.items():
-            self._release(key)
+            self._remove_references(key)
             self._choices[key] = choice
-            self._hold(key, choice)
+            self._add_references(key, choice)
             items.accept(key)
         last = self._last.catalogue
         return Selection(
@@ -166,24 +166,24 @@
     def _is_inconsistent(
         self, key: str, choice: _Choice, new: Mapping[str, _Choice]
     ) -> bool:
-        """Return True if a changed key names, or leaves named, what is not there."""
+        """Return True if a change leaves a reference to a key that does not exist."""
 
         def current(other: str) -> _Choice:
             return new.get(other) or self._choices.get(other) or ABSENT
 
-        if any(current(name).value is None for name in choice.names):
+        if any(current(name).value is None for name in choice.references):
             return True
         if choice.value is not None:
             return False
         holders = self._holders.get(key, set())
-        return any(key in current(holder).names for holder in holders)
+        return any(key in current(holder).references for holder in holders)
 
-    def _hold(self, key: str, choice: _Choice) -> None:
-        for name in choice.names:
+    def _add_references(self, key: str, choice: _Choice) -> None:
+        for name in choice.references:
             self._holders.setdefault(name, set()).add(key)
 
-    def _release(self, key: str) -> None:
-        for name in self._choices.get(key, ABSENT).names:
+    def _remove_references(self, key: str) -> None:
+        for name in self._choices.get(key, ABSENT).references:
             self._holders.get(name, set()).discard(key)
 
     def _held_back(
@@ -192,12 +192,12 @@
         reasons: Mapping[str, Problem],
         items: ConfigItems,
     ) -> Iterator[HeldBack]:
-        behind = [
+        outdated = [
             key
             for key, choice in choices.items()
             if choice.revision != items.keys[key].newest.revision
         ]
-        for key in sorted(behind):
+        for key in sorted(outdated):
             newest = items.keys[key].newest
             match self._verdict(key, newest):
                 case Err(found):
@@ -219,7 +219,7 @@
                 lambda value: _Choice(
                     revision=version.revision,
                     value=value,
-                    names=tuple(referenced_keys(value)),
+                    references=tuple(referenced_keys(value)),
                 )
             )
             self._read[at] = read
@@ -242,7 +242,7 @@
             return self._accepted(key, at)
         return ABSENT
 
-    def _forget(self, items: ConfigItems) -> None:
+    def _evict_verdicts(self, items: ConfigItems) -> None:
         if len(self._read) <= 2 * len(items.keys):
             return
         held = {
@@ -257,15 +257,15 @@
 def _changes_to_revert(
     choices: Mapping[str, _Choice], items: ConfigItems
 ) -> dict[str, Problem]:
-    """Return the changes that must fall back next, deletions first.
+    """Return the changes to revert next, by key; only deletions if there are any.
 
-    Deletions go first because restoring what they removed can leave nothing
-    else to blame.
+    Deletions are reverted first because restoring the deleted keys may resolve
+    all other dangling references.
     """
     deletions: dict[str, Problem] = {}
     holders: dict[str, Problem] = {}
     for dangling in sorted(_danglings(choices), key=lambda one: one.holder):
-        if _is_deletion_to_blame(dangling, choices, items):
+        if _is_deletion_to_revert(dangling, choices, items):
             deletions[dangling.named] = Problem(
                 source=dangling.named,
                 key="",
@@ -284,7 +284,7 @@
     return deletions or holders
 
 
-def _is_deletion_to_blame(
+def _is_deletion_to_revert(
     dangling: _DanglingReference, choices: Mapping[str, _Choice], items: ConfigItems
 ) -> bool:
     named = choices.get(dangling.named)
@@ -296,7 +296,7 @@
 
 def _danglings(choices: Mapping[str, _Choice]) -> Iterator[_DanglingReference]:
     for holder, choice in choices.items():
-        for named in choice.names:
+        for named in choice.references:
             if named not in choices or choices[named].value is None:
                 yield _DanglingReference(holder=holder, named=named)
 
@@ -304,7 +304,7 @@
 def _catalogue(
     choices: Mapping[str, _Choice], *, revision: int, last: Catalogue | None = None
 ) -> Catalogue:
-    """Return `last`, or an empty catalogue, with `choices` put in, at `revision`."""
+    """Return `last`, or an empty catalogue, updated by `choices` to `revision`."""
     last = last or Catalogue()
     tables: dict[str, dict[str, Any]] = {
         "entry": dict(last.entries),
@@ -336,10 +336,10 @@
 def build_catalogue(
     values: Mapping[str, bytes], *, revision: int = 1
 ) -> Result[Catalogue, list[Problem]]:
-    """Return the catalogue of `values`, JSON by key, or everything wrong with it.
+    """Return the catalogue of `values`, JSON by key, or all problems found.
 
-    For a catalogue that is not published yet; nothing is held back, a single
-    fault refuses the whole.
+    For a catalogue that is not published yet: nothing is held back, and a single
+    problem rejects the whole catalogue.
     """
     items = ConfigItems()
     versions = {
--- a/src/trefoilpaddle/state/catalogue_diff.py
+++ b/src/trefoilpaddle/state/catalogue_diff.py
@@ -1,4 +1,4 @@
-"""The difference between two catalogues, key by key."""
+"""Lists the differences between two catalogues, key by key."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 @unique
 class Change(StrEnum):
-    """What publishing would do to a key."""
+    """Effect that publishing would have on a key."""
 
     ADD = "add"
     CHANGE = "change"
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Difference:
-    """One key that differs, and for a change the field.
+    """One key, or one field of a key, that differs.
 
     Parameters
     ----------
     change : Change
-        What publishing would do.
+        Effect of publishing.
     key : str
-        Published key, with the field behind a dot for a change.
+        Published key; for a change, followed by a dot and the field's path.
     was, becomes : str
-        Values of the field; empty where a whole key comes or goes.
+        Old and new value of the field; empty if a whole key is added or retired.
     """
 
     change: Change
@@ -46,7 +46,7 @@
 
 
 def differences(*, active: Catalogue, published: Catalogue) -> Iterator[Difference]:
-    """Yield what would change if `published` took the place of `active`."""
+    """Yield the changes if `published` replaced `active`."""
     was, becomes = _by_key(active), _by_key(published)
     for key in sorted(was.keys() | becomes.keys()):
         if key not in was:
--- a/src/trefoilpaddle/state/catalogue_read.py
+++ b/src/trefoilpaddle/state/catalogue_read.py
@@ -1,4 +1,4 @@
-"""Reads one published value; the verdict depends on key and value alone."""
+"""Reads and checks one published value, independent of all other values."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -12,19 +12,19 @@
 from .problems import Problem, problems_of
 
 CATALOGUE_SCHEMA: Final = 1
-"""Highest schema of published values that this release understands."""
+"""Highest schema number of published values that this release can read."""
 
 SCHEMA_KEY: Final = "schema"
-"""Field of a value that names the schema it needs; 1 without it."""
+"""Field of a value with the schema number that it needs; 1 if absent."""
 
 ADAPTERS: Final = {kind: TypeAdapter(cls) for kind, cls in KINDS.items()}
 
 Verdict = Result[CatalogueValue | None, list[Problem]]
-"""The typed value, None for a deletion, or what is wrong with it."""
+"""The typed value, None for a deletion, or the problems found."""
 
 
 def read_value(key: str, version: Version) -> Verdict:
-    """Return the typed value of one version; depends on key and value alone."""
+    """Return the typed value of one version; depends only on its key and value."""
     kind, _, name = key.partition("/")
     if kind not in KINDS or not name:
         return _bad(key, "not a catalogue key", "KIND/NAME, KIND: " + ", ".join(KINDS))
@@ -72,7 +72,7 @@
 
 
 def referenced_keys(value: CatalogueValue | None) -> Iterator[str]:
-    """Yield the keys that `value` names and cannot do without."""
+    """Yield the keys that must exist for `value` to be valid."""
     match value:
         case Entry():
             yield from (f"pipeline/{name}" for name in value.pipelines)
--- a/src/trefoilpaddle/state/catalogue_warnings.py
+++ b/src/trefoilpaddle/state/catalogue_warnings.py
@@ -1,4 +1,4 @@
-"""What a valid catalogue still promises and cannot keep."""
+"""Warnings about a valid catalogue whose values cannot work as written."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 
 def catalogue_warnings(catalogue: Catalogue) -> Iterator[Problem]:
-    """Yield each limit or entry that cannot work as it is written."""
+    """Yield a warning for each value that cannot work as written or is unused."""
     for name in sorted(catalogue.entries):
         entry = catalogue.entries[name]
         if not entry.accounts or not entry.pipelines:
@@ -50,7 +50,7 @@
 def _shadow_warnings(
     name: str, entry: Entry, catalogue: Catalogue
 ) -> Iterator[Problem]:
-    """Yield a warning if an earlier entry governs everything of this one."""
+    """Yield a warning if an earlier entry governs all requests of this one."""
     for earlier in sorted(catalogue.entries):
         if earlier >= name:
             return
--- a/src/trefoilpaddle/state/check_files.py
+++ b/src/trefoilpaddle/state/check_files.py
@@ -1,7 +1,7 @@
-"""Reads settings and catalogue files before they are used or published.
+"""Checks settings and catalogue files before they are used or published.
 
 A catalogue file is JSON or TOML. JSON holds values by key, ``{"entry/NAME":
-{…}}``, or one value where the file is called ``KIND/NAME.json``. TOML holds a
+{…}}``, or one value if the file is called ``KIND/NAME.json``. TOML holds a
 table for each value, ``[entry.NAME]``. A settings file is TOML with a table
 ``[process]``.
 """
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class CheckResult:
-    """What a check found.
+    """Result of a check.
 
     Parameters
     ----------
@@ -36,11 +36,12 @@
     skipped : list of str
         Files that are neither.
     problems : list of Problem
-        Faults; nothing with a fault is accepted.
+        Errors; a file with an error is not accepted.
     warnings : list of Problem
-        What is accepted and still cannot work as written.
+        Values that are accepted but cannot work as written.
     catalogue : Catalogue, optional
-        Of all catalogue files together; None with faults or without files.
+        The catalogue of all files together; None if it has errors or there is no
+        catalogue file.
     """
 
     sources: list[str] = field(default_factory=list)
@@ -52,14 +53,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Values:
-    """Catalogue values by key, and the file in which each stands."""
+    """Catalogue values by key, and the file of each."""
 
     json_by_key: dict[str, bytes] = field(default_factory=dict)
     files: dict[str, str] = field(default_factory=dict)
 
 
 def check_path(path: Path) -> CheckResult:
-    """Return all that is wrong with the file at `path`, or all files under it."""
+    """Check the file at `path`, or all settings and catalogue files under it."""
     checked = CheckResult()
     values = _Values()
     for file in _files(path, checked):
@@ -82,7 +83,7 @@
 
 
 def _named(file: Path, path: Path) -> str:
-    """Return how `file` is called in messages: short, and the same everywhere."""
+    """Return the name of `file` in messages, relative to the folder `path`."""
     return str(file.relative_to(path)) if path.is_dir() else file.name
 
 
@@ -101,7 +102,7 @@
 
 
 def _is_catalogue(file: Path, table: dict[str, Any]) -> bool:
-    """Return True if anything in `table` is meant as a catalogue value."""
+    """Return True if `file` or a key of `table` has the form of a catalogue value."""
     if file.suffix == ".toml":
         return bool(KINDS.keys() & table.keys())
     return file.parent.name in KINDS or any("/" in key for key in table)
@@ -178,7 +179,7 @@
 
 
 def _in_file(problem: Problem, values: _Values) -> Problem:
-    """Return `problem` with the file in front of the published key."""
+    """Return `problem` with the file as source, and the published key in its key."""
     file = values.files.get(problem.source, "")
     key = f"{problem.source}.{problem.key}" if problem.key else problem.source
     return replace(problem, source=file, key=key) if file else problem
--- a/src/trefoilpaddle/state/config_items.py
+++ b/src/trefoilpaddle/state/config_items.py
@@ -1,9 +1,9 @@
-"""Published values as versions of keys, joined so that order does not matter.
+"""Published values as versions of keys, with a merge that is independent of order.
 
-Of each key two versions are held: the newest that was published, and the
-newest that has been in force, which stays so while the newest is held back.
-Joining takes the maximum of each, so that any two processes that have heard
-the same versions hold the same, in whatever order and grouping they heard.
+Two versions of each key are held: the newest that was published, and the newest
+that has been active, which stays active while the newest is held back. A merge
+takes the maximum of each, so that any two processes that received the same
+versions have the same state, in whatever order and grouping they received them.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -13,19 +13,19 @@
 from ..protocol.checksum import checksum
 
 N_SHARDS: Final = 64
-"""Shards of keys whose digests are compared apart."""
+"""Number of shards of keys; the digest of each shard is compared separately."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Version:
-    """What a key was set to at one revision.
+    """Value of a key at one revision.
 
     Parameters
     ----------
     revision : int
         Revision of the configuration service.
     value : bytes or None
-        JSON; None if the key was deleted.
+        JSON text; None if the key was deleted.
     """
 
     revision: int
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeyState:
-    """The two versions of a key that matter.
+    """The two versions of a key that are held.
 
     Parameters
     ----------
     newest : Version
-        The newest that is known to have been published.
+        The newest version that is known to be published.
     accepted : Version, optional
-        The newest that has been in force somewhere; None if none has.
+        The newest version that has been active in some process; None without one.
     """
 
     newest: Version
@@ -50,16 +50,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishedItem:
-    """A version of a key as it passes between processes.
+    """A version of a key as sent between processes.
 
     Parameters
     ----------
     key : str
         ``KIND/NAME``.
     version : Version
-        Its value.
+        Revision and value.
     is_accepted : bool
-        True if the version has been in force at the sender.
+        True if the version has been active at the sender.
     """
 
     key: str
@@ -73,9 +73,10 @@
     Attributes
     ----------
     revision : int
-        Every change up to it is known.
+        Every change up to this revision is known.
     shard_digests : list of int
-        By shard of keys; equal where two processes hold the same versions.
+        Digest of each shard of keys; equal if two processes hold the same
+        versions.
     """
 
     __slots__ = ("keys", "revision", "shard_digests")
@@ -87,38 +88,40 @@
 
     @property
     def digest(self) -> int:
-        """Equal in two processes that hold the same versions."""
+        """Digest of all keys, equal in two processes that hold the same versions."""
         total = 0
         for digest in self.shard_digests:
             total ^= digest
         return total
 
     def merge(self, items: Iterable[PublishedItem], *, revision: int) -> set[str]:
-        """Take in `items` and return the keys of which something was news.
+        """Merge `items` and return the keys whose state changed.
 
         Parameters
         ----------
         items : iterable of PublishedItem
-            In any order; what is older than what is known changes nothing.
+            Versions in any order; those older than the known ones are ignored.
         revision : int
-            Revision up to which the sender knows every change. A lower one than
-            the own is ignored, so a stale source cannot make it fall.
+            Revision up to which the sender knows every change. A revision lower
+            than this process's own is ignored, so that a stale source cannot
+            lower it.
         """
         changed = {item.key for item in items if self._merge_one(item)}
         self.revision = max(self.revision, revision)
         return changed
 
     def accept(self, key: str) -> None:
-        """Note that the newest version of `key` is in force."""
+        """Record that the newest version of `key` is active."""
         state = self.keys[key]
         if state.accepted is not state.newest:
             self._set(key, replace(state, accepted=state.newest))
 
     def since(self, revision: int) -> Iterator[PublishedItem]:
-        """Yield each version above `revision`, oldest first, with what it hides.
+        """Yield the keys changed after `revision`, with both of their versions.
 
-        A newest version that is held back comes with the accepted one below
-        it, so that who starts late learns the last good value too.
+        The keys are in order of their newest version's revision. A newest version
+        that is held back follows the accepted one, so that a process that starts
+        later also receives the last good value.
         """
         for key in self._keys_since(revision):
             yield from self.versions(key)
@@ -126,7 +129,7 @@
     def differing(
         self, shard_digests: Sequence[int], *, revision: int = 0
     ) -> Iterator[PublishedItem]:
-        """Yield the same, but only of shards whose digest is another here."""
+        """Yield the same as `since`, but only for shards whose digest differs here."""
         differs = [
             own != other
             for own, other in zip(self.shard_digests, shard_digests, strict=True)
@@ -140,7 +143,7 @@
         return sorted(keys, key=lambda key: self.keys[key].newest.revision)
 
     def versions(self, key: str) -> Iterator[PublishedItem]:
-        """Yield the one or two versions held of `key`, oldest first."""
+        """Yield the one or two versions of `key` that are held, oldest first."""
         state = self.keys[key]
         if state.accepted is not None and state.accepted != state.newest:
             yield PublishedItem(key=key, version=state.accepted, is_accepted=True)
@@ -148,25 +151,25 @@
         yield PublishedItem(key=key, version=state.newest, is_accepted=is_accepted)
 
     def _merge_one(self, item: PublishedItem) -> bool:
-        was = self.keys.get(item.key)
-        if was is None:
+        former = self.keys.get(item.key)
+        if former is None:
             accepted = item.version if item.is_accepted else None
             self._set(item.key, KeyState(newest=item.version, accepted=accepted))
             return True
-        newest = _newer(was.newest, item.version)
-        accepted = was.accepted
+        newest = _newer(former.newest, item.version)
+        accepted = former.accepted
         if item.is_accepted:
             accepted = _newer(accepted, item.version)
-        if newest is was.newest and accepted is was.accepted:
+        if newest is former.newest and accepted is former.accepted:
             return False
         self._set(item.key, KeyState(newest=newest, accepted=accepted))
         return True
 
     def _set(self, key: str, state: KeyState) -> None:
         shard = _shard(key)
-        was = self.keys.get(key)
-        if was is not None:
-            self.shard_digests[shard] ^= _fingerprint(key, was)
+        former = self.keys.get(key)
+        if former is not None:
+            self.shard_digests[shard] ^= _fingerprint(key, former)
         self.keys[key] = state
         self.shard_digests[shard] ^= _fingerprint(key, state)
 
@@ -175,9 +178,9 @@
     return checksum(key.encode()) % N_SHARDS
 
 
-def _newer(was: Version | None, offered: Version) -> Version:
-    if was is not None and offered.revision <= was.revision:
-        return was
+def _newer(former: Version | None, offered: Version) -> Version:
+    if former is not None and offered.revision <= former.revision:
+        return former
     return offered
 
 
--- a/src/trefoilpaddle/state/events.py
+++ b/src/trefoilpaddle/state/events.py
@@ -1,70 +1,70 @@
-"""Numbers of the events that are logged; they never change their meaning."""
+"""Numbers of the logged events; the meaning of a number never changes."""
 
 from enum import IntEnum, unique
 
 
 @unique
 class Event(IntEnum):
-    """Number of each event; docs/EVENTS.md is the catalogue."""
+    """Number of each event; docs/EVENTS.md lists them."""
 
     # Requests at a gateway
     REQUEST_ACCEPTED = 100
-    """A request was let in under the entry that governs it."""
+    """A request was accepted under the entry that governs it."""
     REQUEST_REFUSED = 101
-    """A request was refused; no stage of it was run."""
+    """A request was refused; none of its stages was run."""
     REQUEST_ANSWERED = 102
-    """A request got its whole answer."""
+    """A request was answered completely."""
     REQUEST_FAILED = 103
-    """A request ended without an answer after something of it ran, or may have run."""
+    """A request ended without an answer after a stage of it ran or may have run."""
     CALLER_LEFT = 104
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
     REQUEST_JOINED = 105
-    """A retry was joined to the try that was running already."""
+    """A retry was joined to the try that was already running."""
     REQUEST_CUT = 106
-    """The process went before the answer; tells what the request waited for."""
+    """The process stopped before the answer; states what the request waited for."""
     REQUEST_SUSPECTED = 107
-    """Two workers have ended under a request; it runs once at a time, apart."""
+    """Two workers crashed under a request; it has one run at a time, isolated."""
     REQUEST_BLOCKED = 108
-    """A request is sent to no worker; names those that have ended under it."""
+    """A request is not sent to any worker; names the workers that crashed under it."""
     REQUEST_CLEARED = 109
-    """A request that workers had ended under has ended well, or was let again."""
+    """A request under which workers crashed has succeeded, or was allowed again."""
     # Stage calls at a gateway
     ROUTED = 120
     """A target was chosen for a stage call."""
     RETRIED = 121
-    """A stage call is tried again after a fault that allows it."""
+    """A stage call is retried after a failure that allows a retry."""
     HEDGED = 122
-    """A second target was asked for a stage that takes long."""
+    """A slow stage call was sent to a second target as well."""
     STAGE_DONE = 123
-    """A stage's whole result has arrived."""
+    """The complete result of a stage was received."""
     STAGE_FAILED = 124
-    """A stage has no result and is not tried again."""
+    """A stage has no result and is not retried."""
     RESULT_FETCHED = 125
     """A result was fetched again after its connection was lost."""
     ATTEMPT_BARRED = 126
-    """A sidecar has promised never to start an attempt."""
+    """A sidecar promised never to start an attempt."""
     FRAME_DROPPED = 127
-    """A frame of an attempt that is not open here was dropped."""
+    """A frame of an attempt that is not open in this process was dropped."""
     # Attempts at a sidecar
     QUEUED = 140
-    """A stage call waits for a free slot, or a late chain for the load to pass."""
+    """A stage call waits for a free slot, or a late chain waits for spare capacity."""
     STARTED = 141
     """A stage call was sent to the target."""
     FINISHED = 142
-    """The target has ended a stage call; with a reason, without a result."""
+    """The target finished a stage call; if a reason is given, without a result."""
     REFUSED = 143
     """A sidecar refused a stage call; it was not run."""
     DROPPED = 144
-    """A waiting stage call was given up before it started."""
+    """A queued stage call was dropped before it started."""
     CANCELLED = 145
     """A stage call was cancelled."""
     RESULT_RELEASED = 146
-    """A held result was acknowledged and let go."""
+    """A held result was acknowledged and released."""
     RESULT_EXPIRED = 147
     """A held result was dropped before it was acknowledged."""
     # Targets
     TARGET_EJECTED = 160
-    """A slow target gets no more work but probes."""
+    """A slow target gets no more work except probes."""
     TARGET_READMITTED = 161
     """An ejected target gets work again."""
     TARGET_UP = 162
@@ -72,73 +72,73 @@
     TARGET_DOWN = 163
     """The target does not answer."""
     CONCURRENCY_CHANGED = 164
-    """The number of calls that the target bears was learnt anew."""
+    """The number of concurrent calls at the target was adapted."""
     TARGET_ASKED = 165
-    """A stage worker was asked what it does and keeps, before it is called."""
+    """A stage worker was asked for its state before it is called."""
     TARGET_ENDED = 166
-    """A target's process ended while requests ran there; tells how that is known."""
+    """A target's process exited while it ran requests; states how that is known."""
     # Configuration
     CONFIG_IN_FORCE = 200
-    """A newer catalogue is in force in this process."""
+    """A newer catalogue is active in this process."""
     CONFIG_REJECTED = 201
-    """A published change is faulty and held back; what was in force stays."""
+    """A published change is faulty and held back; the active version stays."""
     CONFIG_SOURCE_LOST = 202
     """The configuration service does not answer."""
     CONFIG_SOURCE_BACK = 203
     """The configuration service answers again."""
     READER_CHANGED = 204
-    """This process began or ceased to read the configuration service."""
+    """This process started or stopped reading the configuration service."""
     HOSTS_IN_FORCE = 205
-    """A newer host list is in force in this process."""
+    """A newer host list is active in this process."""
     ENTRY_UNREADABLE = 206
-    """An entry of the store cannot be read; it names no worker to use."""
+    """An entry of the store cannot be read; its worker is not used."""
     STORE_LISTED = 207
-    """The whole store is asked for, and not what has changed in it."""
+    """The whole store is requested instead of its changes."""
     STORE_READ_BESIDE = 208
-    """This gateway reads the store although others read it for all."""
+    """This gateway reads the store itself although other gateways read it for all."""
     STORE_RETURNED = 209
-    """The store came back from a copy; tells what is held against it, and how long."""
+    """The store was restored from a backup; states what is ignored, and how long."""
     # Membership
     MEMBER_JOINED = 220
-    """A process was heard from for the first time, or again."""
+    """A process was contacted for the first time, or again."""
     MEMBER_SUSPECTED = 221
-    """A process was not heard from for a while."""
+    """A process has been unresponsive for a while."""
     MEMBER_LEAVING = 222
-    """A process said that it is leaving."""
+    """A process reported that it is leaving."""
     MEMBER_DEAD = 223
-    """A process was not heard from for so long that it is forgotten."""
+    """A process has been unresponsive for so long that it is removed."""
     WOKE_LATE = 224
-    """This process was paused and found out before it acted."""
+    """This process was paused, and detected that before it acted."""
     SCHEDULER_CHANGED = 230
-    """This process began or ceased to schedule a cell, or was asked out of turn."""
+    """This process began or stopped scheduling a cell, or its handover failed."""
     # Claims and limits
     CLAIM_GRANTED = 240
-    """The home of a request's key gave it to this gateway."""
+    """The home of a request's key granted the key to this gateway."""
     CLAIM_ANSWERED = 241
-    """The home of a request's key told what is known of it."""
+    """The home of a request's key reported what is known about it."""
     LEASE_GRANTED = 260
-    """A part of an entry's limit was lent to this gateway."""
+    """A part of an entry's limit was leased to this gateway."""
     LEASE_LOST = 261
-    """The home of a limit cannot be reached; the cautious share holds."""
+    """A limit's home and a gateway lost contact; the gateway uses its own share."""
     LIMIT_REFUSED = 262
     """A request was refused by a limit of its entry."""
     # Orders and placement
     ORDER_SENT = 280
-    """The target was given an order."""
+    """An order was sent to the target."""
     ORDER_REFUSED = 281
     """The target refused an order."""
     PLACED = 282
-    """This sidecar decided what its target should hold."""
+    """This sidecar decided which models its target should hold."""
     # Process
     PROCESS_STARTED = 300
-    """The process listens for its peers."""
+    """The process has started and listens for its peers."""
     PROCESS_STOPPING = 301
-    """The process was told to stop and drains."""
+    """The process was told to stop and is draining."""
     PROCESS_STOPPED = 302
-    """The process has stopped; tells how many requests were cut off."""
+    """The process has stopped; states how many requests were interrupted."""
     PEER_REFUSED = 303
     """A peer's connection was refused."""
     KEYS_RELOADED = 304
-    """Keys and certificates were read again."""
+    """Keys and certificates were reloaded."""
     SETTINGS_RELOADED = 305
-    """The settings file was read again; with a detail if it is faulty."""
+    """The settings file was reloaded; with a detail if it is invalid."""
--- a/src/trefoilpaddle/state/governing.py
+++ b/src/trefoilpaddle/state/governing.py
@@ -1,4 +1,4 @@
-"""Which entry and which client account a request falls under, by index."""
+"""Index to find the governing entry and the client account of a request."""
 
 import hmac
 from dataclasses import dataclass
@@ -8,11 +8,12 @@
 from .published import Published
 
 PREFIX_CHARS: Final = 8
+"""Leading characters of a token's digest by which the accounts are indexed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Governing:
-    """The entry that governs a request, and since which revision.
+    """The entry that governs a request, and the catalogue revision.
 
     Parameters
     ----------
@@ -21,7 +22,7 @@
     entry : Entry
         Its value.
     config_revision : int
-        Revision of the catalogue in which it was found.
+        Revision of the catalogue in which the entry was found.
     """
 
     name: str
@@ -30,15 +31,15 @@
 
 
 class GoverningIndex:
-    """Finds entries by client account and accounts by token.
+    """Finds entries by client account, and accounts by token.
 
-    The answers are those of `Catalogue.governing`; the index is built once for
-    each catalogue, since thousands of accounts are too many to scan a request.
+    The results are those of `Catalogue.governing`. The index is built once per
+    catalogue, because thousands of accounts are too many to scan per request.
 
     Parameters
     ----------
     published : Published
-        Holds the catalogue in force.
+        Holds the active catalogue.
     """
 
     __slots__ = ("_accounts", "_catalogue", "_entries", "_published")
@@ -64,8 +65,8 @@
     def account_of(self, token_sha256: str) -> str | None:
         """Return the client account whose token has this SHA-256, or None.
 
-        Few characters pick the candidates; the whole digest is then compared in
-        constant time, so that response times tell nothing about it.
+        A few leading characters select the candidates. The whole digest is then
+        compared in constant time, so that response times reveal nothing about it.
         """
         self._refresh()
         accounts = self._published.catalogue.accounts
--- a/src/trefoilpaddle/state/hosts.py
+++ b/src/trefoilpaddle/state/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts, as published."""
+"""The host list that the platform publishes: live and leaving hosts."""
 
 from enum import StrEnum, unique
 from typing import Annotated, Literal
@@ -11,7 +11,7 @@
 
 @unique
 class HostState(StrEnum):
-    """What the platform says of a host; it lags."""
+    """State of a host as published by the platform, with a delay."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -24,9 +24,9 @@
     Parameters
     ----------
     name : str
-        Host name, unique with the role.
+        Host name; unique together with the role.
     failure_domain : str
-        Where the host stands.
+        Failure domain of the host.
     region : str
         Region of the failure domain.
     role : str
@@ -34,9 +34,9 @@
     peer_address : str
         ``ip:port`` on which the process listens for its peers.
     service, target : str
-        Of a sidecar: the service and the name of its target.
+        For a sidecar: the service and the name of its target.
     state : HostState
-        Live, or leaving.
+        Whether the host is live or leaving.
     """
 
     name: Name
@@ -50,19 +50,19 @@
 
     @property
     def process_id(self) -> str:
-        """The id by which peers know the process; stable over restarts."""
+        """Id of the process among its peers; stable across restarts."""
         return f"{self.name}-{self.role}"
 
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class HostList:
-    """The published list at one revision."""
+    """The published host list at one revision."""
 
     revision: int = 0
     hosts: tuple[Host, ...] = ()
 
     def sidecars(self, service: str) -> list[Host]:
-        """Return the sidecars of `service` that the list calls live."""
+        """Return the sidecars of `service` that are listed as live."""
         return [
             host
             for host in self.hosts
--- a/src/trefoilpaddle/state/hosts_read.py
+++ b/src/trefoilpaddle/state/hosts_read.py
@@ -1,4 +1,4 @@
-"""Reads the published host list, host by host."""
+"""Reads the published host list and skips invalid hosts."""
 
 import dataclasses
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReadHosts:
-    """The hosts that could be read, and what was wrong with the others."""
+    """The hosts that could be read, and the problems of the others."""
 
     hosts: HostList
     problems: tuple[Problem, ...]
@@ -26,9 +26,9 @@
 def read_hosts(data: bytes) -> Result[ReadHosts, Problem]:
     """Return the host list in `data`, JSON as published.
 
-    One faulty host is left out alone, and a field that this release does not
-    know is ignored: the platform writes the list, no operator can mend it, and
-    refusing it whole would keep leaving hosts in use.
+    Only the invalid hosts are left out, and fields that this release does not
+    know are ignored. The platform writes the list, so no operator can correct
+    it, and if the whole list were rejected, hosts that leave would stay in use.
     """
     try:
         table = orjson.loads(data)
--- a/src/trefoilpaddle/state/journal.py
+++ b/src/trefoilpaddle/state/journal.py
@@ -1,4 +1,4 @@
-"""Decisions of one process: one numbered log line and one bounded record each."""
+"""Decisions of one process, kept as records and written as log lines."""
 
 import asyncio
 import logging as python_logging
@@ -17,10 +17,10 @@
 from .log_format import LogFormat
 
 FLUSH_DELAY_S: Final = 0.05
-"""Longest time until new decisions are worked off."""
+"""Longest time until new decisions are flushed."""
 
 MAX_UNFLUSHED: Final = 64
-"""New decisions after which they are worked off at once."""
+"""Number of new decisions at which they are flushed at once."""
 
 EVENT_WORDS: Final = {
     int(event): f"event={int(event)} name={event.name.lower()}" for event in Event
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Figure:
-    """One number on which a decision was made; the name carries its unit."""
+    """One number on which a decision was based; its name includes the unit."""
 
     name: str
     value: float
@@ -48,32 +48,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Decision:
-    """One decision, with what governed it.
+    """One decision, with its context.
 
     Parameters
     ----------
     event : Event
-        What was decided.
+        Kind of the decision.
     request_id : str
-        Request concerned; empty for decisions about no request.
+        Id of the request; empty if the decision concerns no request.
     attempt_id : str
-        Attempt concerned, hexadecimal; empty without one.
+        Hexadecimal id of the attempt; empty without one.
     entry : str
         Governing catalogue entry.
     owner : str
         The entry's owner.
     config_revision : int
-        Revision in force.
+        Revision of the active catalogue.
     stage : str
-        Stage concerned.
+        Name of the stage.
     peer : str
-        Process or target chosen, asked or found at fault.
+        Process or target that was chosen, queried or found to have failed.
     reason : Reason
-        Why.
+        Reason of the decision.
     detail : str
         One sentence for a person; never a secret or any part of a body.
     figures : tuple of Figure
-        Numbers that the decision was made on.
+        Numbers on which the decision was based.
     """
 
     event: Event
@@ -89,7 +89,7 @@
     figures: tuple[Figure, ...] = ()
 
     def as_dict(self) -> dict[str, Any]:
-        """Return what is set, as values that JSON can hold."""
+        """Return the fields that are set, as values that JSON can represent."""
         fields: dict[str, Any] = {
             "event": int(self.event),
             "name": self.event.name.lower(),
@@ -130,16 +130,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Record:
-    """A decision and when it was made.
+    """A decision and its time.
 
     Parameters
     ----------
     decision : Decision
-        What was decided.
+        The decision.
     monotonic_s : float
-        This process's monotonic clock.
+        Time on this process's monotonic clock, in seconds.
     wall_s : float
-        Wall clock, for a person to read; nothing is decided by it.
+        Time on the wall clock, in seconds; only for display.
     """
 
     decision: Decision
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Batch:
-    """Records whose lines are written together, one line each."""
+    """Records whose log lines are written together, one line each."""
 
     records: tuple[Record, ...]
 
@@ -157,34 +157,34 @@
 class Journal:
     """Writes each decision to the log and keeps the last ones in memory.
 
-    A decision is put aside at once and worked off with others a moment later:
-    found by request, counted, written to the log. Doing that at
-    each decision cost the path several times as much. Readers see all that was
-    decided; a killed process loses the last moment's lines.
+    A decision is buffered, and indexed, counted and written to the log together
+    with others at the next flush. Doing that for each decision took several times
+    as long on the request path. Reads flush first, so they see all decisions; a
+    killed process loses the lines since its last flush.
 
-    A record is forgotten when it is older than `keep_s` or when `n_records`
-    newer ones are kept.
+    A record is evicted when it is older than `keep_s` or when `n_records` newer
+    ones are kept.
 
     Parameters
     ----------
     process_id : str
-        Whose decisions these are.
+        Id of this process.
     n_records : int
-        How many records are kept.
+        Largest number of records.
     format : LogFormat
-        How lines are written; the log's formatter does it.
+        Format of log lines, which the log's formatter applies.
     keep_s : float
         How long a record is kept.
     """
 
     __slots__ = (
         "_by_request",
+        "_flush_listeners",
         "_keep_s",
-        "_later_listeners",
         "_listeners",
         "_n_records",
-        "_new",
         "_records",
+        "_unflushed",
         "process_id",
     )
 
@@ -201,52 +201,52 @@
         self._n_records = n_records
         self._records: deque[Record] = deque()
         self._by_request: dict[str, list[Record]] = {}
-        self._new: list[Record] = []
+        self._unflushed: list[Record] = []
         self._listeners: list[Callable[[Decision], None]] = []
-        self._later_listeners: list[Callable[[Decision], None]] = []
+        self._flush_listeners: list[Callable[[Decision], None]] = []
 
     def record(self, decision: Decision) -> None:
-        """Tell the listeners of `decision`; keep and log it within a moment."""
-        new = self._new
-        new.append(
+        """Notify the listeners of `decision`; keep and log it at the next flush."""
+        unflushed = self._unflushed
+        unflushed.append(
             Record(decision=decision, monotonic_s=time.monotonic(), wall_s=time.time())
         )
         for listener in self._listeners:
             listener(decision)
-        if len(new) == 1:
+        if len(unflushed) == 1:
             self._flush_later()
-        elif len(new) >= MAX_UNFLUSHED:
+        elif len(unflushed) >= MAX_UNFLUSHED:
             self.flush()
 
     def subscribe(self, listener: Callable[[Decision], None]) -> None:
-        """Call `listener` with each decision from now on, at once."""
+        """Call `listener` with each further decision, immediately."""
         self._listeners.append(listener)
 
     def subscribe_on_flush(self, listener: Callable[[Decision], None]) -> None:
-        """Call `listener` with each decision when it is worked off; counters do."""
-        self._later_listeners.append(listener)
+        """Call `listener` with each further decision at its flush; used by counters."""
+        self._flush_listeners.append(listener)
 
     def timeline(self, request_id: str) -> Iterator[Record]:
-        """Yield what is still kept about one request, oldest first."""
+        """Yield the records of one request, oldest first."""
         self.flush()
-        self._forget_old(time.monotonic())
+        self._evict_expired(time.monotonic())
         yield from self._by_request.get(request_id, ())
 
     def recent(self) -> Iterator[Record]:
-        """Yield all that is kept, oldest first."""
+        """Yield all records, oldest first."""
         self.flush()
         yield from self._records
 
     def flush(self) -> None:
-        """Work off what was decided since the last time."""
-        if not self._new:
+        """Index, count and log the decisions since the last flush."""
+        if not self._unflushed:
             return
-        batch = Batch(records=tuple(self._new))
-        self._new.clear()
-        self._forget_old(batch.records[-1].monotonic_s)
+        batch = Batch(records=tuple(self._unflushed))
+        self._unflushed.clear()
+        self._evict_expired(batch.records[-1].monotonic_s)
         for record in batch.records:
-            self._keep(record)
-        for listener in self._later_listeners:
+            self._store(record)
+        for listener in self._flush_listeners:
             for record in batch.records:
                 listener(record.decision)
         _write(batch)
@@ -254,25 +254,25 @@
     def _flush_later(self) -> None:
         try:
             loop = asyncio.get_running_loop()
-        except RuntimeError:  # no loop: a tool or a test
+        except RuntimeError:  # no event loop, in a tool or a test
             self.flush()
         else:
             loop.call_later(FLUSH_DELAY_S, self.flush)
 
-    def _keep(self, record: Record) -> None:
+    def _store(self, record: Record) -> None:
         if len(self._records) >= self._n_records:
-            self._forget_first()
+            self._evict_oldest()
         self._records.append(record)
         request_id = record.decision.request_id
         if request_id:
             self._by_request.setdefault(request_id, []).append(record)
 
-    def _forget_old(self, now_s: float) -> None:
+    def _evict_expired(self, now_s: float) -> None:
         records = self._records
         while records and now_s - records[0].monotonic_s > self._keep_s:
-            self._forget_first()
+            self._evict_oldest()
 
-    def _forget_first(self) -> None:
+    def _evict_oldest(self) -> None:
         request_id = self._records.popleft().decision.request_id
         if not request_id:
             return
@@ -286,8 +286,8 @@
     logger = logging.get_absl_logger()
     if not logger.isEnabledFor(python_logging.INFO):
         return
-    # The log record is made by hand: looking for the calling line, which no
-    # line of the log shows, would take longer than the rest.
+    # The log record is built here: the logger would look up the calling line,
+    # which takes longer than all the rest and appears in no log line.
     logger.handle(
         python_logging.LogRecord(
             logger.name, python_logging.INFO, "", 0, batch, None, None
@@ -296,5 +296,5 @@
 
 
 def _word(text: str) -> str:
-    """Return `text` as one word of a line; quoted where it is not plain."""
+    """Return `text` as one word of a log line, quoted unless it is plain."""
     return text if PLAIN.fullmatch(text) else orjson.dumps(text).decode()
--- a/src/trefoilpaddle/state/log_format.py
+++ b/src/trefoilpaddle/state/log_format.py
@@ -1,11 +1,11 @@
-"""How log lines are written; apart from the settings, which are slow to import."""
+"""Format of log lines; separate from the settings, whose import is slow."""
 
 from enum import StrEnum, unique
 
 
 @unique
 class LogFormat(StrEnum):
-    """How a line is written."""
+    """Format of a log line."""
 
     KEY_VALUE = "key_value"
     JSON = "json"
--- a/src/trefoilpaddle/state/log_stream.py
+++ b/src/trefoilpaddle/state/log_stream.py
@@ -1,30 +1,29 @@
-"""Standard output for log lines, which neither blocks nor grows without bound."""
+"""A log stream that never blocks and whose buffer is bounded."""
 
 import os
 import time
 from typing import Final
 
 MAX_LINES_PER_S: Final = 2000.0
-"""Lines written in a second; thirty times those of a busy gateway.
+"""Largest number of lines per second; thirty times that of a busy gateway.
 
-A line costs some 10 us, so that logging stays under a fiftieth of a core.
+A line costs about 10 us, so that logging uses less than a fiftieth of a core.
 """
 
 MAX_UNSENT_BYTES: Final = 1024 * 1024
-"""Kept for a reader that is slow; about two seconds of the most lines."""
+"""Size of the buffer for a slow reader; about two seconds at the highest rate."""
 
 
 class LogStream:
-    """A text stream that drops lines rather than wait for its reader.
+    """A text stream that drops lines instead of waiting for its reader.
 
-    A reader that stops reading would otherwise stop the whole process at its
-    next line. What was dropped is told, as a count, before the next line that
-    is written.
+    Otherwise a reader that stops reading would block the whole process at its
+    next line. The number of dropped lines is written before the next line.
 
     Parameters
     ----------
     fd : int
-        Where lines go; it is made non-blocking.
+        File descriptor to write to; it is made non-blocking.
     """
 
     __slots__ = ("_fd", "_lines_left", "_refilled_s", "_unsent", "n_dropped")
@@ -38,7 +37,7 @@
         self.n_dropped = 0
 
     def write(self, text: str) -> int:
-        """Take whole lines; they are written by `flush`, or dropped."""
+        """Buffer complete lines until the next `flush`, or drop them."""
         n_lines = text.count("\n")
         if not self._admits(n_lines) or len(self._unsent) > MAX_UNSENT_BYTES:
             self.n_dropped += n_lines
@@ -51,20 +50,20 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes now; the rest waits for the next flush."""
+        """Write what the reader accepts now; the rest stays in the buffer."""
         while self._unsent:
             try:
                 n_written = os.write(self._fd, self._unsent)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is nowhere left to tell it.
+                # The reader is gone, and the error cannot be logged elsewhere.
                 self._unsent.clear()
                 return
             del self._unsent[:n_written]
 
     def close(self) -> None:
-        """Write what the reader still takes; the descriptor stays open."""
+        """Write what the reader accepts now; the descriptor stays open."""
         self.flush()
 
     def _admits(self, n_lines: int) -> bool:
--- a/src/trefoilpaddle/state/logs.py
+++ b/src/trefoilpaddle/state/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output: one for each event, key=value or JSON."""
+"""Log lines on standard output, one for each event, as key=value or JSON."""
 
 import logging as python_logging
 import time
@@ -12,7 +12,7 @@
 from .log_stream import LogStream
 
 STDOUT_FD: Final = 1
-"""Standard output, written around Python's own buffer, which may block."""
+"""Standard output, written without Python's own buffer, which may block."""
 
 LEVELS: Final = {
     "DEBUG": "debug",
@@ -24,14 +24,14 @@
 
 
 class LineFormatter(python_logging.Formatter):
-    """Writes a record as one line with its time, level and process.
+    """Formats a record as one line with its time, level and process.
 
     Parameters
     ----------
     process_id : str
-        Written on each line.
+        Id of this process, on each line.
     format : LogFormat
-        How the line is written.
+        Format of the line.
     """
 
     def __init__(self, *, process_id: str, format: LogFormat) -> None:
@@ -86,9 +86,9 @@
         return orjson.dumps(head | fields).decode()
 
     def _time(self, wall_s: float) -> str:
-        """Return the time `wall_s` in UTC, down to milliseconds."""
+        """Return the time `wall_s` in UTC with milliseconds."""
         second = int(wall_s)
-        if second != self._second:  # many lines share a second
+        if second != self._second:  # formatted once per second
             self._second = second
             self._second_text = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(second))
         return f"{self._second_text}.{int((wall_s - second) * 1000):03d}Z"
@@ -100,13 +100,13 @@
     Parameters
     ----------
     format : LogFormat
-        How lines are written.
+        Format of the lines.
     verbosity : str
-        Least level that is written.
+        Lowest level that is written.
     process_id : str
-        Written on each line.
+        Id of this process, on each line.
     """
-    # absl warns on each line before its flags are parsed; fire parses ours.
+    # absl warns on each line until its flags are parsed, and fire parses the flags.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(verbosity)
--- a/src/trefoilpaddle/state/metrics.py
+++ b/src/trefoilpaddle/state/metrics.py
@@ -8,7 +8,7 @@
 from .journal import Decision, Event
 
 MAX_LABEL_VALUES: Final = 200
-"""Most owners, entries or stages told apart; the rest count as ``other``."""
+"""Largest number of values of one label; further values count as ``other``."""
 OTHER: Final = "other"
 
 SECONDS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30)
@@ -25,10 +25,10 @@
 
 
 class BoundedNames:
-    """Lets through the first ``MAX_LABEL_VALUES`` names, the rest as one.
+    """Passes the first ``MAX_LABEL_VALUES`` names and replaces all others by one.
 
-    A metric costs memory for each value of a label for as long as the process
-    lives; names come from a catalogue that changes all day.
+    A metric uses memory for each value of a label as long as the process lives,
+    and the names come from a catalogue that changes all the time.
     """
 
     __slots__ = ("_known",)
@@ -37,7 +37,7 @@
         self._known: set[str] = set()
 
     def bound(self, name: str) -> str:
-        """Return `name`, or ``other`` when too many are known."""
+        """Return `name`, or ``other`` if there are too many names."""
         if name in self._known:
             return name
         if len(self._known) >= MAX_LABEL_VALUES:
@@ -47,12 +47,12 @@
 
 
 class Metrics:
-    """The metrics that decisions feed; gauges are set by the role.
+    """Metrics counted from decisions; the process's role adds and sets the gauges.
 
     Attributes
     ----------
     registry : CollectorRegistry
-        Only of this process's metrics.
+        Registry of this process's metrics only.
     """
 
     __slots__ = (
@@ -120,7 +120,7 @@
         return Gauge(f"trefoilpaddle_{name}", help_text, registry=self.registry)
 
     def count(self, decision: Decision) -> None:
-        """Count one decision; subscribe this to a journal."""
+        """Count one decision; to be subscribed to a journal."""
         event = int(decision.event)
         self._decision_child(event, int(decision.reason)).inc()
         outcome = OUTCOMES.get(event)
@@ -137,7 +137,7 @@
             self._add_cost(decision)
 
     def _decision_child(self, event: int, reason: int) -> Counter:
-        """Return the counter of one event and reason; looked up at each decision."""
+        """Return the cached counter of one event and reason."""
         child = self._decision_children.get((event, reason))
         if child is None:
             name = "" if reason == Reason.NONE else Reason(reason).name.lower()
--- a/src/trefoilpaddle/state/outcome_record.py
+++ b/src/trefoilpaddle/state/outcome_record.py
@@ -1,4 +1,4 @@
-"""How a request ended, as bytes that a retry of it can be answered from."""
+"""Stored outcome of a request, from which a retry of it is answered."""
 
 from typing import Annotated, Any, Literal
 
@@ -18,7 +18,7 @@
     Parameters
     ----------
     output : any JSON value
-        The answer.
+        The answer to the caller.
     cost_s : float
         Target-seconds used.
     """
@@ -37,9 +37,9 @@
     outcome : str
         ``"failed"`` or ``"unknown"``.
     reason : Reason
-        Why.
+        Reason of the outcome.
     step, peer, detail, stage : str
-        As in the error.
+        As in the error that the caller received.
     cost_s : float
         Target-seconds used.
     """
@@ -62,12 +62,12 @@
 
 
 def record_bytes(record: OutcomeRecord) -> bytes:
-    """Return `record` as bytes."""
+    """Return `record` as JSON."""
     return orjson.dumps(_READER.dump_python(record, mode="json"))
 
 
 def read_record(data: bytes) -> Result[OutcomeRecord, str]:
-    """Return the record in `data`, or what is wrong with it."""
+    """Return the record in `data`, or why it cannot be read."""
     try:
         return Ok(_READER.validate_json(data))
     except ValidationError as error:
--- a/src/trefoilpaddle/state/problems.py
+++ b/src/trefoilpaddle/state/problems.py
@@ -1,4 +1,4 @@
-"""Faults in settings and catalogues, each with its key and what to do next."""
+"""Problems in settings and catalogues, each with its key and what is accepted."""
 
 import dataclasses
 import difflib
@@ -13,20 +13,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One fault of an input file or a published value.
+    """One problem of an input file or a published value.
 
     Parameters
     ----------
     source : str
         File or published key.
     key : str
-        Dotted path of the faulty key; empty for the whole.
+        Dotted path of the invalid key; empty if the problem concerns the whole
+        source.
     value : str
-        What stands there, shortened.
+        The invalid value, shortened.
     detail : str
-        What is wrong.
+        Description of the problem.
     accepted : str
-        What would be accepted; the nearest known key for an unknown one.
+        What would be accepted; for an unknown key, the most similar known key.
     """
 
     source: str
@@ -66,19 +67,19 @@
     "too_long": "has too many items",
     "dataclass_type": "is no table",
 }
-"""What is wrong, in our words: those of the library change with its version."""
+"""Description of each kind of error; independent of the version of pydantic."""
 BOUNDS: Final = (("ge", "at least"), ("gt", "more than"), ("le", "at most"))
 SECRETS: Final = frozenset({"token", "token_sha256"})
-"""Keys of which no value is ever shown."""
+"""Keys whose values are never shown."""
 
 
 def problems_of(error: ValidationError, *, source: str, cls: type) -> Iterator[Problem]:
-    """Yield each fault that pydantic found while reading a `cls`."""
+    """Yield a problem for each error that pydantic found while reading a `cls`."""
     faults = error.errors(include_url=False)
     paths = [fault["loc"] for fault in faults]
     for fault in faults:
         if fault["type"] == "too_short" and _has_inner(fault["loc"], paths):
-            continue  # counts the faulty items as absent
+            continue  # reported only because invalid items are not counted
         path = [part for part in fault["loc"] if part != "args"]
         key = ".".join(str(part) for part in path)
         is_shown = fault["type"] != "missing" and not _is_secret(key)
--- a/src/trefoilpaddle/state/published.py
+++ b/src/trefoilpaddle/state/published.py
@@ -1,4 +1,4 @@
-"""What the platform has published, as far as this process knows it."""
+"""The published catalogue and host list that this process uses."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -11,11 +11,12 @@
 
 
 class Published:
-    """The catalogue and the host list in force in this process.
+    """The active catalogue and host list of this process.
 
-    Their models are loaded with the first of either. Where a deployment has none, as
-    on the users' platform, loading them was a third of a process's start, and all
-    requests wait for that when all its hosts come back at once.
+    The modules that define them are imported with the first catalogue or list.
+    A deployment may publish neither. Importing the modules anyway took a third of
+    the start of a process, for which all requests wait when all hosts of the
+    deployment start at the same time.
     """
 
     __slots__ = ("_catalogue", "_hosts", "_listeners")
@@ -27,7 +28,7 @@
 
     @property
     def catalogue(self) -> "Catalogue":
-        """The catalogue; an empty one before any was published."""
+        """The active catalogue; empty before the first one is published."""
         if self._catalogue is None:
             from .catalogue import Catalogue
 
@@ -36,7 +37,7 @@
 
     @property
     def hosts(self) -> "HostList":
-        """The host list; an empty one before any was published."""
+        """The active host list; empty before the first one is published."""
         if self._hosts is None:
             from .hosts import HostList
 
@@ -45,26 +46,26 @@
 
     @property
     def catalogue_revision(self) -> int:
-        """Revision of the catalogue; 0 before any was published."""
+        """Revision of the catalogue; 0 before the first one is published."""
         return 0 if self._catalogue is None else self._catalogue.revision
 
     def peer_addresses(self) -> list[str]:
-        """Return where the listed hosts hear their peers."""
+        """Return the peer address of each listed host."""
         if self._hosts is None:
             return []
         return [host.peer_address for host in self._hosts.hosts]
 
     def subscribe(self, listener: OnChange) -> None:
-        """Call `listener` after each change of either."""
+        """Call `listener` after each change of the catalogue or the host list."""
         self._listeners.append(listener)
 
     def set_catalogue(self, catalogue: "Catalogue") -> bool:
-        """Put `catalogue` in force; return False if it is older or the same.
+        """Activate `catalogue`; return False if it is older or the same.
 
-        A restarted or stale configuration service can offer an older revision;
-        taking it would revert an accepted change. A catalogue of the same
-        revision can differ where the last good value of a rejected change has
-        been learnt from a peer.
+        A restarted or stale configuration service can offer an older revision,
+        which would revert an accepted change. A catalogue of the same revision
+        can differ if the last good value of a rejected change was received from
+        a peer.
         """
         if catalogue.revision < self.catalogue.revision:
             return False
@@ -75,7 +76,7 @@
         return True
 
     def set_hosts(self, hosts: "HostList") -> bool:
-        """Put `hosts` in force; return False if the list is not newer."""
+        """Activate `hosts`; return False if the list is not newer."""
         if hosts.revision <= self.hosts.revision:
             return False
         self._hosts = hosts
--- a/src/trefoilpaddle/state/reason_words.py
+++ b/src/trefoilpaddle/state/reason_words.py
@@ -1,4 +1,4 @@
-"""Each reason as a clause that a person reads behind "because"."""
+"""Text of each reason, as a clause that follows "because"."""
 
 from typing import Final
 
@@ -47,5 +47,5 @@
 
 
 def reason_words(name: str) -> str:
-    """Return the clause for the reason called `name`; an unheard-of one shows."""
+    """Return the clause for the reason called `name`, or the name if it is unknown."""
     return CLAUSES_BY_NAME.get(name, name.replace("_", " "))
--- a/src/trefoilpaddle/state/setting_types.py
+++ b/src/trefoilpaddle/state/setting_types.py
@@ -1,4 +1,4 @@
-"""Types of single settings, each saying what it accepts."""
+"""Types of single settings; their errors state what is accepted."""
 
 import ipaddress
 from typing import Annotated, Final
@@ -45,10 +45,10 @@
 
 
 AddressText = Annotated[str, AfterValidator(_address)]
-"""``ip:port`` on which a process listens or is found."""
+"""``ip:port`` on which a process listens."""
 
 Url = Annotated[str, AfterValidator(_url)]
-"""Where a service is found, without a path."""
+"""URL of a service, without a path."""
 
 OptionalUrl = Annotated[str, AfterValidator(_url_or_empty)]
-"""As `Url`, or empty where there is no such service."""
+"""As `Url`, or empty if there is no such service."""
--- a/src/trefoilpaddle/state/settings.py
+++ b/src/trefoilpaddle/state/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process; `settings_read` reads and checks them."""
+"""Settings of a process; `settings_read` reads and checks them."""
 
 from enum import StrEnum, unique
 from typing import Annotated, Literal
@@ -22,7 +22,7 @@
 
 @unique
 class Order(StrEnum):
-    """In which order a sidecar starts waiting work."""
+    """Order in which a sidecar starts queued work."""
 
     FIFO = "fifo"
     FAIR = "fair"
@@ -30,7 +30,7 @@
 
 @unique
 class Fencing(StrEnum):
-    """Whether the target refuses orders that carry an old fencing number."""
+    """Whether the target refuses orders with an outdated fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -38,20 +38,20 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class ProcessSettings:
-    """Who this process is.
+    """Identity and addresses of this process.
 
     Parameters
     ----------
     host : str
         Name of its host on the published host list.
     failure_domain : str
-        Where the host stands.
+        Failure domain of the host.
     region : str
         Region of the failure domain.
     listen : str
-        ``ip:port`` for peers.
+        ``ip:port`` on which it listens for peers.
     operators_listen : str
-        ``ip:port`` for operators' HTTP.
+        ``ip:port`` on which it serves HTTP for operators.
     """
 
     host: Name
@@ -63,20 +63,21 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class PlatformSettings:
-    """Where the platform publishes.
+    """Addresses of the platform's services.
 
     Parameters
     ----------
     config_url : str
-        The configuration service.
+        URL of the configuration service.
     hosts_url : str
-        The host list.
+        URL of the host list.
     weight_store_url : str
-        The weight store; empty without one.
+        URL of the weight store; empty without one.
     poll_s : float
-        Longest wait of one watch, and the time between reads of the host list.
+        Longest wait of one watch request, and the time between reads of the host
+        list.
     n_readers : int
-        Processes per failure domain that read the configuration service.
+        Number of processes per failure domain that read the configuration service.
     """
 
     config_url: Url
@@ -88,13 +89,14 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class PeerSettings:
-    """Peers to ask before the host list is known.
+    """Peers to contact before the host list is known.
 
     Parameters
     ----------
     seeds : tuple of str
-        ``ip:port`` of a few processes, best in several failure domains; asked
-        for the catalogue when the configuration service cannot be reached.
+        ``ip:port`` of a few processes, preferably in several failure domains.
+        They are asked for the catalogue while the configuration service cannot
+        be reached.
     """
 
     seeds: tuple[AddressText, ...] = ()
@@ -102,27 +104,27 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class CallerSettings:
-    """Callers' HTTP and its bounds.
+    """HTTP interface for callers, and its limits.
 
     Parameters
     ----------
     listen : str
-        ``ip:port`` for callers, behind the platform's balancer.
+        ``ip:port`` for callers, behind the platform's load balancer.
     max_body_bytes : int
-        Longest body of a request.
+        Largest body of a request.
     max_headers : int
-        Most headers of a request.
+        Largest number of headers of a request.
     max_header_bytes : int
-        Longest header, and longest first line.
+        Longest header, and longest request line.
     max_connections : int
-        Most callers connected at once; a further one is told to come back.
+        Largest number of connected callers; a further one is told to retry later.
     max_json_depth : int
         Deepest nesting of a JSON body.
     max_deadline_s : float
-        Longest deadline that any entry can give here.
+        Longest deadline that any entry can give at this gateway.
     require_tokens : bool
-        True asks each caller for its account's bearer token; false trusts the
-        ``X-Client-Account`` header and is only for closed networks.
+        If true, each caller must send its account's bearer token. If false, the
+        ``X-Client-Account`` header is trusted; only for closed networks.
     """
 
     listen: AddressText
@@ -137,24 +139,25 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class TargetSettings:
-    """The one target that a sidecar stands beside.
+    """The target that a sidecar serves.
 
     Parameters
     ----------
     name : str
-        The target's name, as on the host list.
+        Name of the target, as on the host list.
     service : str
-        The catalogue's service that it belongs to.
+        Name of its service in the catalogue.
     kind : ServiceKind
         How it is called: ``engine``, ``pool`` or ``plain``.
     url : str
-        Where it listens.
+        URL of the target.
     fencing : Fencing
-        Whether it refuses orders that carry an old fencing number: ``checked``
-        or ``ignored``.
+        Whether it refuses orders with an outdated fencing number: ``checked`` or
+        ``ignored``.
     lock_port : int
-        Port held while the sidecar lives, so that no second one can act on the
-        target; the same for every sidecar of this target, on the target's host.
+        Port that the sidecar holds while it runs, so that no second sidecar can
+        act on the target. The same for every sidecar of this target, on the
+        target's host.
     load_period_s : float
         Time between reads of the target's own load report.
     """
@@ -170,7 +173,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class PolicySettings:
-    """The policies; the defaults are the product, the rest baselines.
+    """Scheduling policies; other values than the defaults are baselines.
 
     Parameters
     ----------
@@ -178,23 +181,23 @@
         How a gateway chooses a target: ``two_choices``, ``late_binding`` or
         ``round_robin``.
     order : Order
-        In which order a sidecar starts waiting work: ``fair`` or ``fifo``.
+        Order in which a sidecar starts queued work: ``fair`` or ``fifo``.
     refuse_early : bool
-        Refuse what cannot make its deadline before it costs anything.
+        Refuse work that cannot meet its deadline before it uses any target time.
     split_deadline : bool
-        Give each stage its part of the deadline, by what is predicted.
+        Give each stage a part of the deadline, by the predicted times.
     retry_budget : bool
-        Bound retries and hedges to a share of a service's calls.
+        Limit retries and hedges to a share of a service's calls.
     hedge : bool
         Send slow idempotent stages to a second target.
     eject_slow : bool
-        Leave out targets that are much slower than their peers.
+        Exclude targets that are much slower than their peers.
     prefix_affinity : bool
-        Prefer targets that likely hold the prompt's prefix.
+        Prefer targets that probably hold the prompt's prefix in their cache.
     adapt_concurrency : bool
-        Learn how many calls at once a target bears.
+        Adapt the number of concurrent calls at a target by measurement.
     drop_expired : bool
-        Drop waiting work whose deadline has passed.
+        Drop queued work whose deadline has passed.
     """
 
     choice: Choice = Choice.TWO_CHOICES
@@ -211,18 +214,18 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class RetentionSettings:
-    """How much is kept in memory and for how long.
+    """How much state is kept in memory, and for how long.
 
     Parameters
     ----------
     held_results_bytes : int
-        Results held for gateways that have not acknowledged them.
+        Largest size of all results that gateways have not acknowledged yet.
     held_results_s : float
         How long a result is held.
     retry_window_s : float
         How long a caller's retry of a request is recognised.
     explain_records : int
-        Decisions kept for ``explain``; about 1 KB each.
+        Number of decisions kept for ``explain``; about 1 KB each.
     explain_s : float
         How long a decision is kept.
     """
@@ -236,16 +239,16 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class TlsSettings:
-    """Paths of PEM files; this release refuses any, since it speaks plain TCP.
+    """Paths of PEM files; this release uses plain TCP and rejects any path.
 
     Parameters
     ----------
     certificate_path : str
-        This process's certificate and those between it and the authority.
+        Certificate of this process, with the intermediate certificates.
     key_path : str
-        Its private key.
+        Private key of this process.
     ca_path : str
-        Certificates of the authorities whose peers are let in.
+        Certificates of the authorities whose peers are accepted.
     """
 
     certificate_path: str = ""
@@ -255,15 +258,15 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class LogSettings:
-    """What is logged and how.
+    """Format and level of the log.
 
     Parameters
     ----------
     format : LogFormat
         ``key_value`` or ``json``.
     verbosity : str
-        Least level that is logged: ``debug``, ``info``, ``warning`` or
-        ``error``; decisions are of level info.
+        Lowest level that is logged: ``debug``, ``info``, ``warning`` or
+        ``error``; decisions have level info.
     """
 
     format: LogFormat = LogFormat.KEY_VALUE
@@ -272,16 +275,17 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class StopSettings:
-    """How a planned stop goes.
+    """Times of a planned stop.
 
     Parameters
     ----------
     drain_s : float
-        Longest wait for held work; what is still open then is told so, as not
-        run where that is certain, and counted as cut off.
+        Longest wait for open work. Requests that are still open then are answered
+        as interrupted, or as not run if that is certain, and counted as
+        interrupted.
     settle_s : float
-        Time between saying not ready and refusing new work; longer than the
-        balancer takes to notice.
+        Time between reporting not ready and refusing new work; must be longer
+        than the load balancer takes to notice.
     """
 
     drain_s: Positive = 30.0
--- a/src/trefoilpaddle/state/settings_read.py
+++ b/src/trefoilpaddle/state/settings_read.py
@@ -1,4 +1,4 @@
-"""Reads settings from TOML and checks them whole, before anything opens."""
+"""Reads settings from TOML and checks all of them before any port is opened."""
 
 import tomllib
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 def load_gateway(path: Path) -> Result[GatewaySettings, list[Problem]]:
-    """Return the gateway settings in the file at `path`, or all its faults."""
+    """Return the gateway settings in the file at `path`, or all problems."""
     match _read(path):
         case Err(problems):
             return Err(problems)
@@ -24,7 +24,7 @@
 
 
 def load_sidecar(path: Path) -> Result[SidecarSettings, list[Problem]]:
-    """Return the sidecar settings in the file at `path`, or all its faults."""
+    """Return the sidecar settings in the file at `path`, or all problems."""
     match _read(path):
         case Err(problems):
             return Err(problems)
@@ -58,7 +58,7 @@
 def _joint_problems(
     settings: GatewaySettings | SidecarSettings, source: str
 ) -> Iterator[Problem]:
-    """Yield what is wrong with settings that are each right alone."""
+    """Yield the problems of combinations of settings that are each valid alone."""
     yield from _same_addresses(settings, source)
     yield from _tls_problems(settings.tls, source)
 
@@ -90,10 +90,10 @@
 
 
 def _tls_problems(tls: TlsSettings, source: str) -> Iterator[Problem]:
-    """Yield each path that is set: settings must not promise what is not done.
+    """Yield a problem for each path that is set, because TLS is not supported.
 
-    Taken without a word, they would leave an operator believing that peers are
-    checked while every connection is plain.
+    If the paths were accepted, an operator would believe that peers are
+    authenticated, while every connection is unencrypted.
     """
     paths = {
         "certificate_path": tls.certificate_path,
@@ -112,6 +112,6 @@
 
 
 def lines_of(problems: list[Problem]) -> Iterator[str]:
-    """Yield one line for a person for each problem."""
+    """Yield one human-readable line for each problem."""
     for problem in problems:
         yield str(problem)
--- a/src/trefoilpaddle/state/settings_warnings.py
+++ b/src/trefoilpaddle/state/settings_warnings.py
@@ -1,4 +1,4 @@
-"""What valid settings still promise and cannot keep."""
+"""Warnings about valid settings that cannot work as written."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 def settings_warnings(
     settings: GatewaySettings | SidecarSettings, *, source: str
 ) -> Iterator[Problem]:
-    """Yield each setting that cannot work as it is written."""
+    """Yield a warning for each setting that cannot work as written."""
     if not settings.peers.seeds:
         yield Problem(
             source=source,
--- a/src/trefoilpaddle/state/status.py
+++ b/src/trefoilpaddle/state/status.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself, and what one can tell of all."""
+"""Status of one process, and of all processes, for operators."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusals:
-    """How many were refused for one reason."""
+    """Number of refusals for one reason."""
 
     reason: str
     n_refused: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UseStatus:
-    """What an owner or a stage used in the last minute.
+    """Use by one owner or one stage in the last minute.
 
     See Also
     --------
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadStatus:
-    """A target's load as its sidecar sees it; times in seconds."""
+    """Load of a target as seen by its sidecar; times in seconds."""
 
     n_running: int = 0
     n_queued: int = 0
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseStatus:
-    """What this gateway holds of one limit of an entry."""
+    """Part of one limit of an entry that this gateway holds."""
 
     entry: str
     kind: str
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HeldBackStatus:
-    """A published change that is not in force, and why."""
+    """A published change that is not active, and why."""
 
     key: str
     revision: int
@@ -76,22 +76,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessStatus:
-    """One process.
+    """Status of one process.
 
     Parameters
     ----------
     process_id, role, failure_domain, region, service, target : str
-        Who it is.
+        Identity of the process.
     incarnation : str
-        Hexadecimal; new at each start.
+        Hexadecimal id of this start of the process.
     is_ready, is_leaving : bool
-        Whether it takes new work, and whether it is stopping.
+        Whether it accepts new work, and whether it is stopping.
     config_revision, hosts_revision : int
-        What is in force in it.
+        Revisions of its active catalogue and host list.
     up_s : float
-        Seconds since it started.
+        Seconds since its start.
     n_peers_heard, n_peers : int
-        Peers dialled that spoke lately, and all dialled.
+        Number of peers it connects to that responded recently, and of all of them.
     """
 
     process_id: str
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryStatus:
-    """A catalogue entry in force."""
+    """An active catalogue entry."""
 
     name: str
     owner: str
@@ -132,14 +132,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetStatus:
-    """All processes that one process could ask, and those that were silent.
+    """Status of all processes that responded to one process, and the others.
 
     Parameters
     ----------
     asked_of : str
-        The process that gathered it.
+        The process that gathered the status.
     leaving : tuple of str
-        Processes that the platform's list or they themselves call leaving.
+        Processes that are leaving, by the host list or by their own report.
     """
 
     asked_of: str
@@ -161,7 +161,7 @@
 
 
 def decode_process(data: bytes) -> Result[ProcessStatus, str]:
-    """Return the status in `data`, or what is wrong with it."""
+    """Return the status in `data`, or why it cannot be read."""
     try:
         return Ok(PROCESS.validate_json(data))
     except ValidationError as error:
@@ -169,7 +169,7 @@
 
 
 def use_statuses(uses: dict[str, Use]) -> Iterator[UseStatus]:
-    """Yield each use under its name, in order of name."""
+    """Yield the status of each use, in order of name."""
     for name in sorted(uses):
         use = uses[name]
         yield UseStatus(
@@ -188,7 +188,7 @@
 
 
 def total(statuses: Iterable[UseStatus]) -> list[UseStatus]:
-    """Return the sum over all processes of each name, in order of name."""
+    """Return the sum of `statuses` for each name, in order of name."""
     uses: dict[str, Use] = {}
     for status in statuses:
         use = uses.setdefault(status.name, Use())
--- a/src/trefoilpaddle/state/tally.py
+++ b/src/trefoilpaddle/state/tally.py
@@ -120,7 +120,7 @@
         """Count one decision; to be subscribed to a journal."""
         if int(decision.event) not in COUNTERS:
             return
-        bucket = self._now()
+        bucket = self._current_bucket()
         if decision.owner:
             _use(bucket.owners, decision.owner).count(decision)
         if decision.stage:
@@ -134,19 +134,19 @@
         """Return the use of each stage."""
         return self._sum(lambda bucket: bucket.stages)
 
-    def _now(self) -> _Bucket:
+    def _current_bucket(self) -> _Bucket:
         now_s = self._clock()
-        self._forget_old(now_s)
+        self._evict_expired(now_s)
         if not self._buckets or now_s - self._buckets[-1].begin_s >= BUCKET_S:
             self._buckets.append(_Bucket(begin_s=now_s))
         return self._buckets[-1]
 
-    def _forget_old(self, now_s: float) -> None:
+    def _evict_expired(self, now_s: float) -> None:
         while self._buckets and now_s - self._buckets[0].begin_s > N_BUCKETS * BUCKET_S:
             self._buckets.popleft()
 
     def _sum(self, part: Callable[[_Bucket], dict[str, Use]]) -> dict[str, Use]:
-        self._forget_old(self._clock())
+        self._evict_expired(self._clock())
         total: dict[str, Use] = {}
         for bucket in self._buckets:
             for name, use in part(bucket).items():
--- a/src/trefoilpaddle/state/timeline.py
+++ b/src/trefoilpaddle/state/timeline.py
@@ -1,4 +1,4 @@
-"""A request's timeline: what each process that took part still knows of it."""
+"""Timeline of a request: the decisions about it that the processes still keep."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -12,26 +12,26 @@
 from .journal import Figure, Record
 
 MAX_STEPS: Final = 1000
-"""Most steps of one timeline that one process tells; keeps it within a frame."""
+"""Largest number of steps that one process sends, so that they fit in a frame."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One decision as it is told to another process or a person.
+    """One decision as reported to another process or to a person.
 
     Parameters
     ----------
     process_id : str
-        Who decided.
+        The process that decided.
     age_s : float
-        How long ago, by that process's own monotonic clock; two processes'
-        steps are put in order by it, since their wall clocks may differ.
+        Seconds since the decision, on that process's monotonic clock. The steps
+        of several processes are ordered by it, because wall clocks may differ.
     event : int
-        The event's number; may be unknown here in a mixed release.
+        Number of the event; may be unknown here while releases are mixed.
     name : str
-        The event's name.
+        Name of the event.
     reason : str
-        The reason's name; empty for none.
+        Name of the reason; empty if there is none.
 
     See Also
     --------
@@ -54,7 +54,7 @@
     figures: tuple[Figure, ...] = ()
 
     def figure(self, name: str) -> float | None:
-        """Return the figure called `name`, or None."""
+        """Return the figure called `name`, or None if there is none."""
         for figure in self.figures:
             if figure.name == name:
                 return figure.value
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Absence:
-    """A process that should know something and did not tell it.
+    """A process that was queried without result.
 
     Parameters
     ----------
     process_id : str
-        Who was asked.
+        The queried process.
     detail : str
-        Why there is no answer, in one sentence.
+        One sentence on why there is no response.
     """
 
     process_id: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timeline:
-    """All steps that could be gathered about one request, oldest first."""
+    """All steps of one request that could be gathered, oldest first."""
 
     request_id: str
     steps: tuple[Step, ...] = ()
@@ -122,7 +122,7 @@
 
 
 def decode_steps(data: bytes) -> Result[tuple[Step, ...], str]:
-    """Return the steps in `data`, or what is wrong with it."""
+    """Return the steps in `data`, or why they cannot be read."""
     try:
         return Ok(STEPS.validate_json(data))
     except ValidationError as error:
--- a/src/trefoilpaddle/state/timeline_order.py
+++ b/src/trefoilpaddle/state/timeline_order.py
@@ -1,4 +1,4 @@
-"""Puts the steps that several processes told in one order."""
+"""Merges the steps reported by several processes into one order."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
@@ -11,22 +11,23 @@
 RETURNS: Final = frozenset({Event.STAGE_DONE, Event.STAGE_FAILED})
 
 TICK_S: Final = 1e-6
-"""Less than the time between two steps that follow from each other."""
+"""Less than the time between two steps where one causes the other."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessSteps:
-    """What one process told.
+    """Steps reported by one process.
 
     Parameters
     ----------
     names : frozenset of str
-        Its process id and its target: how other processes' steps name it.
+        Its process id and its target, by which the steps of other processes refer
+        to it.
     steps : tuple of Step
-        Oldest first.
+        Its steps, oldest first.
     reported_s : float
-        Time at which it told them, by the clock of who asked; known only to
-        half the time that the question and its answer took.
+        Time of the report on the clock of the querying process; accurate only to
+        half the round-trip time of the query.
     """
 
     names: frozenset[str]
@@ -41,17 +42,18 @@
 
 
 def merge_steps(reports: Sequence[ProcessSteps], *, now_s: float) -> tuple[Step, ...]:
-    """Return all steps oldest first, their ages as of `now_s`.
+    """Return all steps, oldest first, with their ages at `now_s`.
 
-    Ages are exact within a process, and between processes only to the time
-    that asking took. A stage call cannot begin before it was sent nor end
-    after its result was there; steps that seem to are moved in between.
+    Ages are exact within a process, but between processes only as accurate as the
+    round-trip time of the queries. A stage call cannot begin before it was sent,
+    nor end after its result was received. The steps of a process that seem to
+    are shifted in between.
     """
     timed = [_timed(report) for report in reports]
     everything = [one for part in timed for one in part]
     moved: list[_Timed] = []
     for report, part in zip(reports, timed, strict=True):
-        shift_s = _shift_s(part, _naming(everything, report))
+        shift_s = _shift_s(part, _references_to(everything, report))
         moved += (replace(one, at_s=one.at_s + shift_s) for one in part)
     moved.sort(key=lambda one: one.at_s)
     return tuple(replace(one.step, age_s=now_s - one.at_s) for one in moved)
@@ -63,8 +65,8 @@
     ]
 
 
-def _naming(everything: Iterable[_Timed], report: ProcessSteps) -> list[_Timed]:
-    """Return the steps of other processes that name this one."""
+def _references_to(everything: Iterable[_Timed], report: ProcessSteps) -> list[_Timed]:
+    """Return the steps of other processes that refer to the one of `report`."""
     return [
         one
         for one in everything
@@ -73,7 +75,7 @@
 
 
 def _shift_s(part: Sequence[_Timed], naming: Sequence[_Timed]) -> float:
-    """Return by how much to move `part` so that it lies between what names it."""
+    """Return the shift that puts `part` between the calls and returns in `naming`."""
     calls = [one.at_s for one in naming if one.step.event in CALLS]
     returns = [one.at_s for one in naming if one.step.event in RETURNS]
     if not part or not calls:
--- a/src/trefoilpaddle/state/timeline_text.py
+++ b/src/trefoilpaddle/state/timeline_text.py
@@ -1,4 +1,4 @@
-"""A request's timeline in plain words."""
+"""Human-readable text of a request's timeline."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -38,7 +38,7 @@
     Event.CLAIM_ANSWERED: "was told by the home {peer} what is known of the key",
     Event.LIMIT_REFUSED: "refused the request by a limit of the entry",
 }
-"""What the telling process did; an event without a sentence shows its name."""
+"""What the process did; an event without a sentence is shown by its name."""
 
 FIGURE_WORDS: Final = {
     "predicted_s": "predicted {:.3f} s",
@@ -75,7 +75,7 @@
 
 
 def lines(timeline: Timeline) -> Iterator[str]:
-    """Yield the timeline line by line: what governed it, the steps, what lacks."""
+    """Yield the lines of a timeline: summary, steps, and processes without response."""
     yield f"Request {timeline.request_id}"
     yield from _head(timeline)
     if not timeline.steps:
--- a/src/trefoilpaddle/state/used_ids.py
+++ b/src/trefoilpaddle/state/used_ids.py
@@ -50,13 +50,13 @@
     Guards against a start message that arrives late on another connection,
     after its attempt was barred or has run. Without this check, the attempt
     would run a second time, or would run after a gateway was promised that it
-    never starts. While the id is remembered, the message is refused by its id. When ids are dropped, by
-    age or by number, the time at which the newest of them was used becomes the
-    *horizon*. A start message is written before its attempt is used, and its
-    stamp plus its elapsed span is a lower bound of the time of writing on this
-    process's clock. So every message of a dropped id lies before the horizon,
-    and all messages from before the horizon are refused. Dropping ids can cause
-    a refusal too many, but never a second run.
+    never starts. While the id is remembered, the message is refused by its id.
+    When ids are dropped, by age or by number, the time at which the newest of
+    them was used becomes the *horizon*. A start message is written before its
+    attempt is used, and its stamp plus its elapsed span is a lower bound of the
+    time of writing on this process's clock. So every message of a dropped id
+    lies before the horizon, and all messages from before the horizon are
+    refused. Dropping ids can cause a refusal too many, but never a second run.
 
     Parameters
     ----------
--- a/tests/harness_slots.py
+++ b/tests/harness_slots.py
@@ -1,4 +1,4 @@
-"""What a fleet of the harness is made of, and what its callers are told."""
+"""Parts of a fleet of the harness, and the answers that its callers receive."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 from trefoilpaddle.roles.sidecar import Sidecar
 
 NOT_CONNECTED: Final = "nobody there"
-"""Stands for the answer where nobody was there to connect to."""
+"""Body of an answer without a connection: no process listened at the address."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerAnswer:
-    """What a caller was told."""
+    """Answer that a caller received; status 0 if it received none."""
 
     text: str
     status: int
@@ -26,12 +26,12 @@
 
     @property
     def is_lost(self) -> bool:
-        """True if the connection broke before the caller was told anything."""
+        """True if the connection was lost before an answer."""
         return self.status == 0
 
     @property
     def is_unsent(self) -> bool:
-        """True if nobody was there to connect to."""
+        """True if no connection was made."""
         return self.is_lost and self.body == NOT_CONNECTED
 
     @property
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SidecarSlot:
-    """The place beside one target: its sidecar of the moment, if it has one."""
+    """One target with its current sidecar, if there is one."""
 
     name: str
     service: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class GatewaySlot:
-    """One gateway, and its relays to the sidecars by name."""
+    """One gateway, with its relays to the sidecars by name and its open requests."""
 
     name: str
     relays: dict[str, Relay]
--- a/tests/test_cache_rule.py
+++ b/tests/test_cache_rule.py
@@ -1,4 +1,4 @@
-"""The two rules for what a limited cache keeps."""
+"""Eviction rules of a bounded cache."""
 
 from collections.abc import Iterator
 
@@ -15,20 +15,20 @@
 
 
 def uses(items: str) -> Iterator[Use]:
-    for number, item in enumerate(items):
-        yield Use(at_s=float(number), item=item, size=1.0, cost=1.0)
+    for index, item in enumerate(items):
+        yield Use(at_s=float(index), item=item, size=1.0, cost=1.0)
 
 
 class TestRules:
-    def test_last_used_is_pushed_out_by_words_used_once(self) -> None:
+    def test_lru_evicts_used_items_for_items_used_once(self) -> None:
         rule = LeastRecentlyUsed(room=2.0)
         assert saved_share(uses("aabcadeafgahia"), rule) == 1 / 14
 
-    def test_what_is_asked_for_again_stays(self) -> None:
+    def test_repeatedly_used_item_is_kept(self) -> None:
         rule = SavingMinusLoss(room=2.0, half_life_s=20.0)
         assert saved_share(uses("aabcadeafgahia"), rule) == 5 / 14
 
-    def test_what_is_asked_for_no_more_goes(self) -> None:
+    def test_item_that_is_no_longer_used_is_evicted(self) -> None:
         rule = SavingMinusLoss(room=1.0, half_life_s=2.0)
         hits = [rule.use(use) for use in uses("aaaa" + "b" * 12)]
         assert not any(hits[4:6])
@@ -41,6 +41,6 @@
             rule.use(use)
             assert len(rule._kept) <= room
 
-    def test_seeded_uses_are_the_same_each_time(self) -> None:
+    def test_uses_of_one_seed_are_reproducible(self) -> None:
         first = [next(adapter_uses(1)) for _ in range(3)]
         assert first == [next(adapter_uses(1)) for _ in range(3)]
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Fair queueing: shares by weight and floor, slack inside, bounds on delay."""
+"""Fair queueing: shares by weight and floor, order by slack, and predicted waits."""
 
 import itertools
 
@@ -36,7 +36,7 @@
 
 
 def served_s(queue: WorkQueue, n: int) -> dict[str, float]:
-    """Start `n` pieces of work and return the target-seconds of each owner."""
+    """Start `n` queued attempts and return the target-seconds of each owner."""
     total: dict[str, float] = {}
     for _ in range(n):
         work = queue.pop(now_ns=0)
@@ -102,14 +102,14 @@
         total_s, total_weight = sum(served.values()), sum(weights)
         for i, weight in enumerate(weights):
             fair_s = total_s * weight / total_weight
-            # The bound of start-time fair queueing: a piece of each owner.
+            # The bound of start-time fair queueing: one call of each owner.
             assert abs(served.get(f"o{i}", 0.0) - fair_s) <= sum(sizes) + max(sizes)
 
-    def test_an_owner_in_its_share_does_not_wait_for_a_burst(self) -> None:
+    def test_burst_of_one_owner_does_not_delay_another(self) -> None:
         """One large account sends a hundred calls at once.
 
-        First come first served, another account's call would wait for all of
-        them. Here it goes second at the latest.
+        First come, first served, the call of another account would wait for all
+        of them. Here it is started second at the latest.
         """
         queue = FairQueue()
         for _ in range(100):
@@ -121,7 +121,7 @@
         queue.push(small)
         assert small in [queue.pop(now_ns=0), queue.pop(now_ns=0)]
 
-    def test_an_idle_owner_saves_nothing_up(self) -> None:
+    def test_idle_time_earns_no_credit(self) -> None:
         queue = FairQueue()
         for _ in range(100):
             queue.push(work_of("busy"))
@@ -140,8 +140,8 @@
         served = served_s(queue, 200)
         assert served["kept"] >= 200 * floor - 2.0
 
-    def test_what_a_call_used_is_charged_in_the_end(self) -> None:
-        """An owner whose calls take ten times their prediction pays for them."""
+    def test_charge_is_corrected_to_the_used_time(self) -> None:
+        """An owner whose calls take ten times their prediction is charged for that."""
         queue = FairQueue()
         for _ in range(200):
             queue.push(work_of("honest"))
@@ -154,7 +154,7 @@
             queue.correct_charge(work, used_s=1.0)
         assert abs(used["honest"] - used["wrong"]) <= 2.0
 
-    def test_work_that_did_not_run_costs_its_owner_nothing(self) -> None:
+    def test_work_that_did_not_run_is_not_charged(self) -> None:
         queue = FairQueue()
         for _ in range(4):
             queue.push(work_of("a"))
@@ -168,7 +168,7 @@
 
 
 class TestSlack:
-    def test_the_smallest_slack_that_can_be_met_goes_first(self) -> None:
+    def test_least_slack_that_can_be_met_starts_first(self) -> None:
         queue = FairQueue()
         missed = work_of("a", latest_start_ns=5)
         loose = work_of("a", latest_start_ns=30)
@@ -179,19 +179,19 @@
         assert order == [tight, loose, missed]
 
 
-class TestGivingWay:
-    def test_a_burst_gives_way_and_nobody_else(self) -> None:
+class TestDisplacement:
+    def test_only_the_burst_is_displaced(self) -> None:
         queue = FairQueue()
         burst = [work_of("large", latest_start_ns=i) for i in range(10)]
         kept = work_of("small", brownout_order=-5)
         for work in (*burst, kept):
             queue.push(work)
         newcomer = work_of("other")
-        giving_way = queue.displaceable(newcomer)
-        assert kept not in giving_way
-        assert giving_way[0] is burst[-1]
+        displaceable = queue.displaceable(newcomer)
+        assert kept not in displaceable
+        assert displaceable[0] is burst[-1]
 
-    def test_a_burst_does_not_push_out_others(self) -> None:
+    def test_burst_displaces_only_its_own_work(self) -> None:
         queue = FairQueue()
         for owner in ("large", "large", "large", "small"):
             queue.push(work_of(owner))
@@ -199,7 +199,7 @@
             other.owner == "large" for other in queue.displaceable(work_of("large"))
         )
 
-    def test_the_lower_brownout_order_goes_first(self) -> None:
+    def test_lower_brownout_order_is_displaced_first(self) -> None:
         queue = FairQueue()
         low = work_of("a", brownout_order=1, latest_start_ns=1)
         high = work_of("a", brownout_order=2, latest_start_ns=2)
@@ -225,8 +225,8 @@
         poured_s = sum(max(0.0, level_s - each) for each in slots)
         assert poured_s == pytest.approx(ahead_s, abs=1e-6)
 
-    def test_a_free_slot_and_nothing_ahead_is_no_wait(self) -> None:
+    def test_wait_is_zero_with_a_free_slot_and_no_work_ahead(self) -> None:
         assert wait_s(left_s=[3.0], n_slots=2, ahead_s=0.0) == 0.0
 
-    def test_the_first_slot_to_become_free_is_waited_for(self) -> None:
+    def test_wait_lasts_until_the_first_slot_is_free(self) -> None:
         assert wait_s(left_s=[3.0, 1.0], n_slots=2, ahead_s=0.0) == 1.0
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Journal: found by request, bounded in count and time, one line per decision."""
+"""Journal: records by request, bounds in number and age, one line per decision."""
 
 import logging as python_logging
 
@@ -64,9 +64,7 @@
         for request_id in "abc":
             assert len(list(journal.timeline(request_id))) == kept.count(request_id)
 
-    def test_a_record_is_forgotten_after_its_time(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
+    def test_record_expires(self, monkeypatch: pytest.MonkeyPatch) -> None:
         now_s = 100.0
         monkeypatch.setattr("time.monotonic", lambda: now_s)
         journal = journal_of(10, keep_s=5.0)
@@ -76,7 +74,7 @@
         now_s = 105.1
         assert not list(journal.timeline(ROUTED.request_id))
 
-    async def test_lines_are_written_together_and_none_is_left(
+    async def test_lines_are_written_in_batches_and_each_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         written: list[int] = []
@@ -93,27 +91,29 @@
         journal.flush()
         assert written == [MAX_UNFLUSHED, 3]
 
-    def test_listeners_hear_each_decision(self) -> None:
+    def test_listeners_receive_each_decision(self) -> None:
         journal = journal_of(1)
-        heard: list[Decision] = []
-        journal.subscribe(heard.append)
+        received: list[Decision] = []
+        journal.subscribe(received.append)
         journal.record(ROUTED)
         journal.record(ROUTED)
-        assert heard == [ROUTED, ROUTED]
+        assert received == [ROUTED, ROUTED]
 
-    async def test_counters_hear_each_decision_once_it_is_worked_off(self) -> None:
+    async def test_flush_listeners_receive_each_decision_once_at_the_flush(
+        self,
+    ) -> None:
         journal = journal_of(10)
-        heard: list[Decision] = []
-        journal.subscribe_on_flush(heard.append)
+        received: list[Decision] = []
+        journal.subscribe_on_flush(received.append)
         journal.record(ROUTED)
         journal.record(ROUTED)
-        assert not heard
+        assert not received
         assert len(list(journal.timeline(ROUTED.request_id))) == 2
-        assert heard == [ROUTED, ROUTED]
+        assert received == [ROUTED, ROUTED]
 
 
 class TestLineFormatter:
-    def test_a_decision_is_one_line_of_words(self) -> None:
+    def test_decision_is_one_key_value_line(self) -> None:
         assert line_of(batch_of(ROUTED), format=LogFormat.KEY_VALUE) == (
             "time=1970-01-01T00:00:01.500Z level=info process=h1-gateway "
             "event=120 name=routed request_id=h1-gateway.1f.ab stage=encode "
@@ -121,7 +121,7 @@
             "reason=retry_budget predicted_s=0.25"
         )
 
-    def test_a_decision_is_one_json_object(self) -> None:
+    def test_decision_is_one_json_object(self) -> None:
         line = line_of(batch_of(ROUTED), format=LogFormat.JSON)
         assert "\n" not in line
         read = orjson.loads(line)
@@ -130,5 +130,5 @@
         assert read["reason"] == "retry_budget"
 
     @pytest.mark.parametrize("format", list(LogFormat))
-    def test_any_other_message_is_one_line_too(self, format: LogFormat) -> None:
+    def test_other_message_is_one_line(self, format: LogFormat) -> None:
         assert "\n" not in line_of("a\nb", format=format)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: whole or refused, every fault named with what would be accepted."""
+"""Settings: read completely or rejected, with what is accepted for each problem."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 class TestLoadGateway:
-    def test_whole_settings_are_read_with_their_defaults(self) -> None:
+    def test_valid_settings_are_read_with_defaults(self) -> None:
         settings = load_gateway(DATA / "gateway.toml").unwrap()
         assert settings.callers.listen == "127.0.0.1:7400"
         assert settings.retention.explain_s == 300.0
@@ -25,7 +25,7 @@
         problems = load_gateway(DATA / "faulty_gateway.toml").unwrap_err()
         assert in_data(list(lines_of(problems))) == snapshot
 
-    def test_a_missing_file_is_one_fault(self) -> None:
+    def test_missing_file_is_one_problem(self) -> None:
         problems = load_gateway(DATA / "none.toml").unwrap_err()
         assert len(problems) == 1
 
@@ -37,7 +37,7 @@
 
 
 class TestServe:
-    def test_faulty_settings_end_the_start_before_anything_opens(
+    def test_invalid_settings_stop_the_start_with_all_problems(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert serve.gateway(str(DATA / "faulty_gateway.toml")) == serve.EXIT_BAD_INPUT
