--- a/src/trefoilpaddle/state/events.py
+++ b/src/trefoilpaddle/state/events.py
@@ -100,15 +100,15 @@
     """The store was restored from a backup; states what is ignored, and how long."""
     # Membership
     MEMBER_JOINED = 220
-    """A process was contacted for the first time, or again."""
+    """A process became live for the first time, or again."""
     MEMBER_SUSPECTED = 221
     """A process has been unresponsive for a while."""
     MEMBER_LEAVING = 222
     """A process reported that it is leaving."""
     MEMBER_DEAD = 223
-    """A process has been unresponsive for so long that it is removed."""
+    """A process has been unresponsive for so long that it counts as dead."""
     WOKE_LATE = 224
-    """This process was paused, and detected that before it acted."""
+    """This process was paused, and noticed that before it acted."""
     SCHEDULER_CHANGED = 230
     """This process began or stopped scheduling a cell, or its handover failed."""
     # Claims and limits
--- a/src/trefoilpaddle/state/fair_queue.py
+++ b/src/trefoilpaddle/state/fair_queue.py
@@ -82,7 +82,7 @@
         """
         at = bisect_left(self.waiting, now_ns, key=_slack_key)
         work = self.waiting.pop(at if at < len(self.waiting) else 0)
-        self._take_off(work)
+        self._subtract(work)
         return work
 
     def remove(self, work: Work) -> bool:
@@ -91,7 +91,7 @@
         while at < len(self.waiting):
             if self.waiting[at] is work:
                 del self.waiting[at]
-                self._take_off(work)
+                self._subtract(work)
                 return True
             if self.waiting[at].latest_start_ns != work.latest_start_ns:
                 return False
@@ -103,7 +103,7 @@
         at = bisect_left(self.waiting, work.latest_start_ns, key=_slack_key)
         return self.waiting[:at]
 
-    def _take_off(self, work: Work) -> None:
+    def _subtract(self, work: Work) -> None:
         self.work_s = self.work_s - work.predicted_s if self.waiting else 0.0
         self._n_of_entry[work.entry] -= 1
         if not self._n_of_entry[work.entry]:
@@ -151,7 +151,7 @@
         share = shares(waiting)[flow.owner] if len(waiting) > 1 else 1.0
         self._now_s = max(self._now_s, flow.tag_s)
         work = flow.pop(now_ns)
-        self._take_off(work)
+        self._subtract(work)
         work.charged_s = max(MIN_CHARGE_S, work.predicted_s)
         work.charged_share = share
         flow.tag_s += work.charged_s / share
@@ -162,7 +162,7 @@
         flow = self._flows.get(work.owner)
         if flow is None or not flow.remove(work):
             return False
-        self._take_off(work)
+        self._subtract(work)
         return True
 
     def correct_charge(self, work: Work, *, used_s: float) -> None:
@@ -270,7 +270,7 @@
             for owner, owned_s in work_s.items()
         }
 
-    def _take_off(self, work: Work) -> None:
+    def _subtract(self, work: Work) -> None:
         self._n_waiting -= 1
         self.work_s = self.work_s - work.predicted_s if self._n_waiting else 0.0
 
--- a/src/trefoilpaddle/state/lease_allowance.py
+++ b/src/trefoilpaddle/state/lease_allowance.py
@@ -11,7 +11,7 @@
 """Report periods for which the expected use is kept in the allowance."""
 
 LOW_SHARE: Final = 0.4
-"""Part of the target level below which more units are requested in advance."""
+"""Part of the target level of units below which more are requested in advance."""
 
 RATE_HALF_LIFE_S: Final = 2.0
 """Time constant of the moving average of the rate of use."""
@@ -100,7 +100,7 @@
         return self._missed > 0.0
 
     def is_low(self) -> bool:
-        """Return True if the leased units are below the level for a new request."""
+        """Return True if the leased units are below ``LOW_SHARE`` of the target."""
         return self._units < self._low
 
     def return_unused(self, n_units: float) -> None:
--- a/src/trefoilpaddle/state/rendezvous.py
+++ b/src/trefoilpaddle/state/rendezvous.py
@@ -6,10 +6,10 @@
 from ..protocol.checksum import place_score
 
 
-def highest(key: str, places: Iterable[str], *, n: int) -> list[str]:
+def highest(key: str, candidates: Iterable[str], *, n: int) -> list[str]:
     """Return the `n` candidates with the highest score for `key`, best first.
 
     Adding or removing a candidate changes the choice only for keys for which it
     is or was among the `n` best.
     """
-    return heapq.nlargest(n, places, key=lambda place: place_score(key, place))
+    return heapq.nlargest(n, candidates, key=lambda name: place_score(key, name))
--- a/src/trefoilpaddle/state/replicas.py
+++ b/src/trefoilpaddle/state/replicas.py
@@ -139,9 +139,9 @@
             self.complete_since_s = self._clock()
 
     def lists_with_ages(self) -> list[tuple[float, ReplicaList]]:
-        """Return the seconds since each list was replaced, and the list.
+        """Return each list with the seconds since it was replaced.
 
-        The current list comes first, with 0.
+        The current list comes first, with 0 seconds.
         """
         now_s = self._clock()
         self.former()
--- a/src/trefoilpaddle/state/slowness.py
+++ b/src/trefoilpaddle/state/slowness.py
@@ -32,16 +32,16 @@
     would otherwise get no more calls and no new measurement.
     """
 
-    __slots__ = ("_ratio", "_spread", "_when_s")
+    __slots__ = ("_ratio", "_recorded_s", "_spread")
 
     def __init__(self) -> None:
         self._ratio = 1.0
         self._spread = FIRST_SPREAD
-        self._when_s = 0.0
+        self._recorded_s = 0.0
 
     def at(self, now_s: float) -> float:
         """Return the ratio at `now_s`, seconds on a monotonic clock."""
-        age_s = max(0.0, now_s - self._when_s - GRACE_S)
+        age_s = max(0.0, now_s - self._recorded_s - GRACE_S)
         return 1.0 + (self._ratio - 1.0) * math.exp(-age_s / FADE_S)
 
     def allowed_at(self, now_s: float, *, pressure: float) -> float:
@@ -66,7 +66,7 @@
         ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, service_s / predicted_s))
         self._record_spread(ratio / self.at(now_s))
         self._ratio = self.at(now_s) + STEP * (ratio - self.at(now_s))
-        self._when_s = now_s
+        self._recorded_s = now_s
 
     def _record_spread(self, relative: float) -> None:
         """Update the tracked quantile of the ratio relative to its average."""
--- a/src/trefoilpaddle/state/work_queue.py
+++ b/src/trefoilpaddle/state/work_queue.py
@@ -179,14 +179,14 @@
         if not self._waiting:
             return None
         _, work = self._waiting.popitem(last=False)
-        self._take_off(work)
+        self._subtract(work)
         return work
 
     def remove(self, work: Work) -> bool:
         """Remove `work`; return False if it is not queued."""
         if self._waiting.pop(work.attempt_id, None) is None:
             return False
-        self._take_off(work)
+        self._subtract(work)
         return True
 
     def correct_charge(self, work: Work, *, used_s: float) -> None:
@@ -212,7 +212,7 @@
         """Return None: no work is dropped for later work."""
         return None
 
-    def _take_off(self, work: Work) -> None:
+    def _subtract(self, work: Work) -> None:
         self.work_s -= work.predicted_s
         if not self._waiting:
             self.work_s = 0.0
