--- a/src/trefoilpaddle/coordination/targets/queue_policy.py
+++ b/src/trefoilpaddle/coordination/targets/queue_policy.py
@@ -137,7 +137,7 @@
     full_wait_s = slots.wait_s(ahead_s)
     displaced: list[Work] = []
     remaining_ahead_s = ahead_s
-    for other in queue.lower_orders(work):
+    for other in queue.preceding_lower_order(work):
         displaced.append(other)
         remaining_ahead_s = max(0.0, remaining_ahead_s - other.predicted_s)
         waits_s = slots.wait_s(remaining_ahead_s)
@@ -147,7 +147,7 @@
                 displaced=tuple(displaced),
                 displaced_reason=Reason.BROWNOUT,
             )
-    longest = queue.longest_before(work)
+    longest = queue.longest_preceding(work)
     if longest is not None:
         waits_s = slots.wait_s(max(0.0, ahead_s - longest.predicted_s))
         if waits_s <= may_wait_s:
--- a/src/trefoilpaddle/coordination/targets/running_calls.py
+++ b/src/trefoilpaddle/coordination/targets/running_calls.py
@@ -61,7 +61,7 @@
         service_s = (now_ns - attempt.started_ns) / NS_PER_S
         predicted_s = attempt.start.predicted_s
         now_s = now_ns / NS_PER_S
-        self._slowness.note(service_s=service_s, predicted_s=predicted_s, now_s=now_s)
+        self._slowness.record(service_s=service_s, predicted_s=predicted_s, now_s=now_s)
         self._integrate(now_ns)
         _, call_seconds_at_start = self._calls[attempt.attempt_id]
         sample = Sample(
@@ -71,7 +71,7 @@
             / max(1e-9, service_s),
             now_s=now_s,
         )
-        self.limit.note(sample)
+        self.limit.record(sample)
 
     def slowness(self, now_ns: int) -> float:
         """Return the recent ratio of measured to predicted service time."""
--- a/tests/test_prefix_holders.py
+++ b/tests/test_prefix_holders.py
@@ -12,24 +12,24 @@
 class TestPrefixHolders:
     def test_record_expires_with_age(self) -> None:
         kept = holders()
-        kept.note(["a"], "t1", 0.0)
-        kept.note(["a"], "t2", 1.0)
-        assert kept.of("a", KEEP_S) == ["t1", "t2"]
-        assert kept.of("a", KEEP_S + 1.0) == ["t2"]
+        kept.record(["a"], "t1", 0.0)
+        kept.record(["a"], "t2", 1.0)
+        assert kept.holders_of("a", KEEP_S) == ["t1", "t2"]
+        assert kept.holders_of("a", KEEP_S + 1.0) == ["t2"]
         assert not kept.has("a", "t1", KEEP_S + 1.0)
         assert not kept.has("b", "t2", 1.0)
 
     def test_least_recently_used_prefix_is_evicted(self) -> None:
         kept = holders(n_prefixes=2)
-        kept.note(["a", "b"], "t1", 0.0)
-        kept.note(["a", "c"], "t1", 1.0)
+        kept.record(["a", "b"], "t1", 0.0)
+        kept.record(["a", "c"], "t1", 1.0)
         assert [kept.has(prefix, "t1", 1.0) for prefix in "abc"] == [True, False, True]
 
     def test_least_recent_holder_is_evicted(self) -> None:
         kept = holders(n_holders=2)
         for second, target in enumerate(["t1", "t2", "t1", "t3"]):
-            kept.note(["a"], target, float(second))
-        assert sorted(kept.of("a", 3.0)) == ["t1", "t3"]
+            kept.record(["a"], target, float(second))
+        assert sorted(kept.holders_of("a", 3.0)) == ["t1", "t3"]
 
     def test_exited_target_holds_no_prefixes(self) -> None:
         """An engine restarts under its old id with an empty cache.
@@ -38,8 +38,8 @@
         process in full.
         """
         kept = holders()
-        kept.note(["a", "b"], "t1", 0.0)
-        kept.note(["b"], "t2", 0.0)
+        kept.record(["a", "b"], "t1", 0.0)
+        kept.record(["b"], "t2", 0.0)
         kept.forget("t1")
-        assert kept.of("a", 0.0) == []
-        assert kept.of("b", 0.0) == ["t2"]
+        assert kept.holders_of("a", 0.0) == []
+        assert kept.holders_of("b", 0.0) == ["t2"]
