--- a/tests/harness.py
+++ b/tests/harness.py
@@ -385,8 +385,8 @@
     fleet that has run for long, and restarts within it.
     """
     home = process.server._answerers[Claim].__self__  # type: ignore[attr-defined]
-    home._book._born_s -= LONG_S
-    home._book.history.cut_s -= LONG_S
+    home._registry._start_s -= LONG_S
+    home._registry.history.cut_s -= LONG_S
 
 
 def _address_of(slot: SidecarSlot) -> Address:
