--- a/tests/gateway_bench.py
+++ b/tests/gateway_harness.py
@@ -85,7 +85,7 @@
 
 
 @dataclass
-class Bench:
+class GatewayHarness:
     gateway: Gateway
     sidecars: Sequence[FakeSidecar]
     client: aiohttp.ClientSession
@@ -132,7 +132,7 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(
+async def gateway_harness(
     *sidecars: FakeSidecar,
     published: Catalogue,
     policy: PolicySettings | None = None,
@@ -141,7 +141,7 @@
     has_keys: bool = False,
     client_kwargs: dict[str, object] | None = None,
     drain_s: float = 10.0,
-) -> AsyncIterator[Bench]:
+) -> AsyncIterator[GatewayHarness]:
     """Run a gateway before `sidecars` until the context ends."""
     async with contextlib.AsyncExitStack() as stack:
         for sidecar in sidecars:
@@ -165,11 +165,11 @@
         client = await stack.enter_async_context(
             aiohttp.ClientSession(**(client_kwargs or {}))  # type: ignore[arg-type]
         )
-        await until(lambda: all(heard(gateway, s) for s in sidecars))
-        yield Bench(gateway=gateway, sidecars=sidecars, client=client)
+        await until(lambda: all(has_load_report(gateway, s) for s in sidecars))
+        yield GatewayHarness(gateway=gateway, sidecars=sidecars, client=client)
 
 
-def heard(gateway: Gateway, sidecar: FakeSidecar) -> bool:
+def has_load_report(gateway: Gateway, sidecar: FakeSidecar) -> bool:
     """Return True once the gateway holds a load report of `sidecar`."""
     for view in gateway._views:
         if view.process_id == f"{sidecar.name}-sidecar":
@@ -177,7 +177,7 @@
     return False
 
 
-async def error_of(b: Bench, **headers: str) -> dict[str, object]:
+async def error_of(b: GatewayHarness, **headers: str) -> dict[str, object]:
     async with b.post(json={}, **headers) as answer:
         body = await answer.json()
         error: dict[str, object] = body["error"]
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -86,7 +86,7 @@
     def all_relays(self) -> Iterable[Relay]:
         return (relay for g in self.gateways for relay in g.relays.values())
 
-    def key_placed_at(self, service: str) -> str:
+    def key_with_replicas_in(self, service: str) -> str:
         """Return a key whose places are all sidecars of `service`."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
         places = place_list(hosts)
@@ -97,7 +97,7 @@
                 return key
         raise AssertionError
 
-    def places_of(self, key: str) -> list[SidecarSlot]:
+    def replicas_of(self, key: str) -> list[SidecarSlot]:
         """Return the slots that decide about `key`, the first place first."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
         pair = place_list(hosts).pair(account_key("club", key).text)
@@ -134,9 +134,9 @@
                 await dead.aclose()
 
     def is_ready(self) -> bool:
-        return all(self.hears(g, s) for g in self.gateways for s in self.slots)
+        return all(self.may_send_to(g, s) for g in self.gateways for s in self.slots)
 
-    def hears(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
+    def may_send_to(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
         """Return True if `gateway` would give work to the sidecar of `slot`."""
         assert gateway.gateway is not None and slot.process is not None
         incarnation = slot.process.identity.incarnation
@@ -154,7 +154,7 @@
         views = gateway.gateway._views
         return [view.host.name for view in views if view.n_outstanding]
 
-    def is_linked(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
+    def is_connected(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
         """Return True if the connection from `gateway` to `slot` looks open."""
         assert gateway.gateway is not None
         return any(
@@ -253,7 +253,7 @@
         assert slot.sidecar is not None and slot.process is not None
         for relay in self.relays_to(slot.name):
             relay.upstream = None
-            relay.cut()
+            relay.disconnect()
         for connection in list(slot.process.server.connections):
             connection.abort()
         listener = slot.process.server._server
@@ -268,7 +268,7 @@
         assert slot.gateway is not None
         for relay in slot.relays.values():
             relay.is_refusing = True
-            relay.cut()
+            relay.disconnect()
         for link in slot.gateway.process.peers.links.values():
             if link.connection is not None:
                 link.connection.abort()
--- a/tests/harness_relay.py
+++ b/tests/harness_relay.py
@@ -18,7 +18,7 @@
         Nothing passes, nothing is closed: how a pause or a partition looks.
     is_refusing : bool
         New connections are closed at once.
-    n_damaged_at : int
+    damage_index : int
         Damage the byte at this place of the next larger piece; 0 for none.
     """
 
@@ -27,7 +27,7 @@
         self.delay_s = 0.0
         self.delay_back_s = 0.0
         self.is_refusing = False
-        self.n_damaged_at = 0
+        self.damage_index = 0
         self._flows = asyncio.Event()
         self._flows.set()
         self._writers: set[asyncio.StreamWriter] = set()
@@ -47,12 +47,12 @@
         else:
             self._flows.set()
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Break all connections; what is on its way is lost."""
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def cut_before(self) -> None:
+    def disconnect_gateway_side(self) -> None:
         """Break the gateways' side; what is on its way still arrives, late."""
         self._lingers = True
         for writer in list(self._gateway_side):
@@ -74,7 +74,7 @@
             yield self
         finally:
             server.close()
-            self.cut()
+            self.disconnect()
             for task in list(self._tasks):
                 task.cancel()
 
@@ -139,8 +139,8 @@
                 await writer.drain()
 
     def _damaged(self, data: bytes) -> bytes:
-        at = self.n_damaged_at
+        at = self.damage_index
         if not 0 < at < len(data):
             return data
-        self.n_damaged_at = 0
+        self.damage_index = 0
         return data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
--- a/tests/platform_adapter/test_crashing_requests.py
+++ b/tests/platform_adapter/test_crashing_requests.py
@@ -9,7 +9,7 @@
 
 from trefoilpaddle.standins.platform.gateway_process import GatewayProcess
 
-from ..waiting import CAP_S, LOOK_S, until
+from ..waiting import CAP_S, POLL_S, until
 from .crash_harness import MARKER, CrashHarness, crash_harness
 
 RUN_S = 8.0
@@ -30,7 +30,7 @@
         assert await harness.send("/hold/1", MARKER, gateway=gateway) == 502
         async with asyncio.timeout(CAP_S):
             while await harness.min_known_crashes() < number:  # noqa: ASYNC110
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
     await until(lambda: all(map(is_blocked, harness.all_gateways)))
 
 
--- a/tests/process_rig.py
+++ b/tests/process_harness.py
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class Started:
+class StartedProcess:
     """One process of the system."""
 
     popen: subprocess.Popen[bytes]
@@ -85,11 +85,11 @@
 
 
 @dataclass
-class Pair:
+class ProcessPair:
     """The gateway, the sidecar and the fakes around them."""
 
-    gateway: Started
-    sidecar: Started
+    gateway: StartedProcess
+    sidecar: StartedProcess
     callers: str
     target: FakeTarget
     client: aiohttp.ClientSession
@@ -104,7 +104,7 @@
             await response.read()
             return response.status
 
-    async def status_of(self, started: Started, path: str) -> int:
+    async def status_of(self, started: StartedProcess, path: str) -> int:
         """Return the status of a GET at the operators' port; 0 while closed."""
         try:
             async with self.client.get(f"http://{started.operators}{path}") as response:
@@ -133,7 +133,7 @@
             while await self.status_of(self.gateway, "/readyz") == 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-    async def held_at_target(self) -> None:
+    async def until_target_called(self) -> None:
         """Wait until a call has reached the target."""
         await until(lambda: self.target.runs)
 
@@ -146,7 +146,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
-def _start(program: Sequence[str], role: str, folder: Path, text: str) -> Started:
+def _start(
+    program: Sequence[str], role: str, folder: Path, text: str
+) -> StartedProcess:
     settings = folder / f"{role}.toml"
     settings.write_text(text)
     log = folder / f"{role}.log"
@@ -164,7 +166,7 @@
         for line in text.splitlines()
         if line.startswith("operators_listen")
     )
-    return Started(popen=popen, operators=operators, log=log)
+    return StartedProcess(popen=popen, operators=operators, log=log)
 
 
 def _common(host: str, peers: str, platform: FakePlatform) -> str:
@@ -197,9 +199,9 @@
 
 
 @contextlib.asynccontextmanager
-async def pair(
+async def process_pair(
     program: Sequence[str], folder: Path, *, more_settings: str = ""
-) -> AsyncIterator[Pair]:
+) -> AsyncIterator[ProcessPair]:
     """Run a gateway and a sidecar by `program` until the context ends."""
     async with (
         FakePlatform().serving() as platform,
@@ -217,7 +219,7 @@
         sidecar = _start(program, "sidecar", folder, sidecar_text + more_settings)
         gateway = _start(program, "gateway", folder, gateway_text + more_settings)
         try:
-            yield Pair(
+            yield ProcessPair(
                 gateway=gateway,
                 sidecar=sidecar,
                 callers=callers,
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -150,7 +150,7 @@
         """Crash the newest worker of a service and start it under the same id."""
         worker_id = self.by_service[service][-1]
         self.site.workers[worker_id].start_again()
-        self.relays[worker_id].cut()
+        self.relays[worker_id].disconnect()
         await asyncio.sleep(BORN_S)
         self.list_again(worker_id, service)
 
@@ -177,7 +177,7 @@
         await asyncio.sleep(LINGER_S)
         self.returns.remove(f"servers/{old}")
         self.relays[old].is_refusing = True
-        self.relays[old].cut()
+        self.relays[old].disconnect()
 
 
 @contextlib.asynccontextmanager
@@ -243,7 +243,7 @@
                 relay.is_stalled = action.is_silent
                 relay.is_refusing = action.is_cut
                 if action.is_cut:
-                    relay.cut()
+                    relay.disconnect()
                 await asyncio.sleep(for_s)
                 relay.heal()
                 return None
@@ -262,7 +262,7 @@
                     relay.is_stalled = is_silent
                     relay.is_refusing = not is_silent
                     if not is_silent:
-                        relay.cut()
+                        relay.disconnect()
                 await asyncio.sleep(for_s)
                 for relay in chosen:
                     relay.heal()
--- a/tests/stop_schedules.py
+++ b/tests/stop_schedules.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Play:
+class StopRun:
     """One seed: the fleet, who may be sent to, and what went wrong.
 
     Attributes
@@ -134,7 +134,7 @@
         await asyncio.sleep(down_s)
         await self.f.start_sidecar(slot)
         self.publish()
-        await until(lambda: all(self.f.hears(g, slot) for g in self._gateways()))
+        await until(lambda: all(self.f.may_send_to(g, slot) for g in self._gateways()))
         self.ordered.remove(slot.name)
 
     def publish(self) -> None:
@@ -155,7 +155,11 @@
     def _heard(self, gateway: GatewaySlot, service: str) -> Iterator[SidecarSlot]:
         for slot in self.f.slots:
             is_up = slot.service == service and slot.process is not None
-            if is_up and slot.name not in self.ordered and self.f.hears(gateway, slot):
+            if (
+                is_up
+                and slot.name not in self.ordered
+                and self.f.may_send_to(gateway, slot)
+            ):
                 yield slot
 
     def check_runs(self) -> None:
@@ -167,7 +171,7 @@
                 self.problems.append(f"{text} ran {runs[text]} times")
 
 
-async def play(seed: int) -> tuple[int, list[str]]:
+async def run_stops(seed: int) -> tuple[int, list[str]]:
     """Play a seed; return how many calls were made and what went wrong."""
     rng = random.Random(f"planned stops {seed}")
     async with fleet(
@@ -178,7 +182,7 @@
             slot.target.service_s = service_s
         for relay in f.all_relays():
             relay.delay_s, relay.delay_back_s = rng.choices(DELAYS_S, k=2)
-        played = Play(f=f, rng=rng, ready={slot.name for slot in f.gateways})
+        played = StopRun(f=f, rng=rng, ready={slot.name for slot in f.gateways})
         stalls: list[Stall] = []
         background = [
             asyncio.create_task(played.balance()),
@@ -215,7 +219,7 @@
     """Play seeds and print what went wrong; return how many failed."""
     n_failed = 0
     for seed in range(first, first + seeds):
-        n_calls, problems = asyncio.run(play(seed))
+        n_calls, problems = asyncio.run(run_stops(seed))
         n_failed += bool(problems)
         print(f"seed {seed}: {n_calls} calls", *problems[:8], sep="\n  ", flush=True)
     print(f"{n_failed} of {seeds} seeds failed")
--- a/tests/test_callers_bounds.py
+++ b/tests/test_callers_bounds.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import bench, catalogue, engine_stage, plain_stage
+from tests.gateway_harness import catalogue, engine_stage, gateway_harness, plain_stage
 from tests.waiting import until
 from trefoilpaddle.protocol.const import CHUNK_BYTES
 from trefoilpaddle.roles.caller_input import depth_exceeds
@@ -52,7 +52,7 @@
             "Content-Type": "application/json",
             **headers,
         }
-        async with bench(
+        async with gateway_harness(
             sidecar, published=catalogue(plain_stage()), callers=SMALL
         ) as b:
             url = f"{b.url}/v1/pipelines/p"
@@ -71,20 +71,24 @@
                 yield b"x" * 1000
 
         async with (
-            bench(published=catalogue(plain_stage()), callers=SMALL) as b,
+            gateway_harness(published=catalogue(plain_stage()), callers=SMALL) as b,
             b.post(data=endless()) as answer,
         ):
             assert answer.status == 413
 
     async def test_a_request_line_out_of_bounds_is_refused(self) -> None:
-        async with bench(published=catalogue(plain_stage()), callers=SMALL) as b:
+        async with gateway_harness(
+            published=catalogue(plain_stage()), callers=SMALL
+        ) as b:
             url = f"{b.url}/v1/requests/{'r' * 5000}"
             async with b.client.get(url) as answer:
                 assert answer.status == 400
 
     async def test_connections_over_the_bound_are_told_to_come_back(self) -> None:
         bound: dict[str, object] = {"max_connections": 2}
-        async with bench(published=catalogue(plain_stage()), callers=bound) as b:
+        async with gateway_harness(
+            published=catalogue(plain_stage()), callers=bound
+        ) as b:
             address = b.gateway.server.address
             held = [await asyncio.open_connection(address.ip, address.port)]
             held.append(await asyncio.open_connection(address.ip, address.port))
@@ -135,7 +139,7 @@
 
         sidecar = FakeSidecar(service="gen", name="t1", script=script)
         published = catalogue(engine_stage(), deadline_s=60.0)
-        async with bench(sidecar, published=published) as b:
+        async with gateway_harness(sidecar, published=published) as b:
             address = b.gateway.server.address
             _, writer = await asyncio.open_connection(
                 address.ip, address.port, limit=1024
--- a/tests/test_claims_gateways.py
+++ b/tests/test_claims_gateways.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import catalogue, heard, plain_stage, settings
+from tests.gateway_harness import catalogue, has_load_report, plain_stage, settings
 from tests.waiting import until
 from trefoilpaddle.coordination.claims.claim_home import ClaimHome
 from trefoilpaddle.coordination.claims.claim_registry import ClaimRegistry
@@ -78,7 +78,9 @@
             each.process.published.set_catalogue(ONCE)
         built.age_s = AFTER_RETENTION_S
         for each in built.gateways:
-            await until(lambda each=each: all(heard(each, s) for s in sidecars))  # type: ignore[misc]
+            await until(
+                lambda each=each: all(has_load_report(each, s) for s in sidecars)  # type: ignore[misc]
+            )
         yield built
 
 
@@ -211,7 +213,9 @@
             assert refused[0] == 503
             for sidecar in sidecars:
                 sidecar.leaving = False
-            await until(lambda: all(heard(f.gateways[1], s) for s in sidecars))
+            await until(
+                lambda: all(has_load_report(f.gateways[1], s) for s in sidecars)
+            )
             assert (await read(f.post(1, Idempotency_Key="k")))[0] == 200
             assert f.n_runs == 1
 
--- a/tests/test_cli_processes.py
+++ b/tests/test_cli_processes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.process_rig import Pair, pair
+from tests.process_harness import ProcessPair, process_pair
 from trefoilpaddle.cli import explain
 
 PROGRAM = [sys.executable, "-m", "trefoilpaddle"]
@@ -26,7 +26,7 @@
         an error, and not know whether the stock was held.
         """
         monkeypatch.setitem(os.environ, "PYTHONPATH", str(SRC))
-        async with pair(PROGRAM, tmp_path) as both:
+        async with process_pair(PROGRAM, tmp_path) as both:
             await both.until_serving()
             await self._stop_under_load(both)
             assert await both.gateway.ended() == 0
@@ -42,18 +42,18 @@
         runs. Both processes ended at that moment, with all that they held.
         """
         monkeypatch.setitem(os.environ, "PYTHONPATH", str(SRC))
-        async with pair(PROGRAM, tmp_path) as both:
+        async with process_pair(PROGRAM, tmp_path) as both:
             await both.until_serving()
             await self._stop_under_load(both, signal.SIGHUP)
             assert await both.gateway.ended() == 0
             assert await both.sidecar.ended() == 0
 
     async def _stop_under_load(
-        self, both: Pair, order: signal.Signals = signal.SIGTERM
+        self, both: ProcessPair, order: signal.Signals = signal.SIGTERM
     ) -> None:
         both.target.gate.clear()
         asked = asyncio.create_task(both.price())
-        await both.held_at_target()
+        await both.until_target_called()
         both.stop(order)
         await both.until_not_ready()
         assert both.gateway.n_children() == both.sidecar.n_children() == 0
@@ -69,7 +69,7 @@
         capsys: pytest.CaptureFixture[str],
     ) -> None:
         monkeypatch.setitem(os.environ, "PYTHONPATH", str(SRC))
-        async with pair(PROGRAM, tmp_path) as both:
+        async with process_pair(PROGRAM, tmp_path) as both:
             await both.until_serving()
             async with both.client.post(
                 f"http://{both.callers}/v1/pipelines/price",
--- a/tests/test_explain_record.py
+++ b/tests/test_explain_record.py
@@ -37,7 +37,7 @@
     relay = f.gateways[0].relays[name]
     match kind:
         case "cut":
-            relay.cut()
+            relay.disconnect()
         case "delay":
             relay.delay_s = 0.02
         case "stall":
@@ -130,7 +130,7 @@
             for relay in f.all_relays():
                 relay.heal()
             gateway = f.gateways[0]
-            await until(lambda: all(f.hears(gateway, slot) for slot in f.slots))
+            await until(lambda: all(f.may_send_to(gateway, slot) for slot in f.slots))
             await until(lambda: not f.busy(gateway))
             runs = [run for slot in f.slots for run in slot.target.runs]
             for one in told:
--- a/tests/test_gateway_answers.py
+++ b/tests/test_gateway_answers.py
@@ -5,7 +5,13 @@
 import pytest
 
 from tests.fake_sidecar import Call
-from tests.gateway_bench import bench, catalogue, engine_stage, error_of, plain_stage
+from tests.gateway_harness import (
+    catalogue,
+    engine_stage,
+    error_of,
+    gateway_harness,
+    plain_stage,
+)
 from tests.sidecar_scripts import sidecar
 from tests.test_gateway_path import sse
 from tests.waiting import until
@@ -42,7 +48,9 @@
             first[0].end(b'{"whose": "first"}')
             call.answer(b'{"whose": "second"}')
 
-        async with bench(sidecar(script), published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            sidecar(script), published=catalogue(plain_stage())
+        ) as b:
             error = await error_of(b, X_Deadline_S="0.2")
             assert error["outcome"] == "failed"
             async with b.post(json={}) as answer:
@@ -66,7 +74,9 @@
             for other in reversed(calls):
                 other.end(b"[", other.body + b"]")
 
-        async with bench(sidecar(script), published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            sidecar(script), published=catalogue(plain_stage())
+        ) as b:
 
             async def ask(n: int) -> object:
                 async with b.post(json={"n": n}) as answer:
@@ -106,7 +116,7 @@
             stages=published.pipelines["p"].stages[:1]
         )
         async with (
-            bench(sidecar(script), other, published=published) as b,
+            gateway_harness(sidecar(script), other, published=published) as b,
             b.post(json={}) as answer,
         ):
             assert await answer.json() == "right"
@@ -139,7 +149,10 @@
         s = sidecar(script)
         s.on_fetch = on_fetch
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, published=published) as b, b.post(json={}) as answer:
+        async with (
+            gateway_harness(s, published=published) as b,
+            b.post(json={}) as answer,
+        ):
             assert answer.status == 200
             assert await answer.json() == COMPLETE_ANSWER
             assert len(s.runs) == 1
@@ -162,7 +175,7 @@
         s, other = sidecar(script), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, other, published=published) as b:
+        async with gateway_harness(s, other, published=published) as b:
             error = await error_of(b)
             assert error["outcome"] == "unknown"
             assert error["reason"] == "wrong_incarnation"
@@ -180,7 +193,7 @@
         s, other = sidecar(script), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         async with (
-            bench(s, other, published=catalogue(plain_stage())) as b,
+            gateway_harness(s, other, published=catalogue(plain_stage())) as b,
             b.post(json={}) as answer,
         ):
             assert answer.status == 200
@@ -208,7 +221,10 @@
         s = sidecar(script)
         s.on_fetch = on_fetch
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, published=published) as b, b.post(json={}) as answer:
+        async with (
+            gateway_harness(s, published=published) as b,
+            b.post(json={}) as answer,
+        ):
             assert await answer.json() == COMPLETE_ANSWER
 
     @pytest.mark.parametrize("fault", ["count", "checksum", "gap"])
@@ -235,7 +251,10 @@
         s = sidecar(script)
         s.on_fetch = send_corrupt
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, published=published) as b, b.post(json={}) as answer:
+        async with (
+            gateway_harness(s, published=published) as b,
+            b.post(json={}) as answer,
+        ):
             assert answer.status == 502
             error = (await answer.json())["error"]
             assert (error["outcome"], error["reason"]) == ("failed", "corrupt")
@@ -254,7 +273,7 @@
         s, other = sidecar(script, service="gen"), sidecar(service="gen", name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         async with (
-            bench(s, other, published=catalogue(engine_stage())) as b,
+            gateway_harness(s, other, published=catalogue(engine_stage())) as b,
             b.post(data="x", Accept="text/event-stream") as answer,
         ):
             names = [name for name, _ in sse(await answer.text())]
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -5,7 +5,13 @@
 import pytest
 
 from tests.fake_sidecar import Call, echo
-from tests.gateway_bench import bench, catalogue, error_of, heard, plain_stage
+from tests.gateway_harness import (
+    catalogue,
+    error_of,
+    gateway_harness,
+    has_load_report,
+    plain_stage,
+)
 from tests.sidecar_scripts import never, refuse, sidecar
 from tests.waiting import until
 from trefoilpaddle.protocol.gen.stage.ttypes import BarState, Outcome, Started
@@ -24,7 +30,9 @@
         New requests go only to the other target.
         """
         unresponsive, other = sidecar(), sidecar(name="t2")
-        async with bench(unresponsive, other, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            unresponsive, other, published=catalogue(plain_stage())
+        ) as b:
             port = unresponsive.port
             monkeypatch.setattr(
                 Link, "is_heard", lambda self: self.address.port != port
@@ -44,7 +52,7 @@
         unresponsive, other = sidecar(never), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage())
-        async with bench(
+        async with gateway_harness(
             unresponsive, other, published=published, policy=NO_HEDGE
         ) as b:
             request = asyncio.create_task(b.post(json={}).__aenter__())
@@ -67,7 +75,7 @@
         unresponsive, other = sidecar(never), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(unresponsive, other, published=published) as b:
+        async with gateway_harness(unresponsive, other, published=published) as b:
             request = asyncio.create_task(error_of(b, X_Deadline_S="0.6"))
             await until(lambda: bool(unresponsive.runs))
             port = unresponsive.port
@@ -83,7 +91,9 @@
     async def test_a_leaving_sidecar_gets_no_new_calls(self) -> None:
         """A sidecar reports that it is leaving; its host is still listed as live."""
         leaving, other = sidecar(), sidecar(name="t2")
-        async with bench(leaving, other, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            leaving, other, published=catalogue(plain_stage())
+        ) as b:
             leaving.leaving = True
             views = list(b.gateway._views)
             await until(lambda: sum(v.may_get_work() for v in views) == 1)
@@ -98,7 +108,9 @@
         a retry of the service's budget.
         """
         closing, other = sidecar(), sidecar(name="t2")
-        async with bench(closing, other, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            closing, other, published=catalogue(plain_stage())
+        ) as b:
             for connection in closing.server.connections:
                 connection.ask_last()
                 await connection.read_all.wait()
@@ -116,7 +128,7 @@
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
         async with (
-            bench(leaving, other, published=published) as b,
+            gateway_harness(leaving, other, published=published) as b,
             b.post(json={}) as answer,
         ):
             assert answer.status == 200
@@ -133,7 +145,7 @@
         leaving, other = sidecar(refuse(Reason.LEAVING)), sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(leaving, other, published=published) as b:
+        async with gateway_harness(leaving, other, published=published) as b:
 
             async def status() -> int:
                 async with b.post(json={}) as answer:
@@ -163,11 +175,11 @@
             await first.restart()
             first.leaving, first.script = False, echo
             second.leaving = True
-            await until(lambda: heard(b.gateway, first))
+            await until(lambda: has_load_report(b.gateway, first))
             await refuse(Reason.LEAVING)(call)
 
         first.script, second.script = leave_first, leave_second
-        async with bench(first, second, published=published) as b:
+        async with gateway_harness(first, second, published=published) as b:
             async with b.post(json={}) as answer:
                 assert answer.status == 200
             assert (len(first.runs), len(second.runs)) == (1, 0)
@@ -181,7 +193,7 @@
         other = sidecar(name="t2")
         other.queued_work_s, other.n_queued = 100.0, 9
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(bad, other, published=published) as b:
+        async with gateway_harness(bad, other, published=published) as b:
             error = await error_of(b)
             assert error["outcome"] == "failed"
             assert not other.calls
@@ -208,7 +220,7 @@
         s = sidecar(wait)
         s.bar_state = state
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, published=published) as b:
+        async with gateway_harness(s, published=published) as b:
             error = await error_of(b, X_Deadline_S="0.1")
             assert error["outcome"] == outcome
             assert s.n_bars == 1
@@ -220,7 +232,7 @@
         answered, but it would be wrong to report that nothing ran.
         """
         published = catalogue(plain_stage(), plain_stage("gone"))
-        async with bench(sidecar(), published=published) as b:
+        async with gateway_harness(sidecar(), published=published) as b:
             error = await error_of(b)
             assert error["outcome"] == "failed"
             assert error["reason"] == "no_target"
@@ -238,7 +250,7 @@
             sidecar(refuse(Reason.TARGET_FAILED, Outcome.FAILED), name=f"t{n}")
             for n in range(4)
         ]
-        async with bench(*bad, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(*bad, published=catalogue(plain_stage())) as b:
             for _ in range(n_requests):
                 assert (await error_of(b))["outcome"] == "failed"
             n_calls = sum(len(s.calls) for s in bad)
@@ -251,7 +263,7 @@
     async def test_an_idempotent_call_is_cancelled_downstream(self) -> None:
         """The caller disconnects while its request runs, so the work is cancelled."""
         s = sidecar(never)
-        async with bench(s, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(s, published=catalogue(plain_stage())) as b:
             request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(s.runs))
             request.cancel()
@@ -272,7 +284,7 @@
 
         s = sidecar(script)
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(s, published=published) as b:
+        async with gateway_harness(s, published=published) as b:
             request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(s.calls))
             request.cancel()
--- a/tests/test_gateway_keys.py
+++ b/tests/test_gateway_keys.py
@@ -3,7 +3,13 @@
 import asyncio
 
 from tests.fake_sidecar import Call, FakeSidecar, echo
-from tests.gateway_bench import Bench, bench, catalogue, engine_stage, plain_stage
+from tests.gateway_harness import (
+    GatewayHarness,
+    catalogue,
+    engine_stage,
+    gateway_harness,
+    plain_stage,
+)
 from tests.sidecar_scripts import refuse
 from tests.test_gateway_path import sse, three_tokens
 from tests.waiting import until
@@ -13,7 +19,7 @@
 ONCE = plain_stage(idempotent=False)
 
 
-async def generated_id(b: Bench) -> str:
+async def generated_id(b: GatewayHarness) -> str:
     headers = {"X-Client-Account": "club"}
     async with b.client.post(f"{b.url}/v1/requests", headers=headers) as answer:
         request_id: str = (await answer.json())["request_id"]
@@ -26,7 +32,7 @@
         the same id. The target must not run it twice, and the answer is the same.
         """
         s = FakeSidecar(service="s", name="t1")
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             answers = []
             for _ in range(3):
@@ -45,7 +51,7 @@
             await echo(call)
 
         s = FakeSidecar(service="s", name="t1", script=script)
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
 
             async def send() -> object:
@@ -64,7 +70,7 @@
             call.started()
 
         s = FakeSidecar(service="s", name="t1", script=never)
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             first = asyncio.create_task(
                 b.post(json={}, X_Request_Id=request_id, X_Deadline_S="2").__aenter__()
@@ -94,7 +100,7 @@
             call.end(b'"issued"')
 
         s = FakeSidecar(service="s", name="t1", script=script)
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             async with b.post(
                 json={}, X_Request_Id=request_id, X_Deadline_S="0.3"
@@ -112,7 +118,7 @@
             name="t1",
             script=refuse(Reason.TARGET_FAILED, Outcome.FAILED),
         )
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             for _ in range(2):
                 async with b.post(json={}, X_Request_Id=request_id) as answer:
@@ -123,7 +129,7 @@
     async def test_retry_of_a_request_not_run_runs_it(self) -> None:
         """The first try was refused as not run, so a retry may use its id."""
         s = FakeSidecar(service="s", name="t1", script=refuse(Reason.QUEUE_FULL))
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             async with b.post(json={}, X_Request_Id=request_id) as answer:
                 assert (await answer.json())["error"]["outcome"] == "not run"
@@ -134,7 +140,7 @@
 
     async def test_another_body_under_the_same_id_is_refused(self) -> None:
         s = FakeSidecar(service="s", name="t1")
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             request_id = await generated_id(b)
             async with b.post(json={"n": 1}, X_Request_Id=request_id) as answer:
                 assert answer.status == 200
@@ -147,7 +153,7 @@
         is unknown, so this one is not run.
         """
         s = FakeSidecar(service="s", name="t1")
-        async with bench(s, published=catalogue(ONCE), has_keys=True) as b:
+        async with gateway_harness(s, published=catalogue(ONCE), has_keys=True) as b:
             async with b.post(json={}, X_Request_Id="g9-gateway.1f.ab") as answer:
                 assert answer.status == 504
                 error = (await answer.json())["error"]
@@ -157,7 +163,9 @@
 
     async def test_a_joined_answer_can_be_streamed(self) -> None:
         s = FakeSidecar(service="gen", name="t1", script=three_tokens)
-        async with bench(s, published=catalogue(engine_stage()), has_keys=True) as b:
+        async with gateway_harness(
+            s, published=catalogue(engine_stage()), has_keys=True
+        ) as b:
             request_id = await generated_id(b)
             async with b.post(data="x", X_Request_Id=request_id) as answer:
                 text = (await answer.json())["text"]
--- a/tests/test_gateway_path.py
+++ b/tests/test_gateway_path.py
@@ -3,7 +3,13 @@
 import orjson
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import TOKEN, bench, catalogue, engine_stage, plain_stage
+from tests.gateway_harness import (
+    TOKEN,
+    catalogue,
+    engine_stage,
+    gateway_harness,
+    plain_stage,
+)
 
 
 async def three_tokens(call: Call) -> None:
@@ -25,7 +31,7 @@
     async def test_one_stage_is_answered_with_the_targets_output(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
-            bench(sidecar, published=catalogue(plain_stage())) as b,
+            gateway_harness(sidecar, published=catalogue(plain_stage())) as b,
             b.post(json={"q": 1}) as answer,
         ):
             assert answer.status == 200
@@ -40,7 +46,7 @@
         generate = FakeSidecar(service="gen", name="t2", script=three_tokens)
         published = catalogue(plain_stage("encode"), engine_stage())
         async with (
-            bench(encode, generate, published=published) as b,
+            gateway_harness(encode, generate, published=published) as b,
             b.post(data="squad sheet") as answer,
         ):
             body = await answer.json()
@@ -54,14 +60,14 @@
     async def test_a_large_body_is_sent_in_chunks_and_arrives_complete(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
-            bench(sidecar, published=catalogue(plain_stage())) as b,
+            gateway_harness(sidecar, published=catalogue(plain_stage())) as b,
             b.post(data="x" * 300_000) as answer,
         ):
             assert (await answer.json())["echo"]["input"] == "x" * 300_000
 
     async def test_a_start_frame_carries_the_sidecars_own_stamp(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
-        async with bench(sidecar, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(sidecar, published=catalogue(plain_stage())) as b:
             async with b.post(json={}):
                 pass
             start = sidecar.calls[0].start
@@ -75,7 +81,7 @@
     async def test_tokens_are_sent_one_by_one_before_the_end_event(self) -> None:
         sidecar = FakeSidecar(service="gen", name="t1", script=three_tokens)
         async with (
-            bench(sidecar, published=catalogue(engine_stage())) as b,
+            gateway_harness(sidecar, published=catalogue(engine_stage())) as b,
             b.post(data="draft", Accept="text/event-stream") as answer,
         ):
             events = sse(await answer.text())
@@ -87,7 +93,7 @@
     async def test_the_answer_of_a_stage_without_streaming_is_one_token(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
         async with (
-            bench(sidecar, published=catalogue(plain_stage())) as b,
+            gateway_harness(sidecar, published=catalogue(plain_stage())) as b,
             b.post(json={}, Accept="text/event-stream") as answer,
         ):
             names = [name for name, _ in sse(await answer.text())]
@@ -95,7 +101,7 @@
 
     async def test_a_refusal_before_the_first_token_has_its_status(self) -> None:
         async with (
-            bench(published=catalogue(engine_stage())) as b,
+            gateway_harness(published=catalogue(engine_stage())) as b,
             b.post(data="draft", Accept="text/event-stream") as answer,
         ):
             assert answer.status == 503
@@ -110,7 +116,7 @@
         sidecar = FakeSidecar(service="s", name="t1")
         published = catalogue(plain_stage())
         closed: dict[str, object] = {"require_tokens": True}
-        async with bench(sidecar, published=published, callers=closed) as b:
+        async with gateway_harness(sidecar, published=published, callers=closed) as b:
             async with b.post(json={}, Authorization=f"Bearer {TOKEN}") as answer:
                 assert answer.status == 200
             async with b.post(json={}, Authorization="Bearer wrong") as answer:
@@ -121,7 +127,7 @@
     async def test_a_missing_entry_and_a_missing_pipeline_have_different_statuses(
         self,
     ) -> None:
-        async with bench(published=catalogue(plain_stage())) as b:
+        async with gateway_harness(published=catalogue(plain_stage())) as b:
             async with b.post(json={}, X_Client_Account="other") as answer:
                 assert answer.status == 403
             url = f"{b.url}/v1/pipelines/none"
@@ -131,7 +137,7 @@
 
     async def test_a_request_is_visible_only_to_its_own_account(self) -> None:
         sidecar = FakeSidecar(service="s", name="t1")
-        async with bench(sidecar, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(sidecar, published=catalogue(plain_stage())) as b:
             async with b.post(json={}) as answer:
                 request_id = answer.headers["X-Request-Id"]
             url = f"{b.url}/v1/requests/{request_id}"
@@ -143,7 +149,7 @@
                 assert unknown.status == 404
 
     async def test_ready_only_with_a_catalogue(self) -> None:
-        async with bench(published=catalogue(plain_stage())) as b:
+        async with gateway_harness(published=catalogue(plain_stage())) as b:
             async with b.client.get(f"{b.url}/readyz") as ready:
                 assert ready.status == 200
             b.gateway.process.stopping.set()
--- a/tests/test_gateway_policies.py
+++ b/tests/test_gateway_policies.py
@@ -3,7 +3,12 @@
 import asyncio
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import Bench, bench, catalogue, plain_stage
+from tests.gateway_harness import (
+    GatewayHarness,
+    catalogue,
+    gateway_harness,
+    plain_stage,
+)
 from tests.waiting import until
 from trefoilpaddle.state.catalogue import Stage
 from trefoilpaddle.state.journal import Event
@@ -13,14 +18,16 @@
 WARM_UP = 10
 
 
-async def warm_up(b: Bench, n: int = WARM_UP) -> None:
+async def warm_up(b: GatewayHarness, n: int = WARM_UP) -> None:
     for _ in range(n):
         async with b.post(json={}) as answer:
             assert answer.status == 200
 
 
 class TestHedges:
-    async def hedged(self, stage: Stage, **entry: object) -> tuple[Bench, FakeSidecar]:
+    async def hedged(
+        self, stage: Stage, **entry: object
+    ) -> tuple[GatewayHarness, FakeSidecar]:
         """Send one call to a target that has just stopped answering."""
         stuck: list[Call] = []
 
@@ -35,7 +42,9 @@
         one = FakeSidecar(service="s", name="t1", script=script)
         other = FakeSidecar(service="s", name="t2", script=script)
         one.service_s = other.service_s = 0.5
-        async with bench(one, other, published=catalogue(stage, **entry)) as b:
+        async with gateway_harness(
+            one, other, published=catalogue(stage, **entry)
+        ) as b:
             await warm_up(b)
             is_stuck = True
             async with b.post(json={}, X_Deadline_S="3") as answer:
@@ -72,7 +81,9 @@
         free = FakeSidecar(service="s", name="t2")
         busy.is_free.clear()
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(busy, free, published=published, policy=LATE_BOUND) as b:
+        async with gateway_harness(
+            busy, free, published=published, policy=LATE_BOUND
+        ) as b:
             await warm_up(b, 5)
             assert len(free.runs) == 5
             assert not busy.runs
@@ -84,7 +95,9 @@
         one = FakeSidecar(service="s", name="t1")
         other = FakeSidecar(service="s", name="t2")
         published = catalogue(plain_stage(idempotent=False))
-        async with bench(one, other, published=published, policy=LATE_BOUND) as b:
+        async with gateway_harness(
+            one, other, published=published, policy=LATE_BOUND
+        ) as b:
             await asyncio.gather(*[warm_up(b, 5) for _ in range(6)])
             assert len(one.runs) + len(other.runs) == 30
             assert len(set(one.runs + other.runs)) == 30
@@ -98,7 +111,7 @@
         deadline is refused immediately as "not run", with a time to retry after.
         """
         s = FakeSidecar(service="s", name="t1")
-        async with bench(s, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(s, published=catalogue(plain_stage())) as b:
             await warm_up(b)
             s.n_target_slots, s.n_queued, s.queued_work_s = 1, 50, 8.0
             view = next(iter(b.gateway._views))
@@ -126,7 +139,7 @@
 
         others = [FakeSidecar(service="s", name=f"t{n}") for n in (1, 2, 3)]
         published = catalogue(plain_stage(), attainment_weight=0.0)
-        async with bench(stuck, *others, published=published) as b:
+        async with gateway_harness(stuck, *others, published=published) as b:
             await warm_up(b, 40)
             stuck.script = stop
             n_before = len(stuck.calls)
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.fake_sidecar import Call
-from tests.gateway_bench import bench, catalogue, plain_stage
+from tests.gateway_harness import catalogue, gateway_harness, plain_stage
 from tests.sidecar_scripts import sidecar
 from tests.waiting import until
 from trefoilpaddle.state.catalogue import Catalogue
@@ -21,7 +21,9 @@
             await release.wait()
             call.answer(b'"in full"')
 
-        async with bench(sidecar(script), published=catalogue(plain_stage())) as b:
+        async with gateway_harness(
+            sidecar(script), published=catalogue(plain_stage())
+        ) as b:
             asking = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(b.sidecars[0].calls))
             b.gateway.process.stopping.set()
@@ -44,7 +46,7 @@
         Callers were told that it stops, which sent operators looking for a stop
         that never was; it only asks its peers what is in force.
         """
-        async with bench(sidecar(), published=catalogue(plain_stage())) as b:
+        async with gateway_harness(sidecar(), published=catalogue(plain_stage())) as b:
             b.gateway._is_known = lambda: False
             async with b.post(json={}) as refused:
                 error = (await refused.json())["error"]
@@ -63,7 +65,7 @@
         The gateway had read it, said ready, and told callers that no entry
         governs them (403), which looks like a matter of their account.
         """
-        async with bench(published=Catalogue()) as b:
+        async with gateway_harness(published=Catalogue()) as b:
             b.gateway._is_known = lambda: True
             async with b.client.get(f"{b.url}/readyz") as ready:
                 assert ready.status == 503
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -10,7 +10,7 @@
 from aiohttp import web_protocol
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import bench, catalogue, plain_stage
+from tests.gateway_harness import catalogue, gateway_harness, plain_stage
 from tests.waiting import until
 
 POST = (
@@ -32,7 +32,7 @@
             await never.wait()
 
         sidecar = FakeSidecar(service="s", name="t1", script=script)
-        async with bench(sidecar, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(sidecar, published=catalogue(plain_stage())) as b:
             known = b.gateway._settings
             stop = replace(known.stop, drain_s=0.2)
             b.gateway._settings = replace(known, stop=stop)
@@ -53,7 +53,7 @@
         """
         sidecar = FakeSidecar(service="s", name="t1")
         published = catalogue(plain_stage())
-        async with bench(sidecar, published=published, drain_s=0.1) as b:
+        async with gateway_harness(sidecar, published=published, drain_s=0.1) as b:
             address = b.gateway.server.address
             reader, writer = await asyncio.open_connection(address.ip, address.port)
             writer.write(POST + b"{")
@@ -106,7 +106,9 @@
 
         sidecar = FakeSidecar(service="s", name="t1", script=script)
         with caller:
-            async with bench(sidecar, published=catalogue(plain_stage())) as b:
+            async with gateway_harness(
+                sidecar, published=catalogue(plain_stage())
+            ) as b:
                 address = b.gateway.server.address
                 await loop.sock_connect(caller, (address.ip, address.port))
                 await loop.sock_sendall(caller, POST + b"{}")
@@ -127,7 +129,7 @@
         pipeline was looked up a second time, in the configuration active by then.
         """
         sidecar = FakeSidecar(service="s", name="t1")
-        async with bench(sidecar, published=catalogue(plain_stage())) as b:
+        async with gateway_harness(sidecar, published=catalogue(plain_stage())) as b:
             address = b.gateway.server.address
             reader, writer = await asyncio.open_connection(address.ip, address.port)
             writer.write(POST + b"{")
--- a/tests/test_limits_gateways.py
+++ b/tests/test_limits_gateways.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from tests.fake_sidecar import Call, FakeSidecar
-from tests.gateway_bench import catalogue, heard, plain_stage, settings
+from tests.gateway_harness import catalogue, has_load_report, plain_stage, settings
 from tests.waiting import until
 from trefoilpaddle.coordination.limits.lease_home import LeaseHome
 from trefoilpaddle.coordination.limits.limits import Limiter
@@ -51,7 +51,9 @@
             for name in ("g1", "g2")
         ]
         for each in gateways:
-            await until(lambda each=each: all(heard(each, s) for s in sidecars))  # type: ignore[misc]
+            await until(
+                lambda each=each: all(has_load_report(each, s) for s in sidecars)  # type: ignore[misc]
+            )
         yield Site(client=client, gateways=gateways)
 
 
--- a/tests/test_path_calls.py
+++ b/tests/test_path_calls.py
@@ -75,7 +75,7 @@
             target.gate.clear()
             call = asyncio.create_task(f.call(ONCE))
             await until(lambda: running(f, "plain", 1))
-            f.gateways[0].relays["plain0"].cut()
+            f.gateways[0].relays["plain0"].disconnect()
             await asyncio.sleep(0.1)
             target.gate.set()
             assert_complete(await call)
@@ -91,7 +91,7 @@
             call = asyncio.create_task(f.call(ONCE))
             await until(lambda: running(f, "plain", 1))
             relay.is_refusing = True
-            relay.cut()
+            relay.disconnect()
             target.gate.set()
             await until(lambda: target.runs[0].is_done)
             await asyncio.sleep(0.1)
@@ -109,7 +109,7 @@
             call = asyncio.create_task(f.call(ONCE))
             await until(lambda: bool(f.busy(f.gateways[0])))
             (chosen,) = f.busy(f.gateways[0])
-            f.gateways[0].relays[chosen].cut()
+            f.gateways[0].relays[chosen].disconnect()
             for relay in f.all_relays():
                 relay.delay_s = 0.0
             result = await call
@@ -141,7 +141,7 @@
             await until(lambda: bool(f.busy(f.gateways[0])))
             await asyncio.sleep(0.1)
             relay.delay_s = 0.0
-            relay.cut_before()
+            relay.disconnect_gateway_side()
             result = await call
             assert result.outcome == "not run"
             assert not f.runs("plain")
@@ -170,10 +170,10 @@
             target.gate.clear()
             call = asyncio.create_task(f.call(ONCE, "long text " * 2000))
             await until(lambda: running(f, "plain", 1))
-            relay.n_damaged_at = 5000
+            relay.damage_index = 5000
             target.gate.set()
             assert_complete(await call)
-            assert relay.n_damaged_at == 0
+            assert relay.damage_index == 0
             assert len(target.runs) == 1
 
 
@@ -253,8 +253,8 @@
         # A sidecar becomes unresponsive with its connection open, as in a partition.
         async with fleet(n_per_service=2) as f:
             f.gateways[0].relays["pool0"].is_stalled = True
-            await until(lambda: not f.hears(f.gateways[0], f.slot("pool0")))
-            assert f.is_linked(f.gateways[0], f.slot("pool0"))
+            await until(lambda: not f.may_send_to(f.gateways[0], f.slot("pool0")))
+            assert f.is_connected(f.gateways[0], f.slot("pool0"))
             for _ in range(6):
                 assert_complete(await f.call(FREE))
             assert not f.slot("pool0").target.runs
@@ -329,7 +329,7 @@
             await f.start_sidecar(first)
             f.hosts_revision += 1
             f.publish()
-            await until(lambda: all(f.hears(g, first) for g in f.gateways))
+            await until(lambda: all(f.may_send_to(g, first) for g in f.gateways))
             stop = asyncio.create_task(f.stop_sidecar(second))
             for each in await asyncio.gather(*waiting):
                 assert_complete(each)
--- a/tests/test_path_retries.py
+++ b/tests/test_path_retries.py
@@ -66,18 +66,18 @@
         # The process that keeps the key's claim is killed; the process that takes
         # over does not know the first try from its own memory.
         async with fleet(n_gateways=2, n_per_service=2) as f:
-            key = f.key_placed_at("pool")
+            key = f.key_with_replicas_in("pool")
             await f.call(ONCE, "bond", key=key)
-            f.kill_sidecar(f.places_of(key)[0])
+            f.kill_sidecar(f.replicas_of(key)[0])
             again = await f.call(ONCE, "bond", gateway=1, key=key)
             assert again.is_answered or again.outcome == "unknown", again
             assert n_runs(f) == 1
 
     async def test_after_all_replicas_were_restarted(self) -> None:
         async with fleet(n_gateways=2, n_per_service=2) as f:
-            key = f.key_placed_at("pool")
+            key = f.key_with_replicas_in("pool")
             await f.call(ONCE, "bond", key=key)
-            for slot in f.places_of(key):
+            for slot in f.replicas_of(key):
                 f.kill_sidecar(slot)
                 await f.start_sidecar(slot)
             f.hosts_revision += 1
@@ -91,8 +91,8 @@
         # The primary accepts the first claim and is then partitioned from the second
         # gateway. A missing reply must not be taken for a new key.
         async with fleet(n_gateways=2, n_per_service=2) as f:
-            key = f.key_placed_at("pool")
-            primary = f.places_of(key)[0]
+            key = f.key_with_replicas_in("pool")
+            primary = f.replicas_of(key)[0]
             close_gates(f)
             first = asyncio.create_task(f.call(ONCE, "bond", key=key))
             await until(lambda: n_runs(f) == 1)
--- a/tests/test_path_schedules.py
+++ b/tests/test_path_schedules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.harness import CHAIN, FREE, ONCE, Fleet, Told, fleet
-from tests.stop_schedules import play as run_stops
+from tests.stop_schedules import run_stops
 from tests.waiting import until
 
 N_GATEWAYS = 2
@@ -125,12 +125,12 @@
         case "stall":
             relay.is_stalled = True
         case "cut":
-            relay.cut()
+            relay.disconnect()
         case "refuse":
             relay.is_refusing = True
-            relay.cut()
+            relay.disconnect()
         case "damage":
-            relay.n_damaged_at = 40
+            relay.damage_index = 40
         case "heal":
             relay.heal()
         case "slow":
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.gateway_bench import engine_stage, plain_stage
+from tests.gateway_harness import engine_stage, plain_stage
 from trefoilpaddle.coordination.requests.ejection import MIN_SAMPLES, Ejector
 from trefoilpaddle.coordination.requests.routing import Router
 from trefoilpaddle.coordination.requests.target_view import TargetView, TargetViews
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -5,11 +5,11 @@
 from typing import Final
 
 CAP_S: Final = 20.0
-LOOK_S: Final = 0.005
+POLL_S: Final = 0.005
 
 
 async def until(condition: Callable[[], object], *, cap_s: float = CAP_S) -> None:
     """Return as soon as `condition` holds; fail after a generous cap."""
     async with asyncio.timeout(cap_s):
         while not condition():  # noqa: ASYNC110 - any condition, not an event
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
--- a/tools/check_binary.py
+++ b/tools/check_binary.py
@@ -15,7 +15,7 @@
 
 import psutil
 
-from tests.process_rig import Pair, pair
+from tests.process_harness import ProcessPair, process_pair
 
 ROOT: Final = Path(__file__).resolve().parent.parent
 BINARY: Final = ROOT / "dist" / "trefoilpaddle"
@@ -25,7 +25,7 @@
 class Counter:
     """Counts the most processes that each of two pids ever had below it."""
 
-    def __init__(self, both: Pair) -> None:
+    def __init__(self, both: ProcessPair) -> None:
         self._both = both
         self.n_most = 0
 
@@ -38,7 +38,7 @@
 
 async def check(folder: Path) -> list[str]:
     """Return what does not hold."""
-    async with pair([str(BINARY)], folder) as both:
+    async with process_pair([str(BINARY)], folder) as both:
         counter = Counter(both)
         counting = asyncio.create_task(counter.run())
         await both.until_serving()
@@ -48,7 +48,7 @@
         }
         both.target.gate.clear()
         asked = asyncio.create_task(both.price())
-        await both.held_at_target()
+        await both.until_target_called()
         both.stop()
         await asyncio.sleep(1.0)  # long enough to see a stop that does not drain
         still_running = [
--- a/tools/measure_journal_path.py
+++ b/tools/measure_journal_path.py
@@ -15,7 +15,7 @@
 
 import psutil
 
-from tests.process_rig import Pair, pair
+from tests.process_harness import ProcessPair, process_pair
 
 N_REQUESTS: Final = 3000
 N_AT_ONCE: Final = 16
@@ -38,7 +38,7 @@
 }
 
 
-def used_s(both: Pair) -> float:
+def used_s(both: ProcessPair) -> float:
     """Return the processor time that both processes have used."""
     times = [
         psutil.Process(started.popen.pid).cpu_times()
@@ -47,7 +47,7 @@
     return sum(time.user + time.system for time in times)
 
 
-async def serve(both: Pair, n_requests: int) -> None:
+async def serve(both: ProcessPair, n_requests: int) -> None:
     left = iter(range(n_requests))
 
     async def caller() -> None:
@@ -62,7 +62,9 @@
 async def measure(program: list[str], more_settings: str) -> float:
     """Return the microseconds of processor time that one request takes."""
     with tempfile.TemporaryDirectory() as name:
-        async with pair(program, Path(name), more_settings=more_settings) as both:
+        async with process_pair(
+            program, Path(name), more_settings=more_settings
+        ) as both:
             await both.until_serving()
             await serve(both, N_REQUESTS // 10)
             begin_s = used_s(both)
