--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised soak: real gateways under faults from outside, promises checked."""
+"""Randomised soak tests: real gateways under injected faults, guarantees checked."""
--- a/tests/soak/soak_actions.py
+++ b/tests/soak/soak_actions.py
@@ -1,4 +1,4 @@
-"""What a soak does to the system, drawn from a seed."""
+"""Faults and operator actions of a soak test, drawn from a seed."""
 
 import random
 from collections.abc import Callable
@@ -9,59 +9,60 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PauseGateway:
-    """SIGSTOP, and SIGCONT after a while."""
+    """Send SIGSTOP to a gateway, and SIGCONT after `for_s`."""
 
-    number: int
+    gateway_index: int
     for_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KillGateway:
-    """SIGKILL, and a new start after a while."""
+    """Send SIGKILL to a gateway and start it again after `for_s`."""
 
-    number: int
+    gateway_index: int
     for_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopGateway:
-    """SIGTERM, and a new start once it has ended."""
+    """Send SIGTERM to a gateway and start it again once it has exited."""
 
-    number: int
+    gateway_index: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HangUpGateway:
-    """SIGHUP."""
+    """Send SIGHUP to a gateway."""
 
-    number: int
+    gateway_index: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DisturbWorker:
-    """Delay, silence or cut the connections to one worker of a service.
+    """Delay, stall or break the connections to one worker of a service.
 
     Parameters
     ----------
     delay_s, delay_back_s : float
-        Added on the way there and back; the latter alone is a cut one way.
+        Added to data to and from the worker; `delay_back_s` alone simulates a
+        partition in one direction.
     is_silent : bool
-        Nothing passes, nothing is closed.
+        No data passes, and no connection is closed.
     is_cut : bool
-        All connections are reset, and new ones refused.
+        All connections are reset, and new ones are refused.
     """
 
     service: str
     for_s: float
     delay_s: float = 0.0
     delay_back_s: float = 0.0
-    is_silent: bool = False
-    is_cut: bool = False
+    is_stalled: bool = False
+    is_disconnected: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class BreakAnswers:
-    """One worker of a service runs requests and resets their connections."""
+class InterruptAnswers:
+    """One worker of a service runs requests and resets connections before it answers."""
 
     service: str
     for_s: float
@@ -69,41 +70,41 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplaceWorker:
-    """A new worker of a service is listed and an old one drained, or just gone."""
+    """List a new worker of a service and drain an old one, or delete its entry."""
 
     service: str
-    says_so: bool
+    is_drained: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DisturbStore:
-    """One gateway's way to the store is silent, or cut; every way if it is None."""
+    """Stall or break the connections from one gateway, or all if None, to the store."""
 
-    number: int | None
+    gateway_index: int | None
     for_s: float
-    is_silent: bool
+    is_stalled: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RefuseReads:
-    """The store answers every gateway that it does not serve it."""
+    """The store refuses the reads of all gateways."""
 
     for_s: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForgetHistory:
-    """The store loses the changes that readers have not asked for yet."""
+    """The store loses the changes that readers have not requested yet."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ReturnStore:
-    """The store is away for every gateway, and comes back from a copy.
+class RestoreStore:
+    """The store is unavailable to all gateways and recovers from a backup.
 
     Parameters
     ----------
     age_s : float
-        How old the copy is as the store goes away.
+        Age of the backup when the store becomes available again.
     """
 
     for_s: float
@@ -112,29 +113,29 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishTable:
-    """A new version: one key is revoked, another is valid."""
+    """Publish a new table version that replaces the valid key by another."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RestartWorker:
-    """A worker crashes and starts again under its id; it holds nothing of before."""
+    """A worker crashes and starts again under the same id, without its held results."""
 
     service: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WriteEntry:
-    """Another writer overwrites a worker's entry, or writes one of its own.
+    """Write an invalid entry over a worker's entry or under another key.
 
     Parameters
     ----------
     is_own : bool
-        True under a key of its own; else the worker writes its entry again soon.
+        Use a separate key; otherwise the worker writes its own entry again later.
     """
 
     service: str
     value: object
-    is_own: bool
+    has_own_key: bool
 
 
 Action = (
@@ -143,12 +144,12 @@
     | StopGateway
     | HangUpGateway
     | DisturbWorker
-    | BreakAnswers
+    | InterruptAnswers
     | ReplaceWorker
     | DisturbStore
     | RefuseReads
     | ForgetHistory
-    | ReturnStore
+    | RestoreStore
     | PublishTable
     | RestartWorker
     | WriteEntry
@@ -157,13 +158,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """An action and when it begins, in seconds from the start."""
+    """An action and when it starts, in seconds from the start of the run."""
 
     at_s: float
     action: Action
 
 
-FOREIGN: tuple[object, ...] = (
+INVALID_ENTRIES: tuple[object, ...] = (
     None,
     [1],
     {"service": {}, "address": 4},
@@ -178,29 +179,29 @@
     length_s: float,
     n_gateways: int,
     with_entries: bool = True,
-    with_returns: bool = True,
+    with_restores: bool = True,
 ) -> list[Step]:
-    """Return what a seed stands for; single actions, and series that overlap.
+    """Return the steps of a seed: single actions, and series that overlap.
 
-    Restarts of workers under their ids and entries of other writers are drawn apart,
-    and so are returns of the store from copies: what else a seed stands for is what
-    it always did.
+    Worker restarts together with invalid entries, and recoveries of the store, are
+    drawn from separate generators. The other actions of a seed are therefore the same
+    with and without them.
     """
     steps = _base_schedule(seed, length_s=length_s, n_gateways=n_gateways)
     if with_entries:
         steps += _entry_schedule(seed, length_s=length_s)
-    if with_returns:
-        steps += _return_schedule(seed, length_s=length_s)
+    if with_restores:
+        steps += _restore_schedule(seed, length_s=length_s)
     return sorted(steps, key=lambda step: step.at_s)
 
 
-def _return_schedule(seed: int, *, length_s: float) -> list[Step]:
-    """Return single returns, and some that follow one another closely."""
+def _restore_schedule(seed: int, *, length_s: float) -> list[Step]:
+    """Return recoveries of the store, some of them in quick succession."""
     rng = random.Random(f"returns {seed}")
     steps: list[Step] = []
     at_s = rng.uniform(2.0, 5.0)
     while at_s < length_s:
-        action = ReturnStore(for_s=rng.uniform(0.05, 2.0), age_s=rng.uniform(0.5, 6.0))
+        action = RestoreStore(for_s=rng.uniform(0.05, 2.0), age_s=rng.uniform(0.5, 6.0))
         steps.append(Step(at_s=at_s, action=action))
         at_s += rng.choice((0.5, 2.5, 6.0)) + rng.expovariate(0.5)
     return steps
@@ -214,8 +215,8 @@
         service = rng.choice(SERVICES)
         action: Action = RestartWorker(service=service)
         if rng.random() < 0.5:
-            value, is_own = rng.choice(FOREIGN), rng.random() < 0.5
-            action = WriteEntry(service=service, value=value, is_own=is_own)
+            value, has_own_key = rng.choice(INVALID_ENTRIES), rng.random() < 0.5
+            action = WriteEntry(service=service, value=value, has_own_key=has_own_key)
         steps.append(Step(at_s=at_s, action=action))
         at_s += rng.uniform(0.5, 4.0)
     return steps
@@ -223,21 +224,27 @@
 
 def _base_schedule(seed: int, *, length_s: float, n_gateways: int) -> list[Step]:
     rng = random.Random(seed)
-    makers: list[Callable[[], Action]] = [
-        lambda: PauseGateway(number=rng.randrange(n_gateways), for_s=rng.uniform(1, 4)),
+    draws: list[Callable[[], Action]] = [
+        lambda: PauseGateway(
+            gateway_index=rng.randrange(n_gateways), for_s=rng.uniform(1, 4)
+        ),
         lambda: KillGateway(
-            number=rng.randrange(n_gateways), for_s=rng.uniform(0.1, 2)
+            gateway_index=rng.randrange(n_gateways), for_s=rng.uniform(0.1, 2)
         ),
-        lambda: StopGateway(number=rng.randrange(n_gateways)),
-        lambda: HangUpGateway(number=rng.randrange(n_gateways)),
+        lambda: StopGateway(gateway_index=rng.randrange(n_gateways)),
+        lambda: HangUpGateway(gateway_index=rng.randrange(n_gateways)),
         lambda: _disturb_worker(rng),
         lambda: _disturb_worker(rng),
-        lambda: BreakAnswers(service=rng.choice(SERVICES), for_s=rng.uniform(0.3, 2)),
-        lambda: ReplaceWorker(service=rng.choice(SERVICES), says_so=rng.random() < 0.5),
+        lambda: InterruptAnswers(
+            service=rng.choice(SERVICES), for_s=rng.uniform(0.3, 2)
+        ),
+        lambda: ReplaceWorker(
+            service=rng.choice(SERVICES), is_drained=rng.random() < 0.5
+        ),
         lambda: DisturbStore(
-            number=rng.choice([None, *range(n_gateways)]),
+            gateway_index=rng.choice([None, *range(n_gateways)]),
             for_s=rng.uniform(0.5, 4),
-            is_silent=rng.random() < 0.5,
+            is_stalled=rng.random() < 0.5,
         ),
         lambda: RefuseReads(for_s=rng.uniform(0.5, 4)),
         ForgetHistory,
@@ -247,10 +254,10 @@
     steps: list[Step] = []
     at_s = 0.5
     while at_s < length_s:
-        maker = rng.choice(makers)
+        draw = rng.choice(draws)
         n_times = rng.choice((1, 1, 1, 2, 3))
-        for number in range(n_times):
-            steps.append(Step(at_s=at_s + number * rng.uniform(0, 0.5), action=maker()))
+        for repeat in range(n_times):
+            steps.append(Step(at_s=at_s + repeat * rng.uniform(0, 0.5), action=draw()))
         at_s += rng.expovariate(1.0) + 0.1
     return sorted(steps, key=lambda step: step.at_s)
 
@@ -266,6 +273,6 @@
         case 1:
             return DisturbWorker(service=service, for_s=for_s, delay_back_s=for_s)
         case 2:
-            return DisturbWorker(service=service, for_s=for_s, is_silent=True)
+            return DisturbWorker(service=service, for_s=for_s, is_stalled=True)
         case _:
-            return DisturbWorker(service=service, for_s=for_s, is_cut=True)
+            return DisturbWorker(service=service, for_s=for_s, is_disconnected=True)
--- a/tests/soak/soak_callers.py
+++ b/tests/soak/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they keep connections, and note all that they see."""
+"""Callers of a soak test: they reuse connections and record each request."""
 
 import asyncio
 import contextlib
@@ -19,34 +19,34 @@
 )
 
 DEADLINE_S = 3.0
-"""Set by every caller; the stand-in workers answer within 0.1 s when calm."""
+"""Default deadline; the stand-in workers answer within 0.1 s without faults."""
 
-CAP_S = 1.0
-"""Beyond its deadline a caller waits so long."""
+ANSWER_MARGIN_S = 1.0
+"""A caller waits this much longer than its deadline for the answer."""
 
-PAUSE_S = 0.03
+MAX_PAUSE_S = 0.03
 KINDS = ("hold", "price", "draft")
-WHOLE = frozenset({"hold", "price"})
-PIECES = {"draft": (2, 3), "patient": (8, 1)}
-"""Pieces of each stage, by the kinds that have stages; these are streams."""
+PLAIN_KINDS = frozenset({"hold", "price"})
+STAGE_PIECES = {"draft": (2, 3), "patient": (8, 1)}
+"""Number of pieces of each stage, by the request kinds with stages, all streams."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Seen:
-    """One request as its caller saw it.
+class ObservedRequest:
+    """One request as observed by its caller.
 
     Parameters
     ----------
     deadline_s : float
-        Time that its caller gave it.
+        Deadline that the caller set, in seconds from `sent_s`.
     whole_s : float
-        When the last byte was sent; 0 if it was not sent whole.
+        Monotonic time when the last byte was sent; 0 if sending was interrupted.
     status : int
-        Of the answer; 0 without one.
+        HTTP status of the answer; 0 without one.
     is_whole : bool
-        The answer came to its end.
+        True if the answer was received to its end.
     error : str
-        How it ended without one.
+        Name of the exception that interrupted the request; empty for none.
     """
 
     request_id: str
@@ -55,128 +55,130 @@
     gateway: int
     sent_s: float
     deadline_s: float = DEADLINE_S
-    whole_s: float = 0.0
+    fully_sent_s: float = 0.0
     ended_s: float = 0.0
     status: int = 0
     seal: str = ""
     body: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
     error: str = ""
 
 
 @dataclass(slots=True, kw_only=True)
 class Callers:
-    """All callers of one soak.
+    """All callers of one soak test.
 
     Parameters
     ----------
     gateways : list of GatewayProcess
-        Where they call.
+        Gateways that they send requests to.
     key : callable
-        Returns the key that is valid by the newest table.
+        Returns the key that is valid in the newest table.
     rng : random.Random
-        Draws what they ask.
+        Draws the gateway and the kind of each request.
     """
 
     gateways: list[GatewayProcess]
     key: Callable[[], str]
     rng: random.Random
-    seen: list[Seen] = field(default_factory=list)
+    requests: list[ObservedRequest] = field(default_factory=list)
     ready: set[int] = field(default_factory=set)
-    _numbers: "itertools.count[int]" = field(default_factory=itertools.count)
+    _request_numbers: "itertools.count[int]" = field(default_factory=itertools.count)
 
-    async def balance(self) -> None:
-        """Ask every gateway whether it is ready, as the balancer does."""
+    async def poll_readiness(self) -> None:
+        """Poll the readiness of every gateway, as the load balancer does."""
         timeout = aiohttp.ClientTimeout(total=0.5)
         async with aiohttp.ClientSession(timeout=timeout) as client:
             while True:
-                for number, gateway in enumerate(self.gateways):
+                for gateway_index, gateway in enumerate(self.gateways):
                     try:
                         is_ready = await gateway.is_ready(client)
                     except TimeoutError:
                         is_ready = False
-                    (self.ready.add if is_ready else self.ready.discard)(number)
+                    (self.ready.add if is_ready else self.ready.discard)(gateway_index)
                 await asyncio.sleep(0.2)
 
-    async def call_on(self) -> None:
-        """Call again and again, on one connection for as long as it lasts."""
+    async def call_repeatedly(self) -> None:
+        """Send requests until cancelled, reusing each connection while it lasts."""
         while True:
-            number = self.rng.choice(sorted(self.ready) or range(len(self.gateways)))
+            gateway_index = self.rng.choice(
+                sorted(self.ready) or range(len(self.gateways))
+            )
             async with one_connection() as client:
                 for _ in range(self.rng.randrange(5, 60)):
-                    seen = await self.call(client, number)
-                    if not seen.is_whole:
+                    request = await self.call(client, gateway_index)
+                    if not request.is_complete:
                         break
-                    await asyncio.sleep(PAUSE_S * self.rng.random())
-            await asyncio.sleep(PAUSE_S)
+                    await asyncio.sleep(MAX_PAUSE_S * self.rng.random())
+            await asyncio.sleep(MAX_PAUSE_S)
 
     async def call(
         self,
         client: aiohttp.ClientSession,
-        number: int,
+        gateway_index: int,
         *,
         key: str = "",
         kind: str = "",
         deadline_s: float = DEADLINE_S,
-    ) -> Seen:
-        """Send one request and note what comes of it."""
+    ) -> ObservedRequest:
+        """Send one request and record its outcome."""
         kind = kind or self.rng.choice(KINDS)
-        seen = Seen(
-            request_id=f"q{next(self._numbers)}",
+        request = ObservedRequest(
+            request_id=f"q{next(self._request_numbers)}",
             kind=kind,
             key=key or self.key(),
-            gateway=number,
+            gateway=gateway_index,
             sent_s=time.monotonic(),
             deadline_s=deadline_s,
         )
-        self.seen.append(seen)
-        sent = headers(seen.request_id, Trefoilpaddle_Credential=seen.key)
+        self.requests.append(request)
+        sent = headers(request.request_id, Trefoilpaddle_Credential=request.key)
         sent["Trefoilpaddle-Deadline-Milliseconds"] = str(int(deadline_s * 1000))
-        if kind in PIECES:
+        if kind in STAGE_PIECES:
             sent |= DRAFT | {
-                "Trefoilpaddle-Piece-Key": f"k-{seen.request_id}",
-                "Trefoilpaddle-Pieces": ",".join(map(str, PIECES[kind])),
+                "Trefoilpaddle-Piece-Key": f"k-{request.request_id}",
+                "Trefoilpaddle-Pieces": ",".join(map(str, STAGE_PIECES[kind])),
             }
-        url = f"{self.gateways[number].url}/{kind}/1"
+        url = f"{self.gateways[gateway_index].url}/{kind}/1"
         method = "GET" if kind == "price" else "POST"
         try:
-            async with asyncio.timeout(deadline_s + CAP_S):
+            async with asyncio.timeout(deadline_s + ANSWER_MARGIN_S):
                 async with client.request(
-                    method, url, headers=sent, trace_request_ctx=seen
+                    method, url, headers=sent, trace_request_ctx=request
                 ) as answer:
-                    seen.status = answer.status
-                    seen.seal = answer.headers.get("Trefoilpaddle-Server-Seal", "")
+                    request.status = answer.status
+                    request.seal = answer.headers.get("Trefoilpaddle-Server-Seal", "")
                     async for part in answer.content.iter_any():
-                        seen.body += part
-                    seen.is_whole = True
+                        request.body += part
+                    request.is_complete = True
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            seen.error = type(error).__name__
-        seen.ended_s = time.monotonic()
-        return seen
+            request.error = type(error).__name__
+        request.ended_s = time.monotonic()
+        return request
 
 
-def is_overdue(seen: Seen) -> bool:
-    """Return True if a request ended at the deadline that its caller gave, or later."""
-    return seen.ended_s - seen.sent_s >= seen.deadline_s
+def is_overdue(request: ObservedRequest) -> bool:
+    """Return True if a request ended at or after the deadline of its caller."""
+    return request.ended_s - request.sent_s >= request.deadline_s
 
 
-def events_of(seen: Seen) -> list[int]:
-    """Return the numbers of the events that a caller got."""
-    return event_numbers(seen.body) if seen.kind in PIECES else []
+def events_of(request: ObservedRequest) -> list[int]:
+    """Return the sequence numbers of the events that a caller received."""
+    return event_numbers(request.body) if request.kind in STAGE_PIECES else []
 
 
 @contextlib.asynccontextmanager
 async def one_connection() -> AsyncIterator[aiohttp.ClientSession]:
-    """Yield a client that has one connection, and notes when a request is sent.
+    """Yield a client with one connection that records when a request was sent.
 
-    No request has a body: with its headers it is sent whole.
+    Requests have no body, so a request is fully sent once its headers are.
     """
 
-    async def note(_: object, context: Any, __: object) -> None:
-        context.trace_request_ctx.whole_s = time.monotonic()
+    async def record_sent(_: object, context: Any, __: object) -> None:
+        context.trace_request_ctx.fully_sent_s = time.monotonic()
 
     trace = aiohttp.TraceConfig()
-    trace.on_request_headers_sent.append(note)
+    trace.on_request_headers_sent.append(record_sent)
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=1), trace_configs=[trace]
     ) as client:
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -1,4 +1,4 @@
-"""The promises that every soak must keep, from what callers and workers saw."""
+"""Guarantees that each soak test checks, from the records of callers and workers."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -6,63 +6,70 @@
 from trefoilpaddle.standins.platform.site import ACCOUNT, N_EVENTS
 
 from .soak_actions import (
-    BreakAnswers,
     DisturbStore,
     DisturbWorker,
     ForgetHistory,
+    InterruptAnswers,
     KillGateway,
     PauseGateway,
     RefuseReads,
     ReplaceWorker,
     RestartWorker,
-    ReturnStore,
+    RestoreStore,
     StopGateway,
 )
-from .soak_callers import PIECES, WHOLE, Callers, Seen, events_of, is_overdue
-from .soak_record import GRACE_S, Mark, Record
-from .soak_stop_checks import cut_at_stops
+from .soak_callers import (
+    PLAIN_KINDS,
+    STAGE_PIECES,
+    Callers,
+    ObservedRequest,
+    events_of,
+    is_overdue,
+)
+from .soak_record import GRACE_S, ActionInterval, Record
+from .soak_stop_checks import interrupted_at_stops
 
 NOT_RUN = frozenset({408, 421, 429, 503})
 OK = 200
 UNAUTHORISED = 401
 SLACK_S = 0.5
-IN_FORCE_S = 2.0
-"""Within this a published change must be in force."""
+ACTIVATION_S = 2.0
+"""A published change must be active within this time."""
 
 CALM_S = 3.0
-"""Bounds in time hold where nothing was disturbed for so long."""
+"""Time bounds are checked only if nothing was disturbed for this long before."""
 
 DRAIN_S = 2.0
 STOP_MARGIN_S = 1.0
-"""Before the kill, what a worker still works on is broken off."""
+"""In this period before the kill, requests that still run are interrupted."""
 
-DISTURBS_ENGINES = (DisturbWorker, BreakAnswers, ReplaceWorker, RestartWorker)
+DISTURBS_ENGINES = (DisturbWorker, InterruptAnswers, ReplaceWorker, RestartWorker)
 
-SETTLED_S = 4.0
-"""After the last fault all must be served again."""
+RECOVERY_S = 4.0
+"""Requests must be served again this long after the last fault."""
 
-LEAST_SERVED = 0.75
+MIN_SERVED_SHARE = 0.75
 
 KEY_PREFIX = "key"
-"""Of the one key of each version; its number follows."""
+"""Each table version has one valid key: this prefix and the version number."""
 
 BLOCKED = 400
-"""Answer to a request that is taken for one that crashes its workers."""
+"""HTTP status for a request that is blocked because it seems to crash workers."""
 
 
-def broken(record: Record, callers: Callers) -> list[str]:
-    """Return what was broken, one line each."""
+def violations(record: Record, callers: Callers) -> list[str]:
+    """Return the violated guarantees, one line for each violation."""
     checks = (
         _runs,
         _answers,
         _refusals,
         _blocked,
-        _ends,
-        cut_at_stops,
-        _keys,
+        _outcomes,
+        interrupted_at_stops,
+        _key_validity,
         _leaving,
-        _keys_for_good,
-        _left_for_good,
+        _key_regressions,
+        _removed_workers,
         _recovery,
     )
     return record.problems + [
@@ -71,142 +78,155 @@
 
 
 def _runs(record: Record, callers: Callers) -> Iterator[str]:
-    """Workers run what callers sent, for the right account, and holds once."""
-    kinds = {seen.request_id: seen.kind for seen in callers.seen}
+    """Check that workers run only sent requests, for their account, and holds once."""
+    kinds = {request.request_id: request.kind for request in callers.requests}
     runs: Counter[str] = Counter()
     for worker in record.workers:
         runs.update(worker.ran)
         for request_id, sent in zip(worker.ran, worker.headers, strict=True):
             if request_id not in kinds:
-                yield f"{request_id} ran, and no caller sent it"
+                yield f"{request_id} ran, but no caller sent it"
             if sent.get("Trefoilpaddle-Tenant") != ACCOUNT:
                 yield f"{request_id} ran for another account"
             if "Trefoilpaddle-Credential" in sent:
-                yield f"{request_id} was passed on with its key"
+                yield f"{request_id} was forwarded with its credential"
         yield from _pieces(worker.pieces, kinds)
     for request_id, n_runs in runs.items():
         if kinds.get(request_id) == "hold" and n_runs > 1:
-            yield f"{request_id} may run once and ran {n_runs} times"
+            yield f"{request_id} may run only once but ran {n_runs} times"
 
 
 def _pieces(
     pieces: list[tuple[str, int, int, tuple[str, ...]]], kinds: dict[str, str]
 ) -> Iterator[str]:
     for request_id, stage, piece, inputs in pieces:
-        n_pieces = PIECES.get(kinds.get(request_id, ""))
+        n_pieces = STAGE_PIECES.get(kinds.get(request_id, ""))
         if n_pieces is None:
-            yield f"piece {stage}.{piece} of {request_id}, which has none"
+            yield f"piece {stage}.{piece} of {request_id}, a request without pieces"
         elif len(set(inputs)) != {0: 0, 1: n_pieces[0]}.get(stage):
             yield f"piece {stage}.{piece} of {request_id} was given {inputs}"
 
 
 def _answers(record: Record, callers: Callers) -> Iterator[str]:
-    """Successes are a worker's whole answer to that request."""
+    """Check that each success is the complete answer of a worker to that request."""
     names = {worker.worker_id for worker in record.workers}
-    for seen in callers.seen:
-        if seen.status != OK or not seen.is_whole:
+    for request in callers.requests:
+        if request.status != OK or not request.is_complete:
             continue
-        worker_id, _, request_id = seen.seal.rpartition(".")
-        if worker_id not in names or request_id != seen.request_id:
-            yield f"{seen.request_id} was answered with the seal {seen.seal!r}"
-        if seen.kind in WHOLE and seen.body != seen.request_id.encode():
-            yield f"{seen.request_id} was answered with {seen.body!r}"
-        if seen.kind in PIECES and not _is_own_stream(seen):
-            yield f"{seen.request_id} got the stream {seen.body!r}"
+        worker_id, _, request_id = request.seal.rpartition(".")
+        if worker_id not in names or request_id != request.request_id:
+            yield f"{request.request_id} was answered with the seal {request.seal!r}"
+        if request.kind in PLAIN_KINDS and request.body != request.request_id.encode():
+            yield f"{request.request_id} was answered with {request.body!r}"
+        if request.kind in STAGE_PIECES and not _is_own_stream(request):
+            yield f"{request.request_id} got the stream {request.body!r}"
 
 
-def _is_own_stream(seen: Seen) -> bool:
-    data = {line for line in seen.body.split(b"\n") if line.startswith(b"data:")}
+def _is_own_stream(request: ObservedRequest) -> bool:
+    data = {line for line in request.body.split(b"\n") if line.startswith(b"data:")}
     expected = list(range(1, N_EVENTS + 1))
-    return events_of(seen) == expected and data == {
-        b"data: " + seen.request_id.encode()
+    return events_of(request) == expected and data == {
+        b"data: " + request.request_id.encode()
     }
 
 
 def _refusals(record: Record, callers: Callers) -> Iterator[str]:
-    """What is said not to have run has not."""
+    """Check that requests that were reported as not run did not run."""
     ran = {request_id for worker in record.workers for request_id in worker.ran}
-    for seen in callers.seen:
-        if seen.status in NOT_RUN and seen.request_id in ran:
-            yield f"{seen.request_id} ({seen.kind}) was answered {seen.status} and ran"
+    for request in callers.requests:
+        if request.status in NOT_RUN and request.request_id in ran:
+            yield (
+                f"{request.request_id} ({request.kind}) was answered"
+                f" {request.status} and ran"
+            )
 
 
 def _blocked(record: Record, callers: Callers) -> Iterator[str]:
-    """Nobody is blamed: all send what harms nobody, and each kind one request."""
-    for seen in callers.seen:
-        if seen.status == BLOCKED:
-            yield f"{seen.request_id} ({seen.kind}) was answered {seen.status}"
+    """Check that no request is blocked: no request of a soak crashes a worker."""
+    for request in callers.requests:
+        if request.status == BLOCKED:
+            yield (
+                f"{request.request_id} ({request.kind}) was answered {request.status}"
+            )
 
 
-def _ends(record: Record, callers: Callers) -> Iterator[str]:
-    """Everything that a gateway passed on is answered, in time."""
+def _outcomes(record: Record, callers: Callers) -> Iterator[str]:
+    """Check that each request that reached a worker is answered in time."""
     passed_on = {r for worker in record.workers for r in worker.ran}
-    for seen in callers.seen:
-        if not seen.ended_s or seen.is_whole or _is_excused(record, seen):
+    for request in callers.requests:
+        if not request.ended_s or request.is_complete or _is_excused(record, request):
             continue
-        if events_of(seen) and _is_model_disturbed(record, seen):
+        if events_of(request) and _is_model_disturbed(record, request):
             continue
-        if seen.error == "TimeoutError":
-            yield f"{seen.request_id} ({seen.kind}) had no answer in time"
-        elif events_of(seen) and is_overdue(seen):
-            # It began and could not end in the time that its caller gave it.
+        if request.error == "TimeoutError":
+            yield f"{request.request_id} ({request.kind}) had no answer in time"
+        elif events_of(request) and is_overdue(request):
+            # The stream started and could not finish before the deadline of its caller.
             continue
-        elif seen.request_id in passed_on:
-            yield f"{seen.request_id} ({seen.kind}) ended with {seen.error}"
-    for seen in callers.seen:
-        took_s = seen.ended_s - seen.sent_s
-        if took_s > seen.deadline_s + SLACK_S and not _is_excused(record, seen):
-            yield f"{seen.request_id} ({seen.kind}) was answered after {took_s:.2f} s"
-
-
-def _is_model_disturbed(record: Record, seen: Seen) -> bool:
-    """Return True if a stream may have had to end for want of an engine."""
+        elif request.request_id in passed_on:
+            yield (f"{request.request_id} ({request.kind}) ended with {request.error}")
+    for request in callers.requests:
+        took_s = request.ended_s - request.sent_s
+        if took_s > request.deadline_s + SLACK_S and not _is_excused(record, request):
+            yield (
+                f"{request.request_id} ({request.kind}) was answered"
+                f" after {took_s:.2f} s"
+            )
+
+
+def _is_model_disturbed(record: Record, request: ObservedRequest) -> bool:
+    """Return True if a stream may have ended because no engine was available."""
     return any(
-        _overlaps(mark, seen.sent_s, seen.ended_s)
-        for mark in record.marks
-        if isinstance(mark.action, DISTURBS_ENGINES) and mark.action.service == "model"
+        _overlaps(interval, request.sent_s, request.ended_s)
+        for interval in record.intervals
+        if isinstance(interval.action, DISTURBS_ENGINES)
+        and interval.action.service == "model"
     )
 
 
-def _is_excused(record: Record, seen: Seen) -> bool:
-    """Return True if its gateway was killed, paused or at its end meanwhile."""
-    for mark in record.marks:
-        if mark.host != seen.gateway:
+def _is_excused(record: Record, request: ObservedRequest) -> bool:
+    """Return True if its gateway was killed, paused or about to be killed meanwhile."""
+    for interval in record.intervals:
+        if interval.host != request.gateway:
             continue
-        match mark.action:
+        match interval.action:
             case KillGateway() | PauseGateway():
-                if _overlaps(mark, seen.sent_s, seen.ended_s):
+                if _overlaps(interval, request.sent_s, request.ended_s):
                     return True
             case StopGateway():
-                last_s = mark.began_s + GRACE_S - STOP_MARGIN_S
-                if seen.sent_s <= mark.ended_s and seen.ended_s >= last_s:
+                last_s = interval.began_s + GRACE_S - STOP_MARGIN_S
+                if request.sent_s <= interval.ended_s and request.ended_s >= last_s:
                     return True
             case _:
                 continue
     return False
 
 
-def _keys(record: Record, callers: Callers) -> Iterator[str]:
-    """A revoked key is refused everywhere within two seconds, a new one taken."""
-    for seen in callers.seen:
-        at_s = record.revoked_s.get(seen.key)
-        is_old = at_s is not None and seen.sent_s > at_s + IN_FORCE_S
-        is_taken = is_old and seen.status not in {UNAUTHORISED, 0, 503}
-        if is_taken and _is_calm(record, seen.sent_s - CALM_S, seen.sent_s):
-            yield f"{seen.request_id}: {seen.key} was taken after its end"
+def _key_validity(record: Record, callers: Callers) -> Iterator[str]:
+    """Check that gateways refuse revoked keys and accept new ones after two seconds."""
+    for request in callers.requests:
+        at_s = record.revoked_s.get(request.key)
+        is_old = at_s is not None and request.sent_s > at_s + ACTIVATION_S
+        is_taken = is_old and request.status not in {UNAUTHORISED, 0, 503}
+        if is_taken and _is_calm(record, request.sent_s - CALM_S, request.sent_s):
+            yield f"{request.request_id}: {request.key} was accepted after its revocation"
     began_s = {
-        f"key{number + 2}": s for number, s in enumerate(record.revoked_s.values())
+        f"key{index + 2}": s for index, s in enumerate(record.revoked_s.values())
     }
-    for seen in callers.seen:
-        from_s = began_s.get(seen.key, 0.0) + IN_FORCE_S
-        until_s = record.revoked_s.get(seen.key, seen.sent_s + 1)
-        is_refused = seen.status == UNAUTHORISED and from_s < seen.sent_s < until_s
-        if is_refused and _is_calm(record, seen.sent_s - CALM_S, seen.sent_s):
-            yield f"{seen.request_id}: {seen.key} was refused though it is valid"
+    for request in callers.requests:
+        from_s = began_s.get(request.key, 0.0) + ACTIVATION_S
+        until_s = record.revoked_s.get(request.key, request.sent_s + 1)
+        is_refused = (
+            request.status == UNAUTHORISED and from_s < request.sent_s < until_s
+        )
+        if is_refused and _is_calm(record, request.sent_s - CALM_S, request.sent_s):
+            yield (
+                f"{request.request_id}: {request.key} was refused although it is valid"
+            )
 
 
 def _leaving(record: Record, callers: Callers) -> Iterator[str]:
-    """A worker that is leaving gets nothing more two seconds later."""
+    """Check that a leaving worker gets no requests after two seconds."""
     for worker in record.workers:
         left_s = record.left_s.get(worker.worker_id)
         if left_s is None:
@@ -214,34 +234,40 @@
         for request_id, at_s in zip(worker.ran, worker.ran_s, strict=True):
             is_late = at_s > left_s + DRAIN_S + SLACK_S
             if is_late and _is_calm(record, left_s - CALM_S, at_s):
-                yield f"{request_id} reached {worker.worker_id} after it had left"
+                yield f"{request_id} reached {worker.worker_id} after its drain period"
 
 
-def _keys_for_good(record: Record, callers: Callers) -> Iterator[str]:
-    """A gateway that has taken the key of a version takes none of an earlier one."""
-    for gateway in {seen.gateway for seen in callers.seen}:
+def _key_regressions(record: Record, callers: Callers) -> Iterator[str]:
+    """Check that a gateway that accepted the key of a version accepts no older one."""
+    for gateway in {request.gateway for request in callers.requests}:
         newest = 0
         newest_s = 0.0
         taken = [
-            seen
-            for seen in callers.seen
-            if seen.gateway == gateway
-            and seen.ended_s
-            and seen.status not in {0, UNAUTHORISED, 503}
+            request
+            for request in callers.requests
+            if request.gateway == gateway
+            and request.ended_s
+            and request.status not in {0, UNAUTHORISED, 503}
         ]
-        for seen in sorted(taken, key=lambda seen: seen.ended_s):
-            version = int(seen.key.removeprefix(KEY_PREFIX))
-            is_later = seen.sent_s > newest_s
+        for request in sorted(taken, key=lambda request: request.ended_s):
+            version = int(request.key.removeprefix(KEY_PREFIX))
+            is_later = request.sent_s > newest_s
             if version < newest and is_later:
-                if not _was_ended(record, gateway, newest_s, seen.ended_s):
-                    yield f"{seen.request_id}: {seen.key} was taken after key{newest}"
+                if not _was_restarted(record, gateway, newest_s, request.ended_s):
+                    yield (
+                        f"{request.request_id}: {request.key} was accepted"
+                        f" after key{newest}"
+                    )
             elif version > newest:
-                newest, newest_s = version, seen.ended_s
+                newest, newest_s = version, request.ended_s
 
 
-def _left_for_good(record: Record, callers: Callers) -> Iterator[str]:
-    """A worker that left while all was calm gets nothing from who knew it then."""
-    gateways = {seen.request_id: seen.gateway for seen in callers.seen}
+def _removed_workers(record: Record, callers: Callers) -> Iterator[str]:
+    """Check that gateways do not forget that a worker left while nothing was disturbed.
+
+    A gateway that was killed or stopped since then is not checked.
+    """
+    gateways = {request.request_id: request.gateway for request in callers.requests}
     for worker in record.workers:
         left_s = record.left_s.get(worker.worker_id)
         if left_s is None:
@@ -253,51 +279,56 @@
             gateway = gateways.get(request_id)
             if at_s <= known_s or gateway is None:
                 continue
-            if not _was_ended(record, gateway, left_s, at_s):
-                yield f"{request_id} reached {worker.worker_id}, gone at {gateway}"
+            if not _was_restarted(record, gateway, left_s, at_s):
+                yield (
+                    f"{request_id} reached {worker.worker_id}, which left,"
+                    f" from g{gateway}"
+                )
 
 
-def _was_ended(record: Record, gateway: int, from_s: float, until_s: float) -> bool:
-    """Return True if a gateway was killed or stopped then."""
+def _was_restarted(record: Record, gateway: int, from_s: float, until_s: float) -> bool:
+    """Return True if a gateway was killed or stopped in a period."""
     return any(
-        isinstance(mark.action, KillGateway | StopGateway)
-        and mark.host == gateway
-        and _overlaps(mark, from_s, until_s)
-        for mark in record.marks
+        isinstance(interval.action, KillGateway | StopGateway)
+        and interval.host == gateway
+        and _overlaps(interval, from_s, until_s)
+        for interval in record.intervals
     )
 
 
 def _recovery(record: Record, callers: Callers) -> Iterator[str]:
-    """Once nothing is disturbed any more, callers are served."""
-    late = [
-        seen
-        for seen in callers.seen
-        if seen.sent_s > record.healed_s + SETTLED_S
-        and seen.ended_s
-        and seen.key not in record.revoked_s
+    """Check that callers are served once the faults are over."""
+    after_faults = [
+        request
+        for request in callers.requests
+        if request.sent_s > record.healed_s + RECOVERY_S
+        and request.ended_s
+        and request.key not in record.revoked_s
     ]
-    n_served = sum(1 for seen in late if seen.status == OK and seen.is_whole)
-    if n_served < LEAST_SERVED * len(late) or not late:
-        yield f"after the faults {n_served} of {len(late)} requests were served"
+    n_served = sum(
+        1 for request in after_faults if request.status == OK and request.is_complete
+    )
+    if n_served < MIN_SERVED_SHARE * len(after_faults) or not after_faults:
+        yield f"after the faults {n_served} of {len(after_faults)} requests were served"
 
 
 def _is_calm(record: Record, from_s: float, until_s: float) -> bool:
-    """Return True if neither store nor gateways were disturbed then."""
+    """Return True if store, gateways and worker connections were not disturbed."""
     disturbing = (
         DisturbStore,
         RefuseReads,
         ForgetHistory,
-        ReturnStore,
+        RestoreStore,
         KillGateway,
         PauseGateway,
         StopGateway,
         DisturbWorker,
     )
     return not any(
-        isinstance(mark.action, disturbing) and _overlaps(mark, from_s, until_s)
-        for mark in record.marks
+        isinstance(interval.action, disturbing) and _overlaps(interval, from_s, until_s)
+        for interval in record.intervals
     )
 
 
-def _overlaps(mark: Mark, from_s: float, until_s: float) -> bool:
-    return mark.began_s <= until_s and mark.ended_s + SLACK_S >= from_s
+def _overlaps(interval: ActionInterval, from_s: float, until_s: float) -> bool:
+    return interval.began_s <= until_s and interval.ended_s + SLACK_S >= from_s
--- a/tests/soak/soak_record.py
+++ b/tests/soak/soak_record.py
@@ -1,4 +1,4 @@
-"""What was done in a soak and what its workers saw, for the checks."""
+"""Actions of a soak test and observations of its workers, for the checks."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -9,21 +9,21 @@
 from .soak_stalls import Stall
 
 GRACE_S: Final = 6.0
-"""From the order to stop to the kill.
+"""Time from the order to stop to the kill.
 
-The sixth of it in which a stream may be broken off is then longer than the second
-that a gateway keeps to write its last answers.
+Streams may be interrupted in the last sixth of it. With this value that is not
+shorter than the second that a gateway reserves to write its last answers.
 """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Mark:
-    """Something that was done, from when to when.
+class ActionInterval:
+    """The period in which an action was applied.
 
     Parameters
     ----------
     host : int or None
-        The gateway that it was done to; None for all.
+        Index of the affected gateway; None if all may be affected.
     """
 
     action: Action
@@ -34,9 +34,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopOrder:
-    """A planned stop, from the order until the process was gone.
+    """A planned stop, from the order until the process has exited.
 
-    A mark begins earlier where another action has the gateway still.
+    The action interval of the stop starts earlier if the order had to wait for another
+    action on the same gateway.
     """
 
     host: int
@@ -46,10 +47,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class Record:
-    """What checks need of a run."""
+    """Data of a run that the checks use."""
 
     workers: list[PlatformWorker]
-    marks: list[Mark] = field(default_factory=list)
+    intervals: list[ActionInterval] = field(default_factory=list)
     stalls: list[Stall] = field(default_factory=list)
     orders: list[StopOrder] = field(default_factory=list)
     revoked_s: dict[str, float] = field(default_factory=dict)
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -1,4 +1,4 @@
-"""Runs one soak: a site, its gateways, callers, and faults from outside."""
+"""Runs one soak test: a site, its gateways, callers, and injected faults."""
 
 import asyncio
 import contextlib
@@ -22,52 +22,52 @@
 from .soak_actions import (
     SERVICES,
     Action,
-    BreakAnswers,
     DisturbStore,
     DisturbWorker,
     ForgetHistory,
     HangUpGateway,
+    InterruptAnswers,
     KillGateway,
     PauseGateway,
     PublishTable,
     RefuseReads,
     ReplaceWorker,
     RestartWorker,
-    ReturnStore,
+    RestoreStore,
     StopGateway,
     WriteEntry,
     schedule,
 )
 from .soak_callers import Callers, one_connection
-from .soak_patient import PatientCallers, table
-from .soak_record import GRACE_S, Mark, Record, StopOrder
-from .soak_returns import StoreReturns
-from .soak_stalls import note_stalls
+from .soak_long_deadlines import LongDeadlineCallers, table
+from .soak_record import GRACE_S, ActionInterval, Record, StopOrder
+from .soak_restores import StoreRestores
+from .soak_stalls import record_stalls
 from .soak_stops import stop_schedule
 
 DOMAINS = ("a", "a", "b")
 N_CALLERS = 6
-HEAL_S = 6.0
-"""Time after the faults in which all must be served again."""
+RECOVERY_S = 6.0
+"""Time that the run continues after the faults, to check the recovery."""
 
-LINGER_S = 3.0
-"""A replaced worker serves on for so long after its entry said so."""
+DRAINING_S = 3.0
+"""A replaced worker keeps serving for this long after its entry has changed."""
 
-PROBE_S = 0.25
+PROBE_PERIOD_S = 0.25
 
 LOADED_WORK_S = {"stock": 0.3, "encode": 0.4, "model": 0.1}
-"""Time of a call under load; pieces of forty requests queue for eight seconds.
+"""Duration of a call under load; pieces of forty requests queue for eight seconds.
 
-A plain request takes longer than a handler has once its connection is closed.
+A plain request takes longer than a handler may run once its connection is closed.
 """
 
 CALM_WORK_S = 0.005
 
-BORN_S = 0.2
-"""A worker that crashed is back after so long."""
+RESTART_S = 0.2
+"""A crashed worker is listed again after this time."""
 
-BEAT_S = 1.2
-"""A worker writes its entry again after so long."""
+HEARTBEAT_S = 1.2
+"""A worker rewrites an overwritten entry after this time."""
 
 
 class SoakSite:
@@ -78,7 +78,7 @@
         self._n_workers = 0
         self._version = 1
         self.site = Site(stack=stack)
-        self.returns = StoreReturns(site=self.site, rng=random.Random(0))
+        self.restores = StoreRestores(site=self.site, rng=random.Random(0))
         self.by_service: dict[str, list[str]] = {name: [] for name in SERVICES}
         self.domains: dict[str, str] = {}
         self.relays: dict[str, Relay] = {}
@@ -87,14 +87,14 @@
 
     @property
     def key(self) -> str:
-        """The key that the newest table holds."""
+        """The key that is valid in the newest table."""
         return f"key{self._version}"
 
     def publish(self) -> None:
-        """Publish a table in which another key is valid."""
+        """Publish a table that revokes the key and makes another one valid."""
         old = self.key
         self._version += 1
-        self.returns.write(TABLE_KEY, table(self._version, self.key))
+        self.restores.write(TABLE_KEY, table(self._version, self.key))
         self.record.revoked_s[old] = time.monotonic()
 
     async def relay_to(self, address: str) -> Relay:
@@ -104,7 +104,7 @@
         return relay
 
     async def add_worker(self, service: str) -> str:
-        """Start a worker, behind a relay, and list it."""
+        """Start a worker behind a relay, list it and return its id."""
         self._n_workers += 1
         worker_id = f"{service}{self._n_workers}"
         n_events = N_EVENTS if service == "model" else 0
@@ -117,65 +117,65 @@
         self.relays[worker_id] = relay
         self.by_service[service].append(worker_id)
         self.domains[worker_id] = "ab"[self._n_workers % 2]
-        self.list_again(worker_id, service)
+        self.write_listing(worker_id, service)
         return worker_id
 
     def load(self) -> None:
-        """Let calls take so long that requests wait for their stages for seconds."""
+        """Make calls so long that requests queue for their stages for seconds."""
         for service, work_s in LOADED_WORK_S.items():
             for worker_id in self.by_service[service]:
                 self.site.workers[worker_id].work_s = work_s
 
     def unload(self) -> None:
-        """Let calls be as short as at first."""
+        """Make calls short again."""
         for worker in self.site.workers.values():
             worker.work_s = CALM_WORK_S
 
-    def list_again(self, worker_id: str, service: str) -> None:
-        """Write a worker's entry, as it does with each heartbeat."""
-        self._say(worker_id, service, state="ready")
+    def write_listing(self, worker_id: str, service: str) -> None:
+        """Write the entry of a worker, as the worker does with each heartbeat."""
+        self._list_in_state(worker_id, service, state="ready")
 
-    def _say(self, worker_id: str, service: str, *, state: str) -> None:
+    def _list_in_state(self, worker_id: str, service: str, *, state: str) -> None:
         worker = self.site.workers[worker_id]
-        said = entry(
+        value = entry(
             service,
             worker.address,
             zone=self.domains[worker_id],
             state=state,
             born=worker.born_ms,
         )
-        self.returns.write(f"servers/{worker_id}", said)
+        self.restores.write(f"servers/{worker_id}", value)
 
     async def restart_worker(self, service: str) -> None:
         """Crash the newest worker of a service and start it under the same id."""
         worker_id = self.by_service[service][-1]
         self.site.workers[worker_id].start_again()
         self.relays[worker_id].disconnect()
-        await asyncio.sleep(BORN_S)
-        self.list_again(worker_id, service)
+        await asyncio.sleep(RESTART_S)
+        self.write_listing(worker_id, service)
 
     async def write_entry(self, action: WriteEntry) -> None:
-        """Write what names no worker to use."""
-        if action.is_own:
+        """Write a value that does not describe a usable worker."""
+        if action.has_own_key:
             self.site.store.put("servers/foreign", action.value)
             return
         worker_id = self.by_service[action.service][-1]
         self.site.store.put(f"servers/{worker_id}", action.value)
-        await asyncio.sleep(BEAT_S)
+        await asyncio.sleep(HEARTBEAT_S)
         if worker_id in self.by_service[action.service]:
-            self.list_again(worker_id, action.service)
+            self.write_listing(worker_id, action.service)
 
-    async def replace_worker(self, service: str, *, says_so: bool) -> None:
-        """List a new worker and take the oldest of its service away."""
+    async def replace_worker(self, service: str, *, is_drained: bool) -> None:
+        """List a new worker and remove the oldest one of its service."""
         await self.add_worker(service)
         old = self.by_service[service].pop(0)
-        if says_so:
-            self._say(old, service, state="draining")
+        if is_drained:
+            self._list_in_state(old, service, state="draining")
         else:
-            self.returns.remove(f"servers/{old}")
+            self.restores.remove(f"servers/{old}")
         self.record.left_s[old] = time.monotonic()
-        await asyncio.sleep(LINGER_S)
-        self.returns.remove(f"servers/{old}")
+        await asyncio.sleep(DRAINING_S)
+        self.restores.remove(f"servers/{old}")
         self.relays[old].is_refusing = True
         self.relays[old].disconnect()
 
@@ -184,18 +184,18 @@
 async def soak_site() -> AsyncIterator[SoakSite]:
     """Serve a store and two workers of each service, all behind relays."""
     async with contextlib.AsyncExitStack() as stack:
-        made = SoakSite(stack=stack)
-        url = await stack.enter_async_context(serving(made.site.store.application()))
-        made.site.store_address = url.removeprefix("http://")
-        made.returns.write(TABLE_KEY, table(1, made.key))
+        site = SoakSite(stack=stack)
+        url = await stack.enter_async_context(serving(site.site.store.application()))
+        site.site.store_address = url.removeprefix("http://")
+        site.restores.write(TABLE_KEY, table(1, site.key))
         for service in SERVICES:
             for _ in range(2):
-                await made.add_worker(service)
-        yield made
+                await site.add_worker(service)
+        yield site
 
 
 class Soak:
-    """One run: the gateways, and what is done to them and around them."""
+    """Applies the actions of one run to the gateways and the site."""
 
     def __init__(self, *, site: SoakSite, gateways: list[GatewayProcess]) -> None:
         self._site = site
@@ -203,70 +203,76 @@
         self._locks = [asyncio.Lock() for _ in gateways]
         self._is_over = False
 
-    async def act(self, action: Action) -> None:
-        """Do one thing, and note from when to when it was in force."""
+    async def run_action(self, action: Action) -> None:
+        """Apply an action and record the period in which it was applied."""
         began_s = time.monotonic()
-        host = await self._do(action)
-        self._site.record.marks.append(
-            Mark(action=action, host=host, began_s=began_s, ended_s=time.monotonic())
+        host = await self._apply(action)
+        self._site.record.intervals.append(
+            ActionInterval(
+                action=action, host=host, began_s=began_s, ended_s=time.monotonic()
+            )
         )
 
-    async def _do(self, action: Action) -> int | None:
+    async def _apply(self, action: Action) -> int | None:
         site = self._site
         match action:
-            case PauseGateway(number=number, for_s=for_s):
-                async with self._locks[number]:
-                    self._gateways[number].signal(signal.SIGSTOP)
+            case PauseGateway(gateway_index=gateway_index, for_s=for_s):
+                async with self._locks[gateway_index]:
+                    self._gateways[gateway_index].signal(signal.SIGSTOP)
                     await asyncio.sleep(for_s)
-                    self._gateways[number].signal(signal.SIGCONT)
-                return number
-            case KillGateway(number=number, for_s=for_s):
-                async with self._locks[number]:
-                    self._gateways[number].kill()
+                    self._gateways[gateway_index].signal(signal.SIGCONT)
+                return gateway_index
+            case KillGateway(gateway_index=gateway_index, for_s=for_s):
+                async with self._locks[gateway_index]:
+                    self._gateways[gateway_index].kill()
                     await asyncio.sleep(for_s)
-                    self._gateways[number].start()
-                return number
-            case StopGateway(number=number):
-                async with self._locks[number]:
-                    await self._stop(number)
-                    self._gateways[number].start()
-                return number
-            case HangUpGateway(number=number):
+                    self._gateways[gateway_index].start()
+                return gateway_index
+            case StopGateway(gateway_index=gateway_index):
+                async with self._locks[gateway_index]:
+                    await self._stop(gateway_index)
+                    self._gateways[gateway_index].start()
+                return gateway_index
+            case HangUpGateway(gateway_index=gateway_index):
                 # A process that has just been started has no handler yet.
-                if number in self.started():
-                    self._gateways[number].signal(signal.SIGHUP)
-                return number
+                if gateway_index in self.started():
+                    self._gateways[gateway_index].signal(signal.SIGHUP)
+                return gateway_index
             case DisturbWorker(service=service, for_s=for_s):
                 relay = site.relays[site.by_service[service][0]]
                 relay.delay_s = action.delay_s
                 relay.delay_back_s = action.delay_back_s
-                relay.is_stalled = action.is_silent
-                relay.is_refusing = action.is_cut
-                if action.is_cut:
+                relay.is_stalled = action.is_stalled
+                relay.is_refusing = action.is_disconnected
+                if action.is_disconnected:
                     relay.disconnect()
                 await asyncio.sleep(for_s)
                 relay.heal()
                 return None
-            case BreakAnswers(service=service, for_s=for_s):
+            case InterruptAnswers(service=service, for_s=for_s):
                 worker = site.site.workers[site.by_service[service][-1]]
                 worker.break_off = True
                 await asyncio.sleep(for_s)
                 worker.break_off = False
                 return None
-            case ReplaceWorker(service=service, says_so=says_so):
-                await site.replace_worker(service, says_so=says_so)
+            case ReplaceWorker(service=service, is_drained=is_drained):
+                await site.replace_worker(service, is_drained=is_drained)
                 return None
-            case DisturbStore(number=number, for_s=for_s, is_silent=is_silent):
+            case DisturbStore(
+                gateway_index=gateway_index, for_s=for_s, is_stalled=is_stalled
+            ):
                 chosen = site.store_relays
-                for relay in chosen if number is None else [chosen[number]]:
-                    relay.is_stalled = is_silent
-                    relay.is_refusing = not is_silent
-                    if not is_silent:
+                for relay in (
+                    chosen if gateway_index is None else [chosen[gateway_index]]
+                ):
+                    relay.is_stalled = is_stalled
+                    relay.is_refusing = not is_stalled
+                    if not is_stalled:
                         relay.disconnect()
                 await asyncio.sleep(for_s)
                 for relay in chosen:
                     relay.heal()
-                return number
+                return gateway_index
             case RefuseReads(for_s=for_s):
                 site.site.store.is_refusing = True
                 await asyncio.sleep(for_s)
@@ -275,10 +281,10 @@
             case ForgetHistory():
                 site.site.store.forget_history()
                 return None
-            case ReturnStore(for_s=for_s, age_s=age_s):
+            case RestoreStore(for_s=for_s, age_s=age_s):
                 site.site.store.is_refusing = True
                 await asyncio.sleep(for_s)
-                site.returns.come_back(age_s)
+                site.restores.restore(age_s)
                 site.site.store.is_refusing = False
                 return None
             case PublishTable():
@@ -293,43 +299,45 @@
             case _:
                 assert_never(action)
 
-    async def _stop(self, number: int) -> None:
-        """Order a gateway to stop, and kill it at the end of its grace."""
-        gateway, record = self._gateways[number], self._site.record
-        # Until it listens for signals, the order ends it at once.
-        is_early = number not in self.started()
+    async def _stop(self, gateway_index: int) -> None:
+        """Order a gateway to stop, and kill it at the end of its grace period."""
+        gateway, record = self._gateways[gateway_index], self._site.record
+        # Before its signal handlers are installed, SIGTERM terminates it at once.
+        is_early = gateway_index not in self.started()
         ordered_s = time.monotonic()
         gateway.signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(GRACE_S):
                 await gateway.ended()
-        # One that is gone already, though this process did not look, is not killed.
+        # Has no effect if the gateway exited while this process did not poll it.
         gateway.kill()
         code = await gateway.ended()
         if code == -signal.SIGKILL:
-            record.problems.append(f"g{number} was not gone within its grace")
+            record.problems.append(
+                f"g{gateway_index} did not exit within its grace period"
+            )
         elif code and not (is_early and code == -signal.SIGTERM):
-            record.problems.append(f"g{number} stopped with {code}")
+            record.problems.append(f"g{gateway_index} stopped with exit code {code}")
         record.orders.append(
-            StopOrder(host=number, ordered_s=ordered_s, ended_s=time.monotonic())
+            StopOrder(host=gateway_index, ordered_s=ordered_s, ended_s=time.monotonic())
         )
 
     def started(self) -> set[int]:
-        """Return the gateways whose last start has logged that it runs."""
+        """Return the indexes of gateways that logged their start since the last one."""
         return {
-            number
-            for number, gateway in enumerate(self._gateways)
+            gateway_index
+            for gateway_index, gateway in enumerate(self._gateways)
             if "process_started" in gateway.logs[-1].read_text()
         }
 
     async def watch(self) -> None:
-        """Note a gateway that ends though nobody has ended it."""
+        """Record a problem if a gateway exits without a stop or kill."""
         while not self._is_over:
-            for number, gateway in enumerate(self._gateways):
-                run, is_free = gateway.run, not self._locks[number].locked()
+            for gateway_index, gateway in enumerate(self._gateways):
+                run, is_free = gateway.run, not self._locks[gateway_index].locked()
                 if is_free and run is not None and run.poll() is not None:
                     self._site.record.problems.append(
-                        f"g{number} ended by itself with {run.returncode}"
+                        f"g{gateway_index} exited unexpectedly with {run.returncode}"
                     )
                     self._is_over = True
             await asyncio.sleep(0.1)
@@ -341,28 +349,29 @@
     *,
     length_s: float,
     with_entries: bool = True,
-    with_returns: bool = True,
+    with_restores: bool = True,
     is_stops: bool = False,
 ) -> tuple[Record, Callers]:
-    """Run a seed; return what was done and what the callers saw.
+    """Run a seed; return the record of the run and the callers with their requests.
 
     Parameters
     ----------
     is_stops : bool
-        Planned stops alone, under load and beside patient callers; else all faults.
+        Planned stops only, under load and with callers that have long deadlines in
+        addition; otherwise all faults.
     """
     async with (
         soak_site() as site,
-        site.returns.copying(),
+        site.restores.taking_backups(),
         contextlib.AsyncExitStack() as stack,
     ):
         gateways: list[GatewayProcess] = []
-        for number, domain in enumerate(DOMAINS):
+        for gateway_index, domain in enumerate(DOMAINS):
             relay = await site.relay_to(site.site.store_address)
             site.store_relays.append(relay)
             gateways.append(
                 GatewayProcess(
-                    host=f"g{number}",
+                    host=f"g{gateway_index}",
                     domain=domain,
                     folder=folder,
                     store=str(relay.address),
@@ -381,62 +390,66 @@
         )
         soak = Soak(site=site, gateways=gateways)
         background = [
-            asyncio.create_task(work)
-            for work in (
-                callers.balance(),
+            asyncio.create_task(coroutine)
+            for coroutine in (
+                callers.poll_readiness(),
                 soak.watch(),
-                note_stalls(site.record.stalls.append),
+                record_stalls(site.record.stalls.append),
                 probe_revoked(site, callers),
-                *(callers.call_on() for _ in range(N_CALLERS)),
+                *(callers.call_repeatedly() for _ in range(N_CALLERS)),
             )
         ]
-        patient: list[asyncio.Task[None]] = []
+        long_deadline_tasks: list[asyncio.Task[None]] = []
         if is_stops:
             steps = stop_schedule(seed, length_s=length_s, n_gateways=len(gateways))
             site.load()
-            patient = PatientCallers(callers=callers, rng=random.Random(seed)).begin()
+            long_deadline_tasks = LongDeadlineCallers(
+                callers=callers, rng=random.Random(seed)
+            ).start()
         else:
             steps = schedule(
                 seed,
                 length_s=length_s,
                 n_gateways=len(gateways),
                 with_entries=with_entries,
-                with_returns=with_returns,
+                with_restores=with_restores,
             )
-        await asyncio.gather(*(_later(soak, step.at_s, step.action) for step in steps))
+        await asyncio.gather(*(_run_at(soak, step.at_s, step.action) for step in steps))
         site.unload()
-        for task in patient:
+        for task in long_deadline_tasks:
             task.cancel()
-        background += patient
+        background += long_deadline_tasks
         site.record.healed_s = time.monotonic()
-        await asyncio.sleep(HEAL_S)
+        await asyncio.sleep(RECOVERY_S)
         for task in background:
             task.cancel()
-        ends = await asyncio.gather(*background, return_exceptions=True)
+        results = await asyncio.gather(*background, return_exceptions=True)
         site.record.problems += [
-            f"the soak itself: {end!r}" for end in ends if isinstance(end, Exception)
+            f"the soak test itself failed: {result!r}"
+            for result in results
+            if isinstance(result, Exception)
         ]
         site.record.problems += _logged_errors(gateways)
         return site.record, callers
 
 
-async def _later(soak: Soak, at_s: float, action: Action) -> None:
+async def _run_at(soak: Soak, at_s: float, action: Action) -> None:
     await asyncio.sleep(at_s)
-    await soak.act(action)
+    await soak.run_action(action)
 
 
 async def probe_revoked(site: SoakSite, callers: Callers) -> None:
-    """Call with keys that were revoked, at every gateway in turn."""
+    """Send requests with the two last revoked keys to every ready gateway in turn."""
     async with one_connection() as client:
         while True:
             for key in list(site.record.revoked_s)[-2:]:
-                for number in sorted(callers.ready):
-                    await callers.call(client, number, key=key)
-            await asyncio.sleep(PROBE_S)
+                for gateway_index in sorted(callers.ready):
+                    await callers.call(client, gateway_index, key=key)
+            await asyncio.sleep(PROBE_PERIOD_S)
 
 
 def _logged_errors(gateways: list[GatewayProcess]) -> list[str]:
-    """Return the errors in the gateways' own logs, one for each kind."""
+    """Return the errors in the gateways' logs, one for each distinct line ending."""
     found: dict[str, str] = {}
     for gateway in gateways:
         for line in gateway.log().splitlines():
--- a/tests/soak/soak_stalls.py
+++ b/tests/soak/soak_stalls.py
@@ -1,4 +1,4 @@
-"""When the soak itself was kept from running: a machine that was too busy."""
+"""Detects when the test process did not run because the machine was overloaded."""
 
 import asyncio
 import time
@@ -6,24 +6,28 @@
 from dataclasses import dataclass
 from typing import Final
 
-LOOK_S: Final = 0.05
-STALL_S: Final = 0.2
-"""Late by so much, callers see a close too late to say what crossed it."""
+POLL_S: Final = 0.05
+MIN_STALL_S: Final = 0.2
+"""Delay of a wake-up from which a stall is recorded.
+
+After a longer one, callers observe the close of a connection too late to tell which
+requests were in flight at that moment.
+"""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Stall:
-    """A time in which the soak's own process did not run."""
+    """A period in which the process of the test did not run."""
 
     began_s: float
     ended_s: float
 
 
-async def note_stalls(note: Callable[[Stall], None]) -> None:
-    """Note stalls until cancelled."""
+async def record_stalls(record: Callable[[Stall], None]) -> None:
+    """Record stalls of the event loop until cancelled."""
     while True:
         began_s = time.monotonic()
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
         ended_s = time.monotonic()
-        if ended_s - began_s > LOOK_S + STALL_S:
-            note(Stall(began_s=began_s, ended_s=ended_s))
+        if ended_s - began_s > POLL_S + MIN_STALL_S:
+            record(Stall(began_s=began_s, ended_s=ended_s))
--- a/tests/soak/soak_stop_checks.py
+++ b/tests/soak/soak_stop_checks.py
@@ -1,84 +1,101 @@
-"""The promise of a planned stop: whoever was heard in time gets an answer."""
+"""Check of planned stops: a request that was received in time gets an answer."""
 
 from collections.abc import Iterator
 from typing import Final
 
 from .soak_actions import (
-    BreakAnswers,
     DisturbWorker,
+    InterruptAnswers,
     KillGateway,
     PauseGateway,
     ReplaceWorker,
     RestartWorker,
 )
-from .soak_callers import PIECES, Callers, Seen, is_overdue
+from .soak_callers import STAGE_PIECES, Callers, ObservedRequest, is_overdue
 from .soak_record import GRACE_S, Record, StopOrder
 
-CROSSING_S: Final = 0.2
-"""What is sent so shortly before the close crosses it; its caller sends it again."""
+IN_FLIGHT_S: Final = 0.2
+"""A request sent this shortly before the close of its connection may cross it.
 
-LAST_S: Final = GRACE_S / 6
-"""Left before the kill when a stream that has begun may be broken off."""
+Its caller sends it again.
+"""
 
-SEEN_S: Final = 0.5
-"""A caller sees the close so long after the process is gone at the latest."""
+STREAM_CLOSE_S: Final = GRACE_S / 6
+"""Time before the kill in which a started stream may be interrupted."""
+
+CLOSE_DETECTION_S: Final = 0.5
+"""Maximum time from the exit of the process until a caller detects the close."""
 
 OTHER_FAULTS: Final = (
     KillGateway,
     PauseGateway,
     DisturbWorker,
-    BreakAnswers,
+    InterruptAnswers,
     ReplaceWorker,
     RestartWorker,
 )
-"""Of its gateway, its scheduler, which may be any gateway, and the workers."""
+"""Faults of the gateway of a request, of its scheduler and of the workers.
+
+Each gateway may be the scheduler.
+"""
 
 
-def cut_at_stops(record: Record, callers: Callers) -> Iterator[str]:
-    """Around a planned stop alone, what was sent in time is answered."""
-    for seen in callers.seen:
-        order = _stop_at_end(record, seen)
-        if order is None or not _is_cut(record, seen) or _has_other_fault(record, seen):
+def interrupted_at_stops(record: Record, callers: Callers) -> Iterator[str]:
+    """Check that a planned stop without other faults interrupts no accepted request."""
+    for request in callers.requests:
+        order = _stop_at_outcome(record, request)
+        if (
+            order is None
+            or not _was_interrupted(record, request)
+            or _has_other_fault(record, request)
+        ):
             continue
-        left_s = order.ordered_s + GRACE_S - seen.ended_s
-        has_begun = seen.kind in PIECES and seen.status > 0
-        if has_begun and (left_s <= LAST_S or is_overdue(seen)):
+        remaining_s = order.ordered_s + GRACE_S - request.ended_s
+        has_begun = request.kind in STAGE_PIECES and request.status > 0
+        if has_begun and (remaining_s <= STREAM_CLOSE_S or is_overdue(request)):
             continue
         yield (
-            f"{seen.request_id} ({seen.kind}) was cut by the stop of g{order.host},"
-            f" {seen.ended_s - seen.whole_s:.2f} s after it was sent and"
-            f" {seen.ended_s - order.ordered_s:.2f} s after the order"
+            f"{request.request_id} ({request.kind}) was interrupted by the stop of"
+            f" g{order.host},"
+            f" {request.ended_s - request.fully_sent_s:.2f} s after it was sent and"
+            f" {request.ended_s - order.ordered_s:.2f} s after the order"
         )
 
 
-def _is_cut(record: Record, seen: Seen) -> bool:
-    """Return True if its connection was closed on it, and it did not cross that.
+def _was_interrupted(record: Record, request: ObservedRequest) -> bool:
+    """Return True if its connection closed before the answer and it did not cross that.
 
-    A caller sees the close when it runs. While the soak stands still none does, and
-    what it sees next may be as old as that.
+    Callers detect a close only while the test process runs. After a stall, a close that
+    they detect may be as old as the stall, so the stalled time is subtracted.
     """
-    if seen.is_whole or not seen.ended_s or not seen.whole_s:
+    if request.is_complete or not request.ended_s or not request.fully_sent_s:
         return False
-    stood_still_s = sum(
-        max(0.0, min(stall.ended_s, seen.ended_s) - max(stall.began_s, seen.whole_s))
+    stalled_s = sum(
+        max(
+            0.0,
+            min(stall.ended_s, request.ended_s)
+            - max(stall.began_s, request.fully_sent_s),
+        )
         for stall in record.stalls
     )
-    return seen.ended_s - seen.whole_s - stood_still_s > CROSSING_S
+    return request.ended_s - request.fully_sent_s - stalled_s > IN_FLIGHT_S
 
 
-def _stop_at_end(record: Record, seen: Seen) -> StopOrder | None:
-    """Return the stop of its gateway in which a request ended."""
+def _stop_at_outcome(record: Record, request: ObservedRequest) -> StopOrder | None:
+    """Return the stop of its gateway during which a request ended, or None."""
     for order in record.orders:
-        is_within = order.ordered_s <= seen.ended_s <= order.ended_s + SEEN_S
-        if order.host == seen.gateway and is_within:
+        is_within = (
+            order.ordered_s <= request.ended_s <= order.ended_s + CLOSE_DETECTION_S
+        )
+        if order.host == request.gateway and is_within:
             return order
     return None
 
 
-def _has_other_fault(record: Record, seen: Seen) -> bool:
+def _has_other_fault(record: Record, request: ObservedRequest) -> bool:
     return any(
-        isinstance(mark.action, OTHER_FAULTS)
-        and mark.began_s <= seen.ended_s
-        and mark.ended_s + SEEN_S >= seen.sent_s
-        for mark in record.marks
+        isinstance(interval.action, OTHER_FAULTS)
+        and interval.began_s <= request.ended_s
+        and interval.ended_s + CLOSE_DETECTION_S >= request.sent_s
+        for interval in record.intervals
     )
--- a/tests/soak/soak_stops.py
+++ b/tests/soak/soak_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops that follow one another and overlap, drawn from a seed."""
+"""Schedules of consecutive and overlapping planned stops, drawn from a seed."""
 
 import random
 from typing import Final
@@ -6,48 +6,56 @@
 from .soak_actions import HangUpGateway, Step, StopGateway
 from .soak_record import GRACE_S
 
-FILL_S: Final = 3.0
-"""Until the first order; by then requests queue for their stages."""
+WARM_UP_S: Final = 3.0
+"""Time before the first order to stop; requests then queue for their stages."""
 
-BACK_S: Final = (1.0, 3.0)
-"""From the last kill of a series to the next: all are back, or just not yet."""
+SERIES_GAP_S: Final = (1.0, 3.0)
+"""Range of the time from the last kill of a series to the next series.
 
-GAPS_S: Final = (0.25, 2.5)
-"""Between the orders of a series; each comes before the former gateway is back."""
+Depending on it, all gateways are ready again or the last ones not quite yet.
+"""
 
-N_HANG_UPS: Final = 3
-"""Most hang-ups within one stop."""
+ORDER_GAP_S: Final = (0.25, 2.5)
+"""Range of the time between orders of a series.
+
+Each order arrives before the previous gateway is ready again.
+"""
+
+MAX_HANG_UPS: Final = 3
+"""Maximum number of SIGHUP signals during one stop."""
 
 
 def stop_schedule(seed: int, *, length_s: float, n_gateways: int) -> list[Step]:
-    """Return series of planned stops, and hang-ups within them."""
+    """Return series of planned stops, with SIGHUP signals during them."""
     rng = random.Random(f"stops {seed}")
     steps: list[Step] = []
-    at_s = FILL_S
+    at_s = WARM_UP_S
     while at_s < length_s:
         last_s = at_s
-        for number, after_s in _series(rng, n_gateways):
+        for gateway_index, after_s in _series(rng, n_gateways):
             last_s = at_s + after_s
-            steps.append(Step(at_s=last_s, action=StopGateway(number=number)))
+            steps.append(
+                Step(at_s=last_s, action=StopGateway(gateway_index=gateway_index))
+            )
             steps += [
                 Step(
                     at_s=last_s + rng.uniform(0.0, GRACE_S),
-                    action=HangUpGateway(number=number),
+                    action=HangUpGateway(gateway_index=gateway_index),
                 )
-                for _ in range(rng.randint(0, N_HANG_UPS))
+                for _ in range(rng.randint(0, MAX_HANG_UPS))
             ]
-        at_s = last_s + GRACE_S + rng.uniform(*BACK_S)
+        at_s = last_s + GRACE_S + rng.uniform(*SERIES_GAP_S)
     return sorted(steps, key=lambda step: step.at_s)
 
 
 def _series(rng: random.Random, n_gateways: int) -> list[tuple[int, float]]:
-    """Return each gateway and the time of its order: in turn, or two at once."""
-    numbers = rng.sample(range(n_gateways), n_gateways)
+    """Return the gateways and the times of their orders, singly or in pairs."""
+    gateway_indexes = rng.sample(range(n_gateways), n_gateways)
     n_at_once = rng.choice((1, 2))
     after_s = 0.0
     series = []
-    for place, number in enumerate(numbers):
-        if place >= n_at_once:
-            after_s += rng.uniform(*GAPS_S)
-        series.append((number, after_s))
+    for position, gateway_index in enumerate(gateway_indexes):
+        if position >= n_at_once:
+            after_s += rng.uniform(*ORDER_GAP_S)
+        series.append((gateway_index, after_s))
     return series
--- a/tests/soak/test_key_checks.py
+++ b/tests/soak/test_key_checks.py
@@ -1,22 +1,22 @@
-"""What the soak counts as a gateway that goes back to an older version."""
+"""Tests of the check for gateways that go back to an older table version."""
 
 import random
 
 from .soak_actions import KillGateway
-from .soak_callers import Callers, Seen
-from .soak_checks import _keys_for_good
-from .soak_record import Mark, Record
+from .soak_callers import Callers, ObservedRequest
+from .soak_checks import _key_regressions
+from .soak_record import ActionInterval, Record
 
 
-def call(version: int, sent_s: float, status: int) -> Seen:
-    """Return a call with the key of a version."""
-    return Seen(
+def call(version: int, sent_s: float, status: int) -> ObservedRequest:
+    """Return a request with the key of a table version."""
+    return ObservedRequest(
         request_id=f"q{sent_s}",
         kind="price",
         key=f"key{version}",
         gateway=0,
         sent_s=sent_s,
-        whole_s=sent_s,
+        fully_sent_s=sent_s,
         ended_s=sent_s + 0.01,
         status=status,
         deadline_s=20.0,
@@ -24,15 +24,19 @@
     )
 
 
-def found(*seen: Seen, killed_s: float | None = None) -> list[str]:
-    """Return what is found in calls of one gateway."""
+def found(*requests: ObservedRequest, killed_s: float | None = None) -> list[str]:
+    """Return the violations found in requests to one gateway."""
     record = Record(workers=[])
     if killed_s is not None:
-        action = KillGateway(number=0, for_s=0.0)
-        mark = Mark(action=action, host=0, began_s=killed_s, ended_s=killed_s)
-        record.marks.append(mark)
-    callers = Callers(gateways=[], key=str, rng=random.Random(0), seen=list(seen))
-    return list(_keys_for_good(record, callers))
+        action = KillGateway(gateway_index=0, for_s=0.0)
+        interval = ActionInterval(
+            action=action, host=0, began_s=killed_s, ended_s=killed_s
+        )
+        record.intervals.append(interval)
+    callers = Callers(
+        gateways=[], key=str, rng=random.Random(0), requests=list(requests)
+    )
+    return list(_key_regressions(record, callers))
 
 
 class TestKeysForGood:
@@ -40,8 +44,8 @@
         assert len(found(call(7, 1.0, 200), call(6, 5.0, 200))) == 1
 
     def test_one_that_is_not_in_force_yet_may_be_taken_later(self) -> None:
-        # Two versions are published 0.2 s apart: the first key is revoked before its
-        # version has come to the gateway.
+        # Two versions are published 0.2 s apart, so the first key is revoked before its
+        # version has reached the gateway.
         calls = (call(6, 1.0, 200), call(7, 2.0, 401), call(7, 3.0, 200))
         assert found(*calls, call(8, 4.0, 200)) == []
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, and every seed that ever failed."""
+"""Soak tests with a fixed seed and with all seeds that once failed."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -7,28 +7,28 @@
 import pytest
 
 from .soak_actions import Step, schedule
-from .soak_checks import broken
+from .soak_checks import violations
 from .soak_run import run_soak
 from .soak_stops import stop_schedule
 
 
 class Draw(Protocol):
-    """Draws what a seed stands for."""
+    """Draws the schedule of a seed."""
 
     def __call__(self, seed: int, *, length_s: float, n_gateways: int) -> list[Step]:
-        """Return it."""
+        """Return the steps of `seed`."""
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Case:
-    """A seed, how much of its schedule is played, and why it is kept."""
+    """A seed, the length of its schedule that is run, and what it guards against."""
 
     seed: int
     length_s: float
     why: str
     with_entries: bool = False
-    with_returns: bool = False
+    with_restores: bool = False
     is_stops: bool = False
 
 
@@ -37,46 +37,46 @@
     Case(
         seed=107,
         length_s=5.0,
-        why="a stream whose engine fell silent was counted as sent twice, and cut",
+        why="a stream of an unresponsive engine counted as sent twice, and interrupted",
     ),
     Case(
         seed=3,
         length_s=6.0,
-        why="workers start again under their ids among entries of other writers",
+        why="workers restart under their ids while invalid entries are written",
         with_entries=True,
     ),
     Case(
         seed=1,
         length_s=4.0,
-        why="stops in turn cut who waits for stages longer than a stop lasts",
+        why="consecutive stops interrupt requests that queue longer than a stop lasts",
         is_stops=True,
     ),
     Case(
         seed=3,
         length_s=4.0,
-        why="so do two stops at once, the third before the two are back",
+        why="two stops at once do so, the third before the two gateways are ready",
         is_stops=True,
     ),
     Case(
         seed=107,
         length_s=15.0,
-        why="a gateway that stops waits for links to a paused one beyond its grace",
+        why="a stopping gateway waits for links to a paused one beyond its grace period",
         with_entries=True,
     ),
     Case(
         seed=2,
         length_s=12.0,
-        why="the store comes back from copies, again and again",
+        why="the store is restored from backups repeatedly",
         with_entries=True,
-        with_returns=True,
+        with_restores=True,
     ),
 )
 
 
 def name(case: Case) -> str:
-    """Return what names a case in the tests' output."""
+    """Return the test id of a case."""
     kind = "stops-" if case.is_stops else "entries-" if case.with_entries else ""
-    return f"{'returns-' if case.with_returns else ''}{kind}{case.seed}"
+    return f"{'returns-' if case.with_restores else ''}{kind}{case.seed}"
 
 
 class TestSoak:
@@ -87,10 +87,10 @@
             tmp_path,
             length_s=case.length_s,
             with_entries=case.with_entries,
-            with_returns=case.with_returns,
+            with_restores=case.with_restores,
             is_stops=case.is_stops,
         )
-        assert broken(record, callers) == []
+        assert violations(record, callers) == []
 
 
 @pytest.mark.parametrize("draw", [schedule, stop_schedule])
--- a/tests/stop_schedules.py
+++ b/tests/stop_schedules.py
@@ -14,7 +14,7 @@
 import fire
 
 from tests.harness import CHAIN, FREE, ONCE, Fleet, GatewaySlot, SidecarSlot, fleet
-from tests.soak.soak_stalls import Stall, note_stalls
+from tests.soak.soak_stalls import Stall, record_stalls
 from tests.waiting import until
 
 N_GATEWAYS: Final = 3
@@ -186,7 +186,7 @@
         stalls: list[Stall] = []
         background = [
             asyncio.create_task(played.balance()),
-            asyncio.create_task(note_stalls(stalls.append)),
+            asyncio.create_task(record_stalls(stalls.append)),
         ]
         callers = [
             asyncio.create_task(played.call_on(number)) for number in range(N_CALLERS)
