--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: the same verdict on every run."""
+"""Settings of all tests, with deterministic property-based tests."""
 
 import pytest
 from hypothesis import settings
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def fast(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten heartbeats and what counts as dead, so that tests end soon."""
+    """Shorten heartbeats, timeouts and failure detection, so that tests run fast."""
     for module in (connection_module, link_module, server_module):
         for name, value in (
             ("HEARTBEAT_S", 0.02),
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A gateway with fake sidecars and an HTTP client, for tests."""
+"""A gateway in the test process, with fake sidecars and an HTTP client."""
 
 import contextlib
 from collections.abc import AsyncIterator, Sequence
@@ -142,7 +142,7 @@
     client_kwargs: dict[str, object] | None = None,
     drain_s: float = 10.0,
 ) -> AsyncIterator[GatewayHarness]:
-    """Run a gateway before `sidecars` until the context ends."""
+    """Run a gateway in front of `sidecars` until the context ends."""
     async with contextlib.AsyncExitStack() as stack:
         for sidecar in sidecars:
             await stack.enter_async_context(sidecar.running())
@@ -170,7 +170,7 @@
 
 
 def has_load_report(gateway: Gateway, sidecar: FakeSidecar) -> bool:
-    """Return True once the gateway holds a load report of `sidecar`."""
+    """Return True if the gateway has a load report of `sidecar` and may use it."""
     for view in gateway._views:
         if view.process_id == f"{sidecar.name}-sidecar":
             return isinstance(view.load, Load) and view.may_get_work()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,8 +1,8 @@
-"""Real gateways and sidecars in one event loop, with relays that fail on command.
+"""Real gateways and sidecars in one event loop, with fault-injecting relays.
 
-Between each gateway and each sidecar stands a relay that can delay, stall, cut
-or refuse. Targets keep their own record of what they ran, which the tests
-compare with what callers were told.
+A relay between each gateway and each sidecar can delay or stall data, break
+connections and refuse new ones. Targets record the calls that they ran, which the
+tests compare with the answers that callers received.
 """
 
 import asyncio
@@ -51,7 +51,7 @@
     "until",
 ]
 
-LONG_S: Final = 3600.0
+BACKDATE_S: Final = 3600.0
 
 
 class Fleet:
@@ -74,8 +74,8 @@
             for i in range(n_gateways)
         ]
         self._client: aiohttp.ClientSession | None = None
-        self._dead: list[contextlib.AsyncExitStack] = []
-        self._numbers = itertools.count()
+        self._killed: list[contextlib.AsyncExitStack] = []
+        self._text_numbers = itertools.count()
 
     def slot(self, name: str) -> SidecarSlot:
         return next(slot for slot in self.slots if slot.name == name)
@@ -87,7 +87,7 @@
         return (relay for g in self.gateways for relay in g.relays.values())
 
     def key_with_replicas_in(self, service: str) -> str:
-        """Return a key whose places are all sidecars of `service`."""
+        """Return a request key whose replicas are all sidecars of `service`."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
         places = place_list(hosts)
         for number in itertools.count():
@@ -98,7 +98,7 @@
         raise AssertionError
 
     def replicas_of(self, key: str) -> list[SidecarSlot]:
-        """Return the slots that decide about `key`, the first place first."""
+        """Return the slots of the replicas of `key`, the primary first."""
         hosts = self._list({slot.name: _address_of(slot) for slot in self.slots})
         pair = place_list(hosts).pair(account_key("club", key).text)
         return [self.slot(p.process_id.removesuffix("-sidecar")) for p in pair]
@@ -117,10 +117,10 @@
             for slot in self.slots:
                 await stack.enter_async_context(slot.target.serving())
                 await self.start_sidecar(slot)
-                stack.push_async_callback(self._end_slot, slot)
+                stack.push_async_callback(self._close_sidecar, slot)
             for gateway in self.gateways:
                 await self.start_gateway(gateway)
-                stack.push_async_callback(self._end_gateway, gateway)
+                stack.push_async_callback(self._close_gateway, gateway)
             self.publish()
             connector = aiohttp.TCPConnector(limit=0, force_close=True)
             self._client = await stack.enter_async_context(
@@ -130,14 +130,14 @@
             yield self
             for relay in self.all_relays():
                 relay.heal()
-            for dead in self._dead:
-                await dead.aclose()
+            for killed in self._killed:
+                await killed.aclose()
 
     def is_ready(self) -> bool:
         return all(self.may_send_to(g, s) for g in self.gateways for s in self.slots)
 
     def may_send_to(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
-        """Return True if `gateway` would give work to the sidecar of `slot`."""
+        """Return True if `gateway` may send work to the sidecar of `slot`."""
         assert gateway.gateway is not None and slot.process is not None
         incarnation = slot.process.identity.incarnation
         return any(
@@ -149,13 +149,13 @@
         )
 
     def busy(self, gateway: GatewaySlot) -> list[str]:
-        """Return the names of the sidecars that `gateway` has calls open at."""
+        """Return the names of the sidecars with open calls from `gateway`."""
         assert gateway.gateway is not None
         views = gateway.gateway._views
         return [view.host.name for view in views if view.n_outstanding]
 
     def is_connected(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
-        """Return True if the connection from `gateway` to `slot` looks open."""
+        """Return True if `gateway` has a connection to `slot`, even an unresponsive one."""
         assert gateway.gateway is not None
         return any(
             view.host.name == slot.name and view.link.connection is not None
@@ -163,7 +163,10 @@
         )
 
     def publish(self) -> None:
-        """Give every process the catalogue and the list, by its own addresses."""
+        """Publish the catalogue and the host list to every process.
+
+        Gateways get the addresses of their own relays to the sidecars.
+        """
         for gateway in self.gateways:
             if gateway.gateway is not None:
                 ports = {name: r.address for name, r in gateway.relays.items()}
@@ -205,7 +208,7 @@
         return HostList(revision=self.hosts_revision, hosts=(*sidecars, *gateways))
 
     async def start_sidecar(self, slot: SidecarSlot) -> None:
-        """Start a sidecar in `slot`: a new incarnation behind the same relays."""
+        """Start a new incarnation of the sidecar in `slot`, behind the same relays."""
         slot.n_starts += 1
         token = OWNER_OF_TASK.set(slot.owner)
         try:
@@ -220,7 +223,7 @@
             slot.stack = contextlib.AsyncExitStack()
             await slot.stack.enter_async_context(sidecar.open())
             if slot.n_starts == 1:
-                _age_claims(process)
+                _backdate_claim_registry(process)
         finally:
             OWNER_OF_TASK.reset(token)
         slot.sidecar, slot.process = sidecar, process
@@ -249,7 +252,7 @@
         slot.gateway = gateway
 
     def kill_sidecar(self, slot: SidecarSlot) -> None:
-        """End the sidecar as SIGKILL would: no frame and no call leaves it more."""
+        """End the sidecar as SIGKILL would: it sends no further frame or call."""
         assert slot.sidecar is not None and slot.process is not None
         for relay in self.relays_to(slot.name):
             relay.upstream = None
@@ -260,7 +263,7 @@
         if listener is not None:
             listener.close()
         cancel_tasks_of(slot.owner)
-        self._dead.append(slot.stack)
+        self._killed.append(slot.stack)
         slot.sidecar = slot.process = None
 
     def kill_gateway(self, slot: GatewaySlot) -> None:
@@ -273,35 +276,36 @@
             if link.connection is not None:
                 link.connection.abort()
         cancel_tasks_of(slot.name)
-        # Of a connection that was accepted a moment before, no task may have begun
-        # yet: it would be neither served nor closed, and its caller wait for ever.
+        # The task of a connection that was accepted just before may not have started.
+        # That connection would be neither served nor closed, so its caller would wait
+        # forever.
         for asking in slot.asking:
             asking.cancel()
-        self._dead.append(slot.stack)
+        self._killed.append(slot.stack)
         slot.gateway = None
 
     async def stop_sidecar(self, slot: SidecarSlot) -> int:
-        """Stop the sidecar as planned; return how many calls it cut off."""
+        """Stop the sidecar as planned; return how many calls it interrupted."""
         assert slot.sidecar is not None
         n_cut_off = await slot.sidecar.stop()
-        await self._end_slot(slot)
+        await self._close_sidecar(slot)
         return n_cut_off
 
-    async def _end_slot(self, slot: SidecarSlot) -> None:
+    async def _close_sidecar(self, slot: SidecarSlot) -> None:
         if slot.process is not None:
             slot.sidecar = slot.process = None
             await slot.stack.aclose()
 
-    async def _end_gateway(self, slot: GatewaySlot) -> None:
+    async def _close_gateway(self, slot: GatewaySlot) -> None:
         if slot.gateway is not None:
             await slot.stack.aclose()
             slot.gateway = None
 
     async def stop_gateway(self, slot: GatewaySlot) -> int:
-        """Stop the gateway as planned; return how many requests it cut off."""
+        """Stop the gateway as planned; return how many requests it interrupted."""
         assert slot.gateway is not None
         process = slot.gateway.process
-        await self._end_gateway(slot)
+        await self._close_gateway(slot)
         return process.n_cut_off
 
     async def call(
@@ -313,11 +317,11 @@
         key: str = "",
         deadline_s: float = 0.0,
     ) -> Told:
-        """Send one request as a caller would and return what it was told."""
+        """Send one request as a caller would and return its answer."""
         slot = self.gateways[gateway]
         if slot.gateway is None:
             return Told(text=text, status=0, body=NOBODY_THERE, request_id="")
-        text = text or f"text {next(self._numbers)}"
+        text = text or f"text {next(self._text_numbers)}"
         headers = {"X-Client-Account": "club"}
         if key:
             headers["Idempotency-Key"] = key
@@ -368,25 +372,25 @@
     drain_s: float = DRAIN_S,
 ) -> AsyncIterator[Fleet]:
     """Run a fleet until the context ends."""
-    made = Fleet(
+    running_fleet = Fleet(
         n_gateways=n_gateways,
         n_per_service=n_per_service,
         deadline_s=deadline_s,
         drain_s=drain_s,
     )
-    async with made.running():
-        yield made
+    async with running_fleet.running():
+        yield running_fleet
 
 
-def _age_claims(process: Process) -> None:
-    """Make a sidecar old enough to vouch that it has not seen a request key.
+def _backdate_claim_registry(process: Process) -> None:
+    """Make a sidecar old enough to confirm that a request key is new.
 
-    One that started lately refuses keys for a retry window; the tests want a
-    fleet that has run for long, and restarts within it.
+    A sidecar refuses keys for a retry window after its start. The tests need a fleet
+    that has run for longer, with restarts during its run.
     """
     home = process.server._answerers[Claim].__self__  # type: ignore[attr-defined]
-    home._registry._start_s -= LONG_S
-    home._registry.history.cut_s -= LONG_S
+    home._registry._start_s -= BACKDATE_S
+    home._registry.history.cut_s -= BACKDATE_S
 
 
 def _address_of(slot: SidecarSlot) -> Address:
--- a/tests/harness_relay.py
+++ b/tests/harness_relay.py
@@ -1,4 +1,4 @@
-"""A relay between two processes of the harness that fails on command."""
+"""A relay between two processes of the harness that injects network faults."""
 
 import asyncio
 import contextlib
@@ -8,18 +8,20 @@
 
 
 class Relay:
-    """Carries connections to `upstream`, and breaks them as it is told.
+    """Forwards connections to `upstream`, with faults on request.
 
     Attributes
     ----------
     delay_s, delay_back_s : float
-        Each piece arrives this much later; the second counts on the way back.
+        Delay of each chunk of data; `delay_back_s` is added for data from upstream.
     is_stalled : bool
-        Nothing passes, nothing is closed: how a pause or a partition looks.
+        No data passes and no connection is closed, as with a paused process or a
+        partitioned network.
     is_refusing : bool
         New connections are closed at once.
     damage_index : int
-        Damage the byte at this place of the next larger piece; 0 for none.
+        Flip a bit of the byte at this index in the next chunk that is longer; 0 for
+        none.
     """
 
     def __init__(self) -> None:
@@ -28,38 +30,38 @@
         self.delay_back_s = 0.0
         self.is_refusing = False
         self.damage_index = 0
-        self._flows = asyncio.Event()
-        self._flows.set()
+        self._is_flowing = asyncio.Event()
+        self._is_flowing.set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._gateway_side: set[asyncio.StreamWriter] = set()
-        self._lingers = False
+        self._forwards_after_close = False
         self._tasks: set[asyncio.Task[None]] = set()
         self.address = Address(ip="127.0.0.1", port=0)
 
     @property
     def is_stalled(self) -> bool:
-        return not self._flows.is_set()
+        return not self._is_flowing.is_set()
 
     @is_stalled.setter
     def is_stalled(self, is_stalled: bool) -> None:
         if is_stalled:
-            self._flows.clear()
+            self._is_flowing.clear()
         else:
-            self._flows.set()
+            self._is_flowing.set()
 
     def disconnect(self) -> None:
-        """Break all connections; what is on its way is lost."""
+        """Abort all connections; data in flight is lost."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def disconnect_gateway_side(self) -> None:
-        """Break the gateways' side; what is on its way still arrives, late."""
-        self._lingers = True
+        """Abort the gateways' connections; data to upstream still arrives, late."""
+        self._forwards_after_close = True
         for writer in list(self._gateway_side):
             writer.transport.abort()
 
     def heal(self) -> None:
-        self._lingers = False
+        self._forwards_after_close = False
         self.delay_s = 0.0
         self.delay_back_s = 0.0
         self.is_refusing = False
@@ -92,7 +94,7 @@
             )
             self._writers.add(up_writer)
             try:
-                await self._both(reader, up_writer, up_reader, writer)
+                await self._forward_both(reader, up_writer, up_reader, writer)
             finally:
                 self._writers.discard(up_writer)
                 up_writer.transport.abort()
@@ -103,26 +105,26 @@
             self._gateway_side.discard(writer)
             writer.transport.abort()
 
-    async def _both(
+    async def _forward_both(
         self,
         reader: asyncio.StreamReader,
         up_writer: asyncio.StreamWriter,
         up_reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        ways = [
-            asyncio.create_task(self._carry(reader, up_writer, is_back=False)),
-            asyncio.create_task(self._carry(up_reader, writer, is_back=True)),
+        directions = [
+            asyncio.create_task(self._forward(reader, up_writer, is_back=False)),
+            asyncio.create_task(self._forward(up_reader, writer, is_back=True)),
         ]
-        self._tasks.update(ways)
-        await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-        if self._lingers:
-            await asyncio.wait(ways[:1])
-        for way in ways:
-            way.cancel()
-        self._tasks.difference_update(ways)
-
-    async def _carry(
+        self._tasks.update(directions)
+        await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+        if self._forwards_after_close:
+            await asyncio.wait(directions[:1])
+        for direction in directions:
+            direction.cancel()
+        self._tasks.difference_update(directions)
+
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -134,13 +136,13 @@
                 delay_s = self.delay_s + (self.delay_back_s if is_back else 0.0)
                 if delay_s:
                     await asyncio.sleep(delay_s)
-                await self._flows.wait()
-                writer.write(self._damaged(data))
+                await self._is_flowing.wait()
+                writer.write(self._damage(data))
                 await writer.drain()
 
-    def _damaged(self, data: bytes) -> bytes:
-        at = self.damage_index
-        if not 0 < at < len(data):
+    def _damage(self, data: bytes) -> bytes:
+        index = self.damage_index
+        if not 0 < index < len(data):
             return data
         self.damage_index = 0
-        return data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
+        return data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]
--- a/tests/harness_settings.py
+++ b/tests/harness_settings.py
@@ -1,4 +1,4 @@
-"""Catalogue and settings of the harness's gateways and sidecars."""
+"""Catalogue and settings of the gateways and sidecars of the harness."""
 
 from typing import Final
 
@@ -42,7 +42,7 @@
 
 
 def catalogue(*, deadline_s: float) -> Catalogue:
-    """Return three pipelines: repeatable, to run once, and one after the other."""
+    """Return three pipelines: one idempotent stage, one that is not, and both."""
     free = stage("read", "pool", idempotent=True)
     once = stage("book", "plain", idempotent=False)
     entry = Entry(
@@ -80,7 +80,7 @@
             url=f"http://127.0.0.1:{target.port}",
             lock_port=9,
         ),
-        # The tests count on the four slots that a service begins with.
+        # The tests rely on the four slots that a service starts with.
         policy=PolicySettings(adapt_concurrency=False),
         retention=RetentionSettings(),
         stop=StopSettings(drain_s=drain_s, settle_s=0.05),
--- a/tests/harness_target.py
+++ b/tests/harness_target.py
@@ -1,4 +1,4 @@
-"""A target of the harness that says what it was given and records its runs."""
+"""A target of the harness that echoes its input and records its runs."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """One call that a target ran, in its own record."""
+    """One call that a target ran, as recorded by the target."""
 
     request_id: str
     attempt_id: str
@@ -21,7 +21,7 @@
 
 
 class Target:
-    """A target that says what it was given, and records each run of it."""
+    """A target that echoes its input and records each run."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -51,11 +51,11 @@
         return web.Response()
 
     async def _run(self, request: web.Request) -> web.Response:
-        given = orjson.loads(await request.read())
+        payload = orjson.loads(await request.read())
         run = Run(
             request_id=request.headers["X-Request-Id"],
             attempt_id=request.headers["X-Attempt-Id"],
-            text=_text_of(given),
+            text=_text_of(payload),
         )
         self.runs.append(run)
         await self.gate.wait()
@@ -65,9 +65,9 @@
         return web.json_response({"echo": run.text}, headers={"X-Cost-S": "0.01"})
 
 
-def _text_of(given: Any) -> str:
-    previous = given.get("previous")
+def _text_of(payload: Any) -> str:
+    previous = payload.get("previous")
     if isinstance(previous, dict):
         return str(previous["echo"])
-    value = given["input"]
+    value = payload["input"]
     return str(value["text"]) if isinstance(value, dict) else str(value)
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -1,4 +1,4 @@
-"""A gateway and a sidecar as separate processes, with fakes around them."""
+"""A gateway and a sidecar as separate processes, with a fake platform and target."""
 
 import asyncio
 import contextlib
@@ -65,28 +65,28 @@
 
 @dataclass
 class StartedProcess:
-    """One process of the system."""
+    """One running gateway or sidecar process."""
 
     popen: subprocess.Popen[bytes]
     operators: str
     log: Path
 
     def n_children(self) -> int:
-        """Return how many processes it has started that still run."""
+        """Return the number of its running descendant processes."""
         try:
             return len(psutil.Process(self.popen.pid).children(recursive=True))
         except psutil.NoSuchProcess:
             return 0
 
     async def ended(self) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait until the process exits and return the exit code."""
         await until(lambda: self.popen.poll() is not None)
         return self.popen.returncode
 
 
 @dataclass
 class ProcessPair:
-    """The gateway, the sidecar and the fakes around them."""
+    """A gateway and a sidecar with a fake target and an HTTP client."""
 
     gateway: StartedProcess
     sidecar: StartedProcess
@@ -95,7 +95,7 @@
     client: aiohttp.ClientSession
 
     async def price(self) -> int:
-        """Ask the pipeline and return the HTTP status."""
+        """Send a request to the pipeline and return the HTTP status."""
         async with self.client.post(
             f"http://{self.callers}/v1/pipelines/price",
             json={"kit": "home"},
@@ -105,7 +105,7 @@
             return response.status
 
     async def status_of(self, started: StartedProcess, path: str) -> int:
-        """Return the status of a GET at the operators' port; 0 while closed."""
+        """Return the status of a GET at the operators' port; 0 without an answer."""
         try:
             async with self.client.get(f"http://{started.operators}{path}") as response:
                 return response.status
@@ -121,7 +121,7 @@
                     await asyncio.sleep(0.02)
 
     async def until_serving(self) -> None:
-        """Wait until both are ready and have found each other."""
+        """Wait until both are ready and a request through both succeeds."""
         await self.until_ready()
         async with asyncio.timeout(CAP_S):
             while await self.price() != 200:  # noqa: ASYNC110
@@ -142,7 +142,7 @@
             started.popen.send_signal(order)
 
 
-def _take_hangups() -> None:
+def _reset_sighup() -> None:
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
@@ -158,8 +158,8 @@
             stdout=out,
             stderr=out,
             env=dict(os.environ),
-            # Whoever starts the tests may have told them to ignore a hangup.
-            preexec_fn=_take_hangups,
+            # The tests may run with SIGHUP ignored, which child processes inherit.
+            preexec_fn=_reset_sighup,
         )
     operators = next(
         line.partition('"')[2].rstrip('"')
@@ -202,7 +202,7 @@
 async def process_pair(
     program: Sequence[str], folder: Path, *, more_settings: str = ""
 ) -> AsyncIterator[ProcessPair]:
-    """Run a gateway and a sidecar by `program` until the context ends."""
+    """Run a gateway and a sidecar with `program` until the context ends."""
     async with (
         FakePlatform().serving() as platform,
         FakeTarget().serving() as target,
--- a/tests/soak/soak_actions.py
+++ b/tests/soak/soak_actions.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InterruptAnswers:
-    """One worker of a service runs requests and resets connections before it answers."""
+    """One worker of a service runs requests but resets connections before answers."""
 
     service: str
     for_s: float
--- a/tests/soak/soak_checks.py
+++ b/tests/soak/soak_checks.py
@@ -209,7 +209,9 @@
         is_old = at_s is not None and request.sent_s > at_s + ACTIVATION_S
         is_taken = is_old and request.status not in {UNAUTHORISED, 0, 503}
         if is_taken and _is_calm(record, request.sent_s - CALM_S, request.sent_s):
-            yield f"{request.request_id}: {request.key} was accepted after its revocation"
+            yield (
+                f"{request.request_id}: {request.key} was accepted after its revocation"
+            )
     began_s = {
         f"key{index + 2}": s for index, s in enumerate(record.revoked_s.values())
     }
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -60,7 +60,7 @@
     Case(
         seed=107,
         length_s=15.0,
-        why="a stopping gateway waits for links to a paused one beyond its grace period",
+        why="a stopping gateway waits for links to a paused one past its grace period",
         with_entries=True,
     ),
     Case(
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo, run whole on the smallest deployment, as a new user would."""
+"""The demo runs completely on the smallest deployment, as for a new user."""
 
 import os
 import re
@@ -10,7 +10,7 @@
 
 
 class TestDemo:
-    def test_every_answer_is_whole_and_none_is_cut_off(self) -> None:
+    def test_every_answer_is_complete_and_none_is_interrupted(self) -> None:
         done = subprocess.run(
             [
                 *(sys.executable, "-m", "trefoilpaddle.standins", "demo"),
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Docs agree with the code: reference pages, links, commands."""
+"""The documentation agrees with the code: reference pages, links, commands."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 class TestReference:
-    def test_pages_made_from_the_code_are_up_to_date(self) -> None:
+    def test_generated_pages_are_up_to_date(self) -> None:
         stale = [
             path.name
             for path, text in pages()
@@ -34,7 +34,7 @@
 
 class TestPages:
     @pytest.mark.parametrize("page", PAGES, ids=lambda p: str(p.relative_to(ROOT)))
-    def test_links_lead_somewhere(self, page: Path) -> None:
+    def test_link_targets_exist(self, page: Path) -> None:
         for target in LINK.findall(page.read_text()):
             assert (page.parent / target).exists(), target
 
@@ -55,7 +55,7 @@
 
 
 class TestReadme:
-    def test_its_first_screen_has_the_two_commands(self) -> None:
+    def test_first_screen_names_the_demo_and_test_commands(self) -> None:
         first_screen = (ROOT / "README.md").read_text().splitlines()[:25]
         assert any(line.startswith("make demo") for line in first_screen)
         assert any(line.startswith("make test") for line in first_screen)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: listed tests run and are printed, all others still count."""
+"""Failures listed in KNOWN-RED.txt are printed; all other failures fail the run."""
 
 import subprocess
 import sys
@@ -36,15 +36,17 @@
     def test_an_unlisted_failure_fails_the_run(self, tmp_path: Path) -> None:
         assert run(tmp_path)[0] == EXIT_FAILED
 
-    def test_a_listed_failure_is_passed_over_and_printed(self, tmp_path: Path) -> None:
+    def test_a_listed_failure_is_ignored_and_printed(self, tmp_path: Path) -> None:
         code, out = run(tmp_path, "tests/test_it.py::test_red | slow link | issue 3")
         assert code == 0
         assert "tests/test_it.py::test_red: slow link (issue 3)" in out
 
-    def test_a_listed_test_that_is_gone_fails_the_run(self, tmp_path: Path) -> None:
+    def test_a_listed_test_that_does_not_exist_fails_the_run(
+        self, tmp_path: Path
+    ) -> None:
         code, out = run(tmp_path, "tests/test_it.py::test_gone | cause | issue 3")
         assert code == EXIT_USAGE
         assert "take it out" in out
 
-    def test_a_line_without_its_cause_fails_the_run(self, tmp_path: Path) -> None:
+    def test_a_line_without_a_cause_fails_the_run(self, tmp_path: Path) -> None:
         assert run(tmp_path, "tests/test_it.py::test_red")[0] == EXIT_USAGE
