--- a/tests/gateway_bench.py
+++ b/tests/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A gateway with fake sidecars and an HTTP client, for tests."""
+"""A gateway in the test process, with fake sidecars and an HTTP client."""
 
 import contextlib
 from collections.abc import AsyncIterator, Sequence
@@ -85,7 +85,7 @@
 
 
 @dataclass
-class Bench:
+class GatewayHarness:
     gateway: Gateway
     sidecars: Sequence[FakeSidecar]
     client: aiohttp.ClientSession
@@ -132,7 +132,7 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(
+async def gateway_harness(
     *sidecars: FakeSidecar,
     published: Catalogue,
     policy: PolicySettings | None = None,
@@ -141,8 +141,8 @@
     has_keys: bool = False,
     client_kwargs: dict[str, object] | None = None,
     drain_s: float = 10.0,
-) -> AsyncIterator[Bench]:
-    """Run a gateway before `sidecars` until the context ends."""
+) -> AsyncIterator[GatewayHarness]:
+    """Run a gateway in front of `sidecars` until the context ends."""
     async with contextlib.AsyncExitStack() as stack:
         for sidecar in sidecars:
             await stack.enter_async_context(sidecar.running())
@@ -165,19 +165,19 @@
         client = await stack.enter_async_context(
             aiohttp.ClientSession(**(client_kwargs or {}))  # type: ignore[arg-type]
         )
-        await until(lambda: all(heard(gateway, s) for s in sidecars))
-        yield Bench(gateway=gateway, sidecars=sidecars, client=client)
+        await until(lambda: all(has_load_report(gateway, s) for s in sidecars))
+        yield GatewayHarness(gateway=gateway, sidecars=sidecars, client=client)
 
 
-def heard(gateway: Gateway, sidecar: FakeSidecar) -> bool:
-    """Return True once the gateway holds a load report of `sidecar`."""
+def has_load_report(gateway: Gateway, sidecar: FakeSidecar) -> bool:
+    """Return True if the gateway has a load report of `sidecar` and may use it."""
     for view in gateway._views:
         if view.process_id == f"{sidecar.name}-sidecar":
             return isinstance(view.load, Load) and view.may_get_work()
     return False
 
 
-async def error_of(b: Bench, **headers: str) -> dict[str, object]:
+async def error_of(b: GatewayHarness, **headers: str) -> dict[str, object]:
     async with b.post(json={}, **headers) as answer:
         body = await answer.json()
         error: dict[str, object] = body["error"]
--- a/tests/process_rig.py
+++ b/tests/process_harness.py
@@ -1,4 +1,4 @@
-"""A gateway and a sidecar as separate processes, with fakes around them."""
+"""A gateway and a sidecar as separate processes, with a fake platform and target."""
 
 import asyncio
 import contextlib
@@ -64,38 +64,38 @@
 
 
 @dataclass
-class Started:
-    """One process of the system."""
+class StartedProcess:
+    """One running gateway or sidecar process."""
 
     popen: subprocess.Popen[bytes]
     operators: str
     log: Path
 
     def n_children(self) -> int:
-        """Return how many processes it has started that still run."""
+        """Return the number of its running descendant processes."""
         try:
             return len(psutil.Process(self.popen.pid).children(recursive=True))
         except psutil.NoSuchProcess:
             return 0
 
     async def ended(self) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait until the process exits and return the exit code."""
         await until(lambda: self.popen.poll() is not None)
         return self.popen.returncode
 
 
 @dataclass
-class Pair:
-    """The gateway, the sidecar and the fakes around them."""
+class ProcessPair:
+    """A gateway and a sidecar with a fake target and an HTTP client."""
 
-    gateway: Started
-    sidecar: Started
+    gateway: StartedProcess
+    sidecar: StartedProcess
     callers: str
     target: FakeTarget
     client: aiohttp.ClientSession
 
     async def price(self) -> int:
-        """Ask the pipeline and return the HTTP status."""
+        """Send a request to the pipeline and return the HTTP status."""
         async with self.client.post(
             f"http://{self.callers}/v1/pipelines/price",
             json={"kit": "home"},
@@ -104,8 +104,8 @@
             await response.read()
             return response.status
 
-    async def status_of(self, started: Started, path: str) -> int:
-        """Return the status of a GET at the operators' port; 0 while closed."""
+    async def status_of(self, started: StartedProcess, path: str) -> int:
+        """Return the status of a GET at the operators' port; 0 without an answer."""
         try:
             async with self.client.get(f"http://{started.operators}{path}") as response:
                 return response.status
@@ -121,7 +121,7 @@
                     await asyncio.sleep(0.02)
 
     async def until_serving(self) -> None:
-        """Wait until both are ready and have found each other."""
+        """Wait until both are ready and a request through both succeeds."""
         await self.until_ready()
         async with asyncio.timeout(CAP_S):
             while await self.price() != 200:  # noqa: ASYNC110
@@ -133,7 +133,7 @@
             while await self.status_of(self.gateway, "/readyz") == 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
-    async def held_at_target(self) -> None:
+    async def until_target_called(self) -> None:
         """Wait until a call has reached the target."""
         await until(lambda: self.target.runs)
 
@@ -142,11 +142,13 @@
             started.popen.send_signal(order)
 
 
-def _take_hangups() -> None:
+def _reset_sighup() -> None:
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
-def _start(program: Sequence[str], role: str, folder: Path, text: str) -> Started:
+def _start(
+    program: Sequence[str], role: str, folder: Path, text: str
+) -> StartedProcess:
     settings = folder / f"{role}.toml"
     settings.write_text(text)
     log = folder / f"{role}.log"
@@ -156,15 +158,15 @@
             stdout=out,
             stderr=out,
             env=dict(os.environ),
-            # Whoever starts the tests may have told them to ignore a hangup.
-            preexec_fn=_take_hangups,
+            # The tests may run with SIGHUP ignored, which child processes inherit.
+            preexec_fn=_reset_sighup,
         )
     operators = next(
         line.partition('"')[2].rstrip('"')
         for line in text.splitlines()
         if line.startswith("operators_listen")
     )
-    return Started(popen=popen, operators=operators, log=log)
+    return StartedProcess(popen=popen, operators=operators, log=log)
 
 
 def _common(host: str, peers: str, platform: FakePlatform) -> str:
@@ -197,10 +199,10 @@
 
 
 @contextlib.asynccontextmanager
-async def pair(
+async def process_pair(
     program: Sequence[str], folder: Path, *, more_settings: str = ""
-) -> AsyncIterator[Pair]:
-    """Run a gateway and a sidecar by `program` until the context ends."""
+) -> AsyncIterator[ProcessPair]:
+    """Run a gateway and a sidecar with `program` until the context ends."""
     async with (
         FakePlatform().serving() as platform,
         FakeTarget().serving() as target,
@@ -217,7 +219,7 @@
         sidecar = _start(program, "sidecar", folder, sidecar_text + more_settings)
         gateway = _start(program, "gateway", folder, gateway_text + more_settings)
         try:
-            yield Pair(
+            yield ProcessPair(
                 gateway=gateway,
                 sidecar=sidecar,
                 callers=callers,
