--- a/src/trefoilpaddle/coordination/chain/cell_schedulers.py
+++ b/src/trefoilpaddle/coordination/chain/cell_schedulers.py
@@ -96,10 +96,10 @@
         self._by_cell: dict[str, ChainScheduler] = {}
         self._cells: dict[str, Cell] = {}
         self._running: dict[str, asyncio.Task[ChainOutcome]] = {}
-        process.server.answer(
+        process.server.add_handler(
             RunChain, self._run_for_peer, timeout_s=CHAIN_RESPONSE_TIMEOUT_S
         )
-        process.server.answer(TakeCell, self._take_over)
+        process.server.add_handler(TakeCell, self._take_over)
         process.message_listeners.append(self._on_message)
 
     def activate(self, table: RouteTable) -> None:
--- a/src/trefoilpaddle/coordination/chain/scheduler_links.py
+++ b/src/trefoilpaddle/coordination/chain/scheduler_links.py
@@ -204,4 +204,4 @@
     connection = link.connection
     if connection is None:
         return False
-    return time.monotonic() - connection.heard_s < SCHEDULER_TIMEOUT_S
+    return time.monotonic() - connection.last_received_s < SCHEDULER_TIMEOUT_S
--- a/src/trefoilpaddle/coordination/claims/claim_home.py
+++ b/src/trefoilpaddle/coordination/claims/claim_home.py
@@ -62,9 +62,9 @@
 
     def mount(self, server: PeerServer) -> None:
         """Answer claims, copies and settlements that arrive at `server`."""
-        server.answer(Claim, self.answer_claim)
-        server.answer(ClaimCopy, self.answer_copy)
-        server.answer(Settle, self.answer_settle)
+        server.add_handler(Claim, self.answer_claim)
+        server.add_handler(ClaimCopy, self.answer_copy)
+        server.add_handler(Settle, self.answer_settle)
 
     async def answer_copy(self, copy: ClaimCopy, peer: Hello) -> CopyAnswer:
         """Answer as the backup or as a replica of a former list."""
--- a/src/trefoilpaddle/coordination/claims/claim_setup.py
+++ b/src/trefoilpaddle/coordination/claims/claim_setup.py
@@ -20,7 +20,9 @@
         known = [c for c in server.connections if c.peer.process_id == process_id]
         if not known:
             return None
-        return max(known, key=lambda connection: connection.heard_s).peer.incarnation
+        return max(
+            known, key=lambda connection: connection.last_received_s
+        ).peer.incarnation
 
     return incarnation_of
 
--- a/src/trefoilpaddle/coordination/claims/claim_sync.py
+++ b/src/trefoilpaddle/coordination/claims/claim_sync.py
@@ -73,7 +73,7 @@
 
     def mount(self, server: PeerServer) -> None:
         """Answer the replicas that query `server`."""
-        server.answer(ClaimSync, self.answer)
+        server.add_handler(ClaimSync, self.answer)
 
     async def run(self) -> None:
         """Fetch claims from every replica in the list until none can be missing."""
--- a/src/trefoilpaddle/coordination/claims/generated_ids.py
+++ b/src/trefoilpaddle/coordination/claims/generated_ids.py
@@ -61,8 +61,8 @@
 
     def mount(self, server: PeerServer) -> None:
         """Answer claims on generated ids and their settlements at `server`."""
-        server.answer(Claim, self.answer_claim)
-        server.answer(Settle, self.answer_settle)
+        server.add_handler(Claim, self.answer_claim)
+        server.add_handler(Settle, self.answer_settle)
 
     def generate(self) -> RequestId:
         """Return a new id.
@@ -70,7 +70,7 @@
         Beyond ``MAX_UNUSED_IDS`` ids, the oldest unused one becomes invalid.
         """
         self._drop_expired()
-        generated = RequestId.mint(
+        generated = RequestId.generate(
             process_id=self._process_id, incarnation=self._incarnation
         )
         self._unused[str(generated)] = self._clock() + UNUSED_ID_TTL_S
--- a/src/trefoilpaddle/coordination/configuration/config_feed.py
+++ b/src/trefoilpaddle/coordination/configuration/config_feed.py
@@ -174,7 +174,7 @@
         )
         self._monitor.postpone_checks()
         for link in self._process.peers.links.values():
-            link.drop()
+            link.reset()
         self.state.set_peers_queried(False)
         self._has_resumed.set()
 
--- a/src/trefoilpaddle/coordination/configuration/config_peers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_peers.py
@@ -88,7 +88,7 @@
         self._newer_peer: NewerPeer | None = None
         self._has_newer_peer = asyncio.Event()
         self._pull_lock = asyncio.Lock()
-        process.server.answer(ConfigPull, self.answer)
+        process.server.add_handler(ConfigPull, self.answer)
         process.message_listeners.append(self._on_peer_message)
         process.link_listeners.append(self._on_link_message)
         state.subscribe(self._push)
@@ -149,7 +149,7 @@
             await asyncio.sleep(PULL_PERIOD_S * random.uniform(0.75, 1.25))
             n_rounds += 1
             responsive = [
-                link for link in self._membership.child_links() if link.is_heard()
+                link for link in self._membership.child_links() if link.is_responsive()
             ]
             if responsive:
                 await self.pull(responsive[n_rounds % len(responsive)])
@@ -176,7 +176,7 @@
             yield None
             return
         link = self._process.peers.links.get(address)
-        if link is not None and link.is_heard():
+        if link is not None and link.is_responsive():
             yield link
             return
         async with probe_link(self._process, address) as temporary:
@@ -218,7 +218,9 @@
             case Ok(ConfigDelta() as delta):
                 return Ok(delta)
             case Ok(unexpected):
-                return Err(PeerError.of_foreign(unexpected, peer=str(link.address)))
+                return Err(
+                    PeerError.unexpected_reply(unexpected, peer=str(link.address))
+                )
             case Err(error):
                 return Err(error)
 
--- a/src/trefoilpaddle/coordination/configuration/config_readers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_readers.py
@@ -147,7 +147,7 @@
         """
         items = [_item(value) for value in page.values]
         for _ in range(MAX_PAGES):
-            if not page.is_cut or not page.values:
+            if not page.has_more or not page.values:
                 break
             match await self._client.values(after=page.values[-1].revision):
                 case Ok(page):
--- a/src/trefoilpaddle/coordination/configuration/link_readiness.py
+++ b/src/trefoilpaddle/coordination/configuration/link_readiness.py
@@ -126,6 +126,6 @@
         match Address.parse(host.peer_address):
             case Ok(address):
                 link = self._process.peers.links.get(address)
-                return link is not None and link.is_heard()
+                return link is not None and link.is_responsive()
             case _:
                 return False
--- a/src/trefoilpaddle/coordination/limits/lease_home.py
+++ b/src/trefoilpaddle/coordination/limits/lease_home.py
@@ -95,7 +95,7 @@
 
     def mount(self, server: PeerServer) -> None:
         """Respond to lease requests that arrive at `server`."""
-        server.answer(LeaseAsk, self.answer)
+        server.add_handler(LeaseAsk, self.answer)
 
     def _on_published(self) -> None:
         hosts = self._published.hosts
--- a/src/trefoilpaddle/coordination/members/directory.py
+++ b/src/trefoilpaddle/coordination/members/directory.py
@@ -56,7 +56,7 @@
     marks it as leaving, its member record marks it as dead, or it is suspected
     and this process receives nothing from it either. The link to a returned
     sidecar may still reject the work: a peer that has been unresponsive for
-    ``SILENCE_S`` gets no new work.
+    ``UNRESPONSIVE_AFTER_S`` gets no new work.
 
     Parameters
     ----------
@@ -166,7 +166,7 @@
         match Address.parse(host.peer_address):
             case Ok(address):
                 link = self._process.peers.links.get(address)
-                return link is not None and link.is_heard()
+                return link is not None and link.is_responsive()
             case _:
                 return False
 
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -116,7 +116,7 @@
         self.last_change_s: dict[str, float] = {}
         self.own = self._first_record()
         self._set_own(self.own)
-        process.server.answer(Gossip, self.answer)
+        process.server.add_handler(Gossip, self.answer)
         process.message_listeners.append(self._on_peer_message)
 
     def _first_record(self) -> MemberRecord:
@@ -263,7 +263,7 @@
         while True:
             await asyncio.sleep(COMPARE_PERIOD_S * random.uniform(0.75, 1.25))
             n_rounds += 1
-            responsive = [link for link in self.child_links() if link.is_heard()]
+            responsive = [link for link in self.child_links() if link.is_responsive()]
             if responsive:
                 await self._compare(responsive[n_rounds % len(responsive)])
             if not responsive or n_rounds % N_ROUNDS_PER_UNKNOWN_ADDRESS == 0:
@@ -366,7 +366,9 @@
             case Ok(GossipAnswer() as answer):
                 return Ok(answer)
             case Ok(unexpected):
-                return Err(PeerError.of_foreign(unexpected, peer=str(link.address)))
+                return Err(
+                    PeerError.unexpected_reply(unexpected, peer=str(link.address))
+                )
             case Err(error):
                 return Err(error)
 
@@ -409,7 +411,7 @@
             case Ok(address):
                 link = self._process.peers.links.get(address)
                 if link is not None and link.connection is None:
-                    link.hurry()
+                    link.dial_now()
             case Err(_):
                 return
 
--- a/src/trefoilpaddle/coordination/members/overlay.py
+++ b/src/trefoilpaddle/coordination/members/overlay.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from ...protocol.checksum import place_score
+from ...protocol.checksum import rendezvous_score
 from ...state.rendezvous import highest
 
 FAN_OUT: Final = 4
@@ -44,7 +44,7 @@
 
 
 def _next_on_ring(own: str, others: list[str]) -> str:
-    own_score = place_score(RING_KEY, own)
-    scores = {member: place_score(RING_KEY, member) for member in others}
+    own_score = rendezvous_score(RING_KEY, own)
+    scores = {member: rendezvous_score(RING_KEY, member) for member in others}
     following = [member for member in others if scores[member] > own_score]
     return min(following or others, key=scores.__getitem__)
--- a/src/trefoilpaddle/coordination/members/pause_detector.py
+++ b/src/trefoilpaddle/coordination/members/pause_detector.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable
 from typing import Final
 
-from ...protocol.const import HEARTBEAT_S, SILENCE_S
+from ...protocol.const import HEARTBEAT_S, UNRESPONSIVE_AFTER_S
 from ...transport.aligned import aligned_sleep
 
 CHECK_PERIOD_S: Final = 0.25
 """Time between two checks of the clock."""
 
-PAUSE_MIN_S: Final = SILENCE_S - HEARTBEAT_S
+PAUSE_MIN_S: Final = UNRESPONSIVE_AFTER_S - HEARTBEAT_S
 """Gap between two checks above which this process counts as paused.
 
 After a shorter gap, an unread heartbeat in a socket is at most this gap plus one
-heartbeat period old, which is within the ``SILENCE_S`` after which a peer gets no
-new work.
+heartbeat period old, which is within the ``UNRESPONSIVE_AFTER_S`` after which a
+peer gets no new work.
 """
 
 OnPause = Callable[[float], None]
--- a/src/trefoilpaddle/coordination/members/peer_monitor.py
+++ b/src/trefoilpaddle/coordination/members/peer_monitor.py
@@ -6,7 +6,7 @@
 
 from result import Ok
 
-from ...protocol.const import SILENCE_S
+from ...protocol.const import UNRESPONSIVE_AFTER_S
 from ...state.members import MemberRecord, MemberState
 from ...transport.aligned import aligned_sleep
 from ...transport.connection import Address
@@ -69,7 +69,7 @@
 
         To a process that was paused itself, all others look unresponsive.
         """
-        self._check_from_s = time.monotonic() + SILENCE_S + CONNECT_GRACE_S
+        self._check_from_s = time.monotonic() + UNRESPONSIVE_AFTER_S + CONNECT_GRACE_S
 
     async def run(self) -> None:
         """Monitor until cancelled."""
@@ -94,14 +94,14 @@
             return
         for process_id, child in children.items():
             watched_s = now_s - self._watched_s[process_id]
-            if watched_s > SILENCE_S + CONNECT_GRACE_S:
+            if watched_s > UNRESPONSIVE_AFTER_S + CONNECT_GRACE_S:
                 self._suspect_if_unresponsive(child)
             else:
                 self._link(child)
 
     def _suspect_if_unresponsive(self, child: MemberRecord) -> None:
         link = self._link(child)
-        if link is None or link.is_heard():
+        if link is None or link.is_responsive():
             return
         if child.state is MemberState.LIVE:
             self._membership.report_state(child.process_id, MemberState.SUSPECT)
@@ -140,4 +140,4 @@
             if str(address) in kept or self._is_wanted(address):
                 continue
             if link.is_idle(IDLE_LINK_S):
-                await self._process.peers.forget(address)
+                await self._process.peers.close_link(address)
--- a/src/trefoilpaddle/coordination/members/subset.py
+++ b/src/trefoilpaddle/coordination/members/subset.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from ...protocol.checksum import place_score
+from ...protocol.checksum import rendezvous_score
 from ...state.hosts import Host
 
 N_SUBSET: Final = 10
@@ -36,7 +36,9 @@
     """
     if len(targets) <= n:
         return list(targets)
-    ranked = sorted({*gateways, own}, key=lambda name: place_score(ORDER_KEY, name))
+    ranked = sorted(
+        {*gateways, own}, key=lambda name: rendezvous_score(ORDER_KEY, name)
+    )
     start = ranked.index(own) * len(targets) // len(ranked)
     interleaved = interleave_domains(targets)
     return [interleaved[(start + step) % len(interleaved)] for step in range(n)]
@@ -49,7 +51,7 @@
         by_domain.setdefault(host.failure_domain, []).append(host)
     positioned: list[tuple[float, str, Host]] = []
     for domain, hosts in by_domain.items():
-        hosts.sort(key=lambda host: place_score(ORDER_KEY, host.process_id))
+        hosts.sort(key=lambda host: rendezvous_score(ORDER_KEY, host.process_id))
         positioned += [
             ((index + 0.5) / len(hosts), domain, host)
             for index, host in enumerate(hosts)
--- a/src/trefoilpaddle/coordination/placing/placement.py
+++ b/src/trefoilpaddle/coordination/placing/placement.py
@@ -120,7 +120,7 @@
 
     def mount(self, server: PeerServer) -> None:
         """Answer sidecars that send their holdings to `server`."""
-        server.answer(Holdings, self.answer)
+        server.add_handler(Holdings, self.answer)
 
     def record_demand(self, model: str, work_s: float) -> None:
         """Add `work_s` target-seconds to the demand for `model` at this target."""
--- a/src/trefoilpaddle/coordination/published/store_relay.py
+++ b/src/trefoilpaddle/coordination/published/store_relay.py
@@ -81,7 +81,7 @@
         self.published: PublishedTable | None = None
         self.position = StorePosition()
         self.is_unavailable = False
-        process.server.answer(StorePull, self.respond)
+        process.server.add_handler(StorePull, self.respond)
 
     async def respond(self, request: StorePull, peer: Hello) -> StoreState:
         """Return what is newer than what the requesting peer knows."""
--- a/src/trefoilpaddle/coordination/requests/attempt_resolution.py
+++ b/src/trefoilpaddle/coordination/requests/attempt_resolution.py
@@ -60,7 +60,7 @@
     and never will. Without a reply the outcome remains unknown.
     """
     link = attempt.view.link
-    if not link.is_heard():
+    if not link.is_responsive():
         return otherwise
     # A restarted sidecar must not reply for its previous incarnation.
     message = Bar(attempt_id=attempt.attempt_id, incarnation=attempt.incarnation)
--- a/src/trefoilpaddle/coordination/requests/open_attempts.py
+++ b/src/trefoilpaddle/coordination/requests/open_attempts.py
@@ -227,10 +227,10 @@
     def notify_unresponsive(self) -> None:
         """Notify the attempts of each target that has just become unresponsive."""
         for view in self._views:
-            is_heard = view.link.is_heard()
-            if view.was_responsive and not is_heard:
+            is_responsive = view.link.is_responsive()
+            if view.was_responsive and not is_responsive:
                 self._notify(view, Notice.LINK_UNRESPONSIVE)
-            view.was_responsive = is_heard
+            view.was_responsive = is_responsive
 
     def _notify(self, view: TargetView, notice: Notice) -> None:
         for attempt in self._by_id.values():
--- a/src/trefoilpaddle/coordination/requests/operator_queries.py
+++ b/src/trefoilpaddle/coordination/requests/operator_queries.py
@@ -27,7 +27,8 @@
 QUERY_TIMEOUT_S: Final = 3.0
 """Longest wait for one process.
 
-Longer than ``SILENCE_S``, so that an unresponsive process is recognised as such.
+Longer than ``UNRESPONSIVE_AFTER_S``, so that an unresponsive process is recognised
+as such.
 """
 
 
@@ -111,7 +112,7 @@
                     yield self._peers.link(address)
                 finally:
                     if not was_open:
-                        await self._peers.forget(address)
+                        await self._peers.close_link(address)
             case Err(_):
                 yield None
 
--- a/src/trefoilpaddle/coordination/requests/target_view.py
+++ b/src/trefoilpaddle/coordination/requests/target_view.py
@@ -99,7 +99,7 @@
 
     def may_get_work(self) -> bool:
         """Return True if the sidecar responds, is not leaving and its target is up."""
-        if not self.link.takes():
+        if not self.link.can_send():
             return False
         return self.load is None or not (self.load.leaving or not self.load.target_up)
 
@@ -120,7 +120,7 @@
         connection = self.link.connection
         if connection is not None:
             self.stamp_ns = connection.peer.stamp_ns
-            self.stamp_at_ns = connection.hello_at_ns
+            self.stamp_at_ns = connection.hello_received_ns
 
     def record_stamp(self, stamp_ns: int) -> None:
         """Record the latest stamp of the sidecar's clock and when it arrived."""
--- a/src/trefoilpaddle/protocol/checksum.py
+++ b/src/trefoilpaddle/protocol/checksum.py
@@ -32,6 +32,6 @@
         return _signed(self._state.intdigest())
 
 
-def place_score(key: str, place: str) -> int:
+def rendezvous_score(key: str, place: str) -> int:
     """Return the rendezvous score of `place` for `key`; the highest wins."""
     return xxhash.xxh3_64_intdigest(f"{place}\0{key}".encode())
--- a/src/trefoilpaddle/protocol/const.py
+++ b/src/trefoilpaddle/protocol/const.py
@@ -23,7 +23,7 @@
 ATTEMPT_ID_BYTES: Final = 16
 """Length of an attempt's random id."""
 
-SILENCE_S: Final = 2.0
+UNRESPONSIVE_AFTER_S: Final = 2.0
 """A peer not heard from for this long gets no new work."""
 
 HEARTBEAT_S: Final = 0.5
--- a/src/trefoilpaddle/protocol/errors.py
+++ b/src/trefoilpaddle/protocol/errors.py
@@ -89,7 +89,7 @@
     is_sent: bool
 
     @classmethod
-    def of_foreign(cls, answer: object, *, peer: str) -> "PeerError":
+    def unexpected_reply(cls, answer: object, *, peer: str) -> "PeerError":
         """Return what is wrong with an answer that is none to its question."""
         detail = f"answered by {type(answer).__name__}"
         return cls(step="decode", peer=peer, detail=detail, is_sent=True)
--- a/src/trefoilpaddle/protocol/frames.py
+++ b/src/trefoilpaddle/protocol/frames.py
@@ -25,7 +25,7 @@
 
 HEADER: Final = struct.Struct(">IBI")
 LENGTH_BYTES: Final = 4
-REST_BYTES: Final = HEADER.size - LENGTH_BYTES
+KIND_AND_CALL_BYTES: Final = HEADER.size - LENGTH_BYTES
 
 Message = Any
 """A generated thrift struct; which one, the frame's kind says."""
@@ -113,7 +113,7 @@
     _WRITER.trans = buffer
     message.write(_WRITER)
     body: bytes = buffer.getvalue()
-    n_bytes = REST_BYTES + len(body)
+    n_bytes = KIND_AND_CALL_BYTES + len(body)
     if n_bytes + LENGTH_BYTES > MAX_FRAME_BYTES:
         raise ValueError(f"{type(message).__name__} of {n_bytes} bytes is too large")
     return HEADER.pack(n_bytes, KIND_OF[type(message)], call) + body
@@ -127,16 +127,16 @@
     Result[Frame, str]
         What is wrong with the bytes, when no known message can be read.
     """
-    if len(rest) < REST_BYTES:
+    if len(rest) < KIND_AND_CALL_BYTES:
         return Err(f"frame of {len(rest)} bytes is shorter than its header")
     kind = rest[0]
     cls = KINDS.get(kind)
     if cls is None:
         return Err(f"frame kind {kind} is not known in this version")
     message = cls()
-    _READER.trans = TMemoryBuffer(rest[REST_BYTES:])
+    _READER.trans = TMemoryBuffer(rest[KIND_AND_CALL_BYTES:])
     try:
         message.read(_READER)
     except Exception as error:  # the decoder raises many types on bad bytes
         return Err(f"{cls.__name__} cannot be read: {error!r}")
-    return Ok(Frame(call=int.from_bytes(rest[1:REST_BYTES]), message=message))
+    return Ok(Frame(call=int.from_bytes(rest[1:KIND_AND_CALL_BYTES]), message=message))
--- a/src/trefoilpaddle/protocol/ids.py
+++ b/src/trefoilpaddle/protocol/ids.py
@@ -23,7 +23,7 @@
     return secrets.randbits(62) + 1
 
 
-def incarnation_by_age() -> int:
+def time_ordered_incarnation() -> int:
     """Return the number of a start that begins now, greater than older ones.
 
     It orders starts by the wall clocks of their hosts. Clocks that differ give
@@ -56,7 +56,7 @@
         return f"{self.process_id}.{self.incarnation:x}.{self.token}"
 
     @classmethod
-    def mint(cls, *, process_id: str, incarnation: int) -> "RequestId":
+    def generate(cls, *, process_id: str, incarnation: int) -> "RequestId":
         """Return a fresh id made by the given process."""
         token = secrets.token_hex(8)
         return cls(process_id=process_id, incarnation=incarnation, token=token)
--- a/src/trefoilpaddle/protocol/reader.py
+++ b/src/trefoilpaddle/protocol/reader.py
@@ -3,7 +3,7 @@
 from result import Err, Ok, Result
 
 from .const import MAX_FRAME_BYTES
-from .frames import LENGTH_BYTES, REST_BYTES, Frame, decode
+from .frames import KIND_AND_CALL_BYTES, LENGTH_BYTES, Frame, decode
 
 
 class FrameReader:
@@ -25,7 +25,7 @@
         start = 0
         while len(self._buffer) - start >= LENGTH_BYTES:
             n_bytes = int.from_bytes(self._buffer[start : start + LENGTH_BYTES])
-            if not REST_BYTES <= n_bytes <= MAX_FRAME_BYTES:
+            if not KIND_AND_CALL_BYTES <= n_bytes <= MAX_FRAME_BYTES:
                 return Err(f"frame length {n_bytes} is out of bounds")
             end = start + LENGTH_BYTES + n_bytes
             if end > len(self._buffer):
--- a/src/trefoilpaddle/roles/caller_input.py
+++ b/src/trefoilpaddle/roles/caller_input.py
@@ -44,11 +44,11 @@
         The catalogue in force.
     index : GoverningIndex
         Finds entries and accounts.
-    mint : callable
+    generate_id : callable
         Returns a fresh request id.
     """
 
-    __slots__ = ("_index", "_mint", "_published", "_settings")
+    __slots__ = ("_generate_id", "_index", "_published", "_settings")
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         settings: CallerSettings,
         published: Published,
         index: GoverningIndex,
-        mint: Callable[[], str],
+        generate_id: Callable[[], str],
     ) -> None:
         self._settings = settings
         self._published = published
         self._index = index
-        self._mint = mint
+        self._generate_id = generate_id
 
     async def read(self, http: web.Request) -> Result[Request, NotRun]:
         """Return the checked request, or what is wrong with it."""
@@ -169,7 +169,7 @@
         except ValueError as error:
             return _refuse(Reason.BAD_REQUEST, str(error))
         name = http.match_info["pipeline"]
-        request_id = named_id or self._mint()
+        request_id = named_id or self._generate_id()
         return Ok(
             Request(
                 request_id=request_id,
--- a/src/trefoilpaddle/roles/caller_server.py
+++ b/src/trefoilpaddle/roles/caller_server.py
@@ -15,16 +15,16 @@
 
 KEEPALIVE_S: Final = 75.0
 
-SEND_LAST_S: Final = 1.0
+SEND_TIMEOUT_S: Final = 1.0
 """Longest wait at the close until callers' systems have taken the last answers.
 
 What may wait in this process of each is 64 KB: a second's worth of a slow line.
 """
 
-SEND_LOOK_S: Final = 0.005
+SEND_POLL_S: Final = 0.005
 """Time between two looks; the way of a packet within a region."""
 
-FULL: Final = (
+TOO_MANY_CONNECTIONS: Final = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
     b"Content-Length: 0\r\nConnection: close\r\n\r\n"
 )
@@ -36,7 +36,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Answer before anything is read."""
         assert isinstance(transport, asyncio.Transport)
-        transport.write(FULL)
+        transport.write(TOO_MANY_CONNECTIONS)
         transport.close()
 
 
@@ -119,8 +119,8 @@
     An answer counts as given when it was written; the end of the process would
     drop what the caller's system has not taken, and leave it half of an answer.
     """
-    ends_s = time.monotonic() + SEND_LAST_S
+    ends_s = time.monotonic() + SEND_TIMEOUT_S
     while time.monotonic() < ends_s:
         if not any(map(has_unsent, http.connections)):
             return
-        await asyncio.sleep(SEND_LOOK_S)
+        await asyncio.sleep(SEND_POLL_S)
--- a/src/trefoilpaddle/roles/callers.py
+++ b/src/trefoilpaddle/roles/callers.py
@@ -23,7 +23,7 @@
 from .error_body import JSON_TYPE, answer_headers, error_json, error_response
 from .event_stream import EventStream
 
-LAST_ANSWERS_S: Final = 0.5
+FINAL_ANSWERS_TIMEOUT_S: Final = 0.5
 """Longest wait for the answers of requests that the end of a stop gives up.
 
 Writing one takes a hundredth of it.
@@ -49,25 +49,25 @@
         What is known of past ones.
     journal : Journal
         Takes the decisions.
-    mint : callable
+    generate_id : callable
         Returns a fresh request id.
     is_ready : callable
         Returns True while the balancer should send work here.
-    why_closed : callable
+    intake_refusal : callable
         Returns why no new work is taken now, or None while it is.
     """
 
     __slots__ = (
+        "_generate_id",
         "_input",
+        "_intake_refusal",
         "_is_ready",
         "_journal",
-        "_mint",
         "_reads",
         "_requests",
         "_runner",
         "_settings",
         "_spent",
-        "_why_closed",
         "answering",
         "running",
     )
@@ -80,18 +80,18 @@
         runner: RequestRunner,
         requests: Requests,
         journal: Journal,
-        mint: Callable[[], str],
+        generate_id: Callable[[], str],
         is_ready: Callable[[], bool],
-        why_closed: Callable[[], NotRun | None],
+        intake_refusal: Callable[[], NotRun | None],
     ) -> None:
         self._settings = settings
         self._input = caller_input
         self._runner = runner
         self._requests = requests
         self._journal = journal
-        self._mint = mint
+        self._generate_id = generate_id
         self._is_ready = is_ready
-        self._why_closed = why_closed
+        self._intake_refusal = intake_refusal
         self._reads: set[asyncio.Timeout] = set()
         self._spent: dict[asyncio.Task[Result[Answer, Refusal]], RequestUsage] = {}
         self.answering: set[asyncio.Task[Any]] = set()
@@ -104,7 +104,7 @@
             middlewares=[self._bound],
         )
         app.router.add_post("/v1/pipelines/{pipeline}", self._pipeline)
-        app.router.add_post("/v1/requests", self._mint_id)
+        app.router.add_post("/v1/requests", self._new_request_id)
         app.router.add_get("/v1/requests/{request_id}", self._known)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
@@ -137,7 +137,7 @@
         return ""
 
     async def _pipeline(self, http: web.Request) -> web.StreamResponse:
-        closed = self._why_closed()
+        closed = self._intake_refusal()
         if closed is not None:
             refusal = Refusal(error=closed, stage="")
             return error_response(refusal, governing=None, request_id="")
@@ -161,7 +161,7 @@
             reading.reschedule(asyncio.get_running_loop().time())
         for task, spent in list(self._spent.items()):
             self._end_open(task, spent)
-        await self._wait_for_held(LAST_ANSWERS_S)
+        await self._wait_for_held(FINAL_ANSWERS_TIMEOUT_S)
         return n_open
 
     async def _wait_for_held(self, timeout_s: float) -> None:
@@ -303,12 +303,12 @@
             )
         )
 
-    async def _mint_id(self, http: web.Request) -> web.StreamResponse:
+    async def _new_request_id(self, http: web.Request) -> web.StreamResponse:
         match self._input.account(http):
             case Err(error):
                 refusal = Refusal(error=error, stage="")
                 return error_response(refusal, governing=None, request_id="")
-        return _json({"request_id": self._mint()})
+        return _json({"request_id": self._generate_id()})
 
     async def _known(self, http: web.Request) -> web.StreamResponse:
         match self._input.account(http):
--- a/src/trefoilpaddle/roles/event_stream.py
+++ b/src/trefoilpaddle/roles/event_stream.py
@@ -14,7 +14,7 @@
 from .caller_input import SSE_TYPE
 from .error_body import answer_headers, error_json
 
-LAST_WRITE_S: Final = 1.0
+FINISH_TIMEOUT_S: Final = 1.0
 """Longest wait for a slow caller to take the end of its stream."""
 
 
@@ -58,7 +58,7 @@
     async def finish(self, outcome: Result[Answer, Refusal]) -> None:
         """Send the last event, ``end`` or ``error``, and close the stream."""
         try:
-            async with asyncio.timeout(LAST_WRITE_S):
+            async with asyncio.timeout(FINISH_TIMEOUT_S):
                 await self._finish(outcome)
         except TimeoutError:
             # Too slow to be told: cut, so that it cannot look finished.
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -50,7 +50,7 @@
 from .process import Process, identity_of
 
 TICK_S: Final = 0.25
-CLOSED_S: Final = 1.0
+CLOSED_RETRY_AFTER_S: Final = 1.0
 """When to come back to a gateway that takes no new work."""
 SEED_BITS: Final = 32
 
@@ -63,12 +63,12 @@
     ----------
     guard : KeyGuard
         Claims keys before requests run.
-    mint : callable
+    generate_id : callable
         Returns a fresh id that this gateway decides about.
     """
 
     guard: KeyGuard
-    mint: Callable[[], str]
+    generate_id: Callable[[], str]
 
 
 class Gateway:
@@ -118,7 +118,7 @@
         process.link_listeners.append(self.attempts.on_message)
         process.change_listeners.append(self.attempts.on_change)
         process.published.subscribe(self._open_links)
-        self._keys = keys or Keys(guard=UnguardedKeys(), mint=self._mint)
+        self._keys = keys or Keys(guard=UnguardedKeys(), generate_id=self._generate_id)
         self._is_known = is_known or self._has_catalogue
         self.callers = self._build_callers(limiter or UnlimitedLimiter())
         self.server = CallerServer(
@@ -166,7 +166,7 @@
             settings=self._settings.callers,
             published=process.published,
             index=GoverningIndex(published=process.published),
-            mint=self._mint,
+            generate_id=self._generate_id,
         )
         return Callers(
             settings=self._settings.callers,
@@ -174,16 +174,16 @@
             runner=lifecycle,
             requests=requests,
             journal=process.journal,
-            mint=self._keys.mint,
+            generate_id=self._keys.generate_id,
             is_ready=self.is_ready,
-            why_closed=self.why_closed,
+            intake_refusal=self.intake_refusal,
         )
 
     def is_ready(self) -> bool:
         """Return True while the balancer should send new work here."""
         return self._knows() and not self.process.stopping.is_set()
 
-    def why_closed(self) -> NotRun | None:
+    def intake_refusal(self) -> NotRun | None:
         """Return why no new work is taken now, or None while it is.
 
         A stopping gateway takes work a little longer than it is ready: the
@@ -212,9 +212,9 @@
     def _has_catalogue(self) -> bool:
         return self.process.published.catalogue.revision > 0
 
-    def _mint(self) -> str:
+    def _generate_id(self) -> str:
         identity = self.process.identity
-        request_id = RequestId.mint(
+        request_id = RequestId.generate(
             process_id=identity.process_id, incarnation=identity.incarnation
         )
         return str(request_id)
@@ -258,7 +258,7 @@
         self._is_settling = False
         n_cut_off = await self.callers.finish(timeout_s=stop.drain_s)
         await self._keys.guard.flush()
-        self.process.n_cut_off = n_cut_off
+        self.process.n_interrupted = n_cut_off
         if n_cut_off:
             logging.error("%d requests were cut off by the stop", n_cut_off)
 
@@ -276,7 +276,11 @@
 
 def _closed(reason: Reason, detail: str) -> NotRun:
     return NotRun(
-        reason=reason, step="admit", peer="", detail=detail, retry_after_s=CLOSED_S
+        reason=reason,
+        step="admit",
+        peer="",
+        detail=detail,
+        retry_after_s=CLOSED_RETRY_AFTER_S,
     )
 
 
@@ -325,7 +329,8 @@
         generated_ids=generated_ids,
     )
     return Keys(
-        guard=KeyClaims(claimer=claimer), mint=lambda: str(generated_ids.generate())
+        guard=KeyClaims(claimer=claimer),
+        generate_id=lambda: str(generated_ids.generate()),
     )
 
 
--- a/src/trefoilpaddle/roles/operators.py
+++ b/src/trefoilpaddle/roles/operators.py
@@ -89,8 +89,8 @@
         self._set_gauges()
         process.journal.subscribe_later(self._tally.count)
         process.journal.subscribe_later(self.metrics.count)
-        process.server.answer(ExplainAsk, self._answer_explain)
-        process.server.answer(StatusAsk, self._answer_status)
+        process.server.add_handler(ExplainAsk, self._answer_explain)
+        process.server.add_handler(StatusAsk, self._answer_status)
 
     def is_ready(self) -> bool:
         """Return True while the process takes new work."""
@@ -115,7 +115,7 @@
             config_revision=process.published.catalogue.revision,
             hosts_revision=process.published.hosts.revision,
             up_s=round(time.monotonic() - self._began_s, 3),
-            n_peers_heard=sum(link.is_heard() for link in links),
+            n_peers_heard=sum(link.is_responsive() for link in links),
             n_peers=len(links),
             load=self._load() if identity.role == "sidecar" else None,
             owners=tuple(use_statuses(self._tally.by_owner())),
--- a/src/trefoilpaddle/roles/process.py
+++ b/src/trefoilpaddle/roles/process.py
@@ -100,7 +100,7 @@
 
     Attributes
     ----------
-    closing_s : callable
+    close_timeout_s : callable
         Returns how long each step of closing links to peers may take.
     stop_signals : tuple of signal.Signals
         Those that the event loop takes as the order to stop.
@@ -109,16 +109,16 @@
     __slots__ = (
         "change_listeners",
         "close_listeners",
-        "closing_s",
+        "close_timeout_s",
         "identity",
         "journal",
         "link_listeners",
         "load_reader",
         "message_listeners",
-        "n_cut_off",
-        "order_stop",
+        "n_interrupted",
         "peers",
         "published",
+        "request_stop",
         "server",
         "stop_signals",
         "stopping",
@@ -132,20 +132,20 @@
         self.published = Published()
         self.stopping = asyncio.Event()
         self.stop_signals = STOP_SIGNALS
-        self.order_stop: Callable[[], None] = self.stopping.set
+        self.request_stop: Callable[[], None] = self.stopping.set
         self.load_reader: LoadReader = self._bare_load
         self.link_listeners: list[LinkListener] = []
         self.message_listeners: list[ConnectionListener] = []
         self.close_listeners: list[CloseListener] = []
-        self.n_cut_off = 0
-        self.closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S
+        self.n_interrupted = 0
+        self.close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S
         self.change_listeners: list[ChangeListener] = []
         self.peers = Peers(
             own_hello=self.hello,
             own_heartbeat=self.heartbeat,
             on_message=self._on_link_message,
             on_change=self._on_link_change,
-            closing_s=lambda: self.closing_s(),
+            close_timeout_s=lambda: self.close_timeout_s(),
         )
         self.server = PeerServer(
             address=listen,
@@ -153,7 +153,7 @@
             own_heartbeat=self.heartbeat,
             on_message=self._on_peer_message,
             on_close=self._on_peer_close,
-            closing_s=lambda: self.closing_s(),
+            close_timeout_s=lambda: self.close_timeout_s(),
         )
 
     def hello(self) -> Hello:
@@ -211,7 +211,7 @@
             # Under nohup a hangup stays ignored.
             if signal.getsignal(number) is signal.SIG_IGN and number == signal.SIGHUP:
                 continue
-            loop.add_signal_handler(number, self.order_stop)
+            loop.add_signal_handler(number, self.request_stop)
         async with self.server.listening(), self.peers.open():
             self.journal.record(
                 Decision(event=Event.PROCESS_STARTED, peer=self.identity.process_id)
@@ -221,7 +221,7 @@
             Decision(
                 event=Event.PROCESS_STOPPED,
                 peer=self.identity.process_id,
-                figures=(Figure(name="n_cut_off", value=self.n_cut_off),),
+                figures=(Figure(name="n_cut_off", value=self.n_interrupted),),
             )
         )
         self.journal.flush()
--- a/src/trefoilpaddle/roles/sidecar.py
+++ b/src/trefoilpaddle/roles/sidecar.py
@@ -98,7 +98,7 @@
         ),
     ):
         await process.stopping.wait()
-        process.n_cut_off = await sidecar.stop()
+        process.n_interrupted = await sidecar.stop()
     return 0
 
 
@@ -163,7 +163,7 @@
         process.load_reader = self.dispatcher.load
         process.message_listeners.append(self.server.on_message)
         process.close_listeners.append(self.server.on_close)
-        process.server.answer(Bar, self.server.answer_bar)
+        process.server.add_handler(Bar, self.server.answer_bar)
         key_syncs = mount_sidecar_claims(
             process_id=process.identity.process_id,
             published=process.published,
--- a/src/trefoilpaddle/state/gateway_shares.py
+++ b/src/trefoilpaddle/state/gateway_shares.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ..protocol.checksum import checksum, place_score
+from ..protocol.checksum import checksum, rendezvous_score
 from .hosts import HostList
 
 N_BUCKETS: Final = 16
@@ -92,6 +92,6 @@
 def _dealt(entry: str, limit: int, names: frozenset[str]) -> dict[str, int]:
     if not names:
         return {}
-    order = sorted(names, key=lambda name: place_score(entry, name), reverse=True)
+    order = sorted(names, key=lambda name: rendezvous_score(entry, name), reverse=True)
     whole, rest = divmod(limit, len(order))
     return {name: whole + (i < rest) for i, name in enumerate(order)}
--- a/src/trefoilpaddle/state/model_plan.py
+++ b/src/trefoilpaddle/state/model_plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..protocol.checksum import place_score
+from ..protocol.checksum import rendezvous_score
 
 MODELS_PER_TARGET: Final = 4
 """How many models one target is taken to hold; engines do not report it."""
@@ -76,7 +76,9 @@
     copies = wanted_copies(models, demand, n_targets=len(names))
     plan: dict[str, frozenset[str]] = {}
     for model, n_copies in copies.items():
-        order = sorted(names, key=lambda name: place_score(model, name), reverse=True)
+        order = sorted(
+            names, key=lambda name: rendezvous_score(model, name), reverse=True
+        )
         chosen = [name for name in order if room[name] > 0][:n_copies]
         for name in chosen:
             room[name] -= 1
@@ -91,9 +93,11 @@
     moment, each trusting in the other. The one that is first in rendezvous
     order among the holders it sees never unloads.
     """
-    own = (place_score(model, me), me)
+    own = (rendezvous_score(model, me), me)
     holders = [other for other in others if model in other.loaded]
-    return any((place_score(model, h.process_id), h.process_id) > own for h in holders)
+    return any(
+        (rendezvous_score(model, h.process_id), h.process_id) > own for h in holders
+    )
 
 
 class Steadied:
--- a/src/trefoilpaddle/state/places.py
+++ b/src/trefoilpaddle/state/places.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..protocol.checksum import place_score
+from ..protocol.checksum import rendezvous_score
 from .hosts import Host, HostList, HostState
 
 N_FORMER_LISTS: Final = 32
@@ -46,7 +46,9 @@
         """
         if not self.places:
             return ()
-        scored = [(place_score(key, place.process_id), place) for place in self.places]
+        scored = [
+            (rendezvous_score(key, place.process_id), place) for place in self.places
+        ]
         first = _highest(scored)
         rest = [item for item in scored if item[1] is not first]
         apart = [
--- a/src/trefoilpaddle/state/rendezvous.py
+++ b/src/trefoilpaddle/state/rendezvous.py
@@ -3,7 +3,7 @@
 import heapq
 from collections.abc import Iterable
 
-from ..protocol.checksum import place_score
+from ..protocol.checksum import rendezvous_score
 
 
 def highest(key: str, places: Iterable[str], *, n: int) -> list[str]:
@@ -12,4 +12,4 @@
     Adding or removing a place changes the choice of only those keys that it
     wins or had won.
     """
-    return heapq.nlargest(n, places, key=lambda place: place_score(key, place))
+    return heapq.nlargest(n, places, key=lambda place: rendezvous_score(key, place))
--- a/src/trefoilpaddle/transport/connection.py
+++ b/src/trefoilpaddle/transport/connection.py
@@ -11,7 +11,7 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from ..protocol.const import HEARTBEAT_S, PROTOCOL_VERSION, SILENCE_S
+from ..protocol.const import HEARTBEAT_S, PROTOCOL_VERSION, UNRESPONSIVE_AFTER_S
 from ..protocol.errors import PeerError
 from ..protocol.frames import Frame, Message, encode
 from ..protocol.gen.stage.ttypes import Closing, Heartbeat, Hello
@@ -22,7 +22,7 @@
 READ_BYTES: Final = 128 * 1024
 HELLO_TIMEOUT_S: Final = 2.0
 CLOSE_TIMEOUT_S: Final = 2.0
-DEAD_AFTER_S: Final = 3 * SILENCE_S
+DEAD_AFTER_S: Final = 3 * UNRESPONSIVE_AFTER_S
 MAX_NAME_CHARS: Final = 256
 MAX_UNSENT_BYTES: Final = 16 * 1024 * 1024
 MAX_PORT: Final = 65535
@@ -59,13 +59,13 @@
 
     Attributes
     ----------
-    read_all : asyncio.Event
+    all_received : asyncio.Event
         Set once nothing more can come from the peer that wants an answer: it has
-        said so after `ask_last`, or the connection has ended.
+        said so after `request_close`, or the connection has ended.
     """
 
     __slots__ = (
-        "_asks_last",
+        "_close_requested",
         "_ended",
         "_frames",
         "_is_closed",
@@ -75,12 +75,12 @@
         "_unsent",
         "_unsent_bytes",
         "_writer",
-        "heard_s",
-        "hello_at_ns",
+        "all_received",
+        "hello_received_ns",
+        "last_received_s",
         "own",
         "peer",
         "pending",
-        "read_all",
     )
 
     def __init__(
@@ -95,17 +95,17 @@
         self._frames = FrameReader()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
-        self._asks_last = False
+        self._close_requested = False
         self._ended = asyncio.Event()
         self._is_closed = False
         self._is_finished = False
         self._is_reading = False
         self.own = own
         self.peer = Hello()
-        self.heard_s = time.monotonic()
-        self.hello_at_ns = 0
+        self.last_received_s = time.monotonic()
+        self.hello_received_ns = 0
         self.pending: list[Frame] = []
-        self.read_all = asyncio.Event()
+        self.all_received = asyncio.Event()
 
     @property
     def peer_name(self) -> str:
@@ -166,15 +166,15 @@
         closes is judged like any other: it may vanish before it does.
         """
         n_silent = 0
-        heard_s = self.heard_s
+        last_received_s = self.last_received_s
         for tick in itertools.count():
             if self._writer.is_closing():
                 return
             if tick % n_ticks() == 0:
                 self._send_heartbeat(own_heartbeat)
             await aligned_sleep(HEARTBEAT_S)
-            n_silent = n_silent + 1 if self.heard_s == heard_s else 0
-            heard_s = self.heard_s
+            n_silent = n_silent + 1 if self.last_received_s == last_received_s else 0
+            last_received_s = self.last_received_s
             if n_silent * HEARTBEAT_S > DEAD_AFTER_S:
                 logging.warning("%s is silent; connection dropped", self.peer_name)
                 self.abort()
@@ -203,7 +203,7 @@
             return self._error("its process id is empty or too long")
         if self._is_own(frame.message):
             return self._error("is this process itself")
-        self.hello_at_ns = time.monotonic_ns()
+        self.hello_received_ns = time.monotonic_ns()
         self.peer = frame.message
         return Ok(self.peer)
 
@@ -227,7 +227,7 @@
             return False
         if not data:
             return False
-        self.heard_s = time.monotonic()
+        self.last_received_s = time.monotonic()
         match self._frames.feed(data):
             case Ok(frames):
                 TRAFFIC.n_frames_received += len(frames)
@@ -255,21 +255,21 @@
         finally:
             self._is_reading = False
             self._ended.set()
-            self.read_all.set()
+            self.all_received.set()
 
-    def ask_last(self) -> None:
+    def request_close(self) -> None:
         """Ask the peer to send nothing more, once it has sent what it must.
 
         What it sent before it heard of the close is still on its way. A process
         that only closed its sending side read that too, but its answers went
         nowhere: the peer saw the connection end and could not tell what had run.
         """
-        self._asks_last = True
+        self._close_requested = True
         self.write(Closing())
 
     def _on_closing(self) -> None:
-        if self._asks_last:
-            self.read_all.set()
+        if self._close_requested:
+            self.all_received.set()
             return
         self.write(Closing())
         self._is_finished = True
@@ -278,7 +278,7 @@
         """Close at once, dropping what is unsent; does nothing once closed."""
         if not self._is_closed:
             self._is_closed = True
-            self.read_all.set()
+            self.all_received.set()
             self._writer.transport.abort()
 
     async def close(self, *, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
--- a/src/trefoilpaddle/transport/link.py
+++ b/src/trefoilpaddle/transport/link.py
@@ -12,7 +12,7 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from ..protocol.const import SILENCE_S
+from ..protocol.const import UNRESPONSIVE_AFTER_S
 from ..protocol.errors import PeerError
 from ..protocol.frames import Frame, Message
 from ..protocol.gen.stage.ttypes import Heartbeat, Hello
@@ -46,13 +46,13 @@
         Called with the link after each connect and each loss.
     tls : ssl.SSLContext, optional
         Client side context; None speaks plain TCP.
-    closing_s : callable, optional
+    close_timeout_s : callable, optional
         Returns how long the close may take, when it is begun.
     """
 
     __slots__ = (
         "_calls",
-        "_closing_s",
+        "_close_timeout_s",
         "_hurried",
         "_is_stopping",
         "_numbers",
@@ -64,8 +64,8 @@
         "_tls",
         "address",
         "connection",
+        "last_used_s",
         "opened",
-        "used_s",
     )
 
     def __init__(
@@ -77,9 +77,9 @@
         on_message: OnMessage,
         on_change: "Callable[[Link], None] | None" = None,
         tls: ssl.SSLContext | None = None,
-        closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
+        close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
     ) -> None:
-        self._closing_s = closing_s
+        self._close_timeout_s = close_timeout_s
         self.address = address
         self._own_hello = own_hello
         self._own_heartbeat = own_heartbeat
@@ -93,40 +93,40 @@
         self.connection: Connection | None = None
         self.opened = asyncio.Event()
         self._hurried = asyncio.Event()
-        self.used_s = time.monotonic()
+        self.last_used_s = time.monotonic()
 
     @property
     def peer(self) -> Hello | None:
         """The peer's last hello on the present connection, if there is one."""
         return self.connection.peer if self.connection else None
 
-    def is_heard(self) -> bool:
-        """Return True if the peer spoke within ``SILENCE_S``.
+    def is_responsive(self) -> bool:
+        """Return True if the peer spoke within ``UNRESPONSIVE_AFTER_S``.
 
         Guards against sending work to a peer that is paused or cut off while
         its connection still looks open: TCP reports neither.
         """
         if self.connection is None:
             return False
-        return time.monotonic() - self.connection.heard_s < SILENCE_S
+        return time.monotonic() - self.connection.last_received_s < UNRESPONSIVE_AFTER_S
 
-    def takes(self) -> bool:
+    def can_send(self) -> bool:
         """Return True if what is sent now goes out, to a peer that is heard.
 
         A peer that closes is heard until it has answered all; nothing new is sent.
         """
         connection = self.connection
-        return self.is_heard() and not (connection and connection.is_closing())
+        return self.is_responsive() and not (connection and connection.is_closing())
 
     def is_idle(self, idle_s: float) -> bool:
         """Return True if only heartbeats passed for `idle_s` seconds."""
-        return not self._calls and time.monotonic() - self.used_s > idle_s
+        return not self._calls and time.monotonic() - self.last_used_s > idle_s
 
-    def hurry(self) -> None:
+    def dial_now(self) -> None:
         """Dial now instead of waiting; others say that the peer is there."""
         self._hurried.set()
 
-    def drop(self) -> None:
+    def reset(self) -> None:
         """Break the present connection; the link dials again at once.
 
         What the peer sent on it and is not read yet is lost, and the link is
@@ -139,7 +139,7 @@
 
     def send(self, message: Message) -> bool:
         """Send a message that expects no reply; return False if not connected."""
-        self.used_s = time.monotonic()
+        self.last_used_s = time.monotonic()
         return self.connection is not None and self.connection.write(message)
 
     async def ask(
@@ -149,7 +149,7 @@
 
         Waiting for a connection counts towards `timeout_s`.
         """
-        self.used_s = time.monotonic()
+        self.last_used_s = time.monotonic()
         ends_s = asyncio.get_running_loop().time() + timeout_s
         connection = await self._connected(ends_s)
         if connection is None or connection.is_closing():
@@ -238,7 +238,7 @@
         finally:
             self._set(None)
             if self._is_stopping:
-                await connection.close(timeout_s=self._closing_s())
+                await connection.close(timeout_s=self._close_timeout_s())
             connection.abort()
 
     def _set(self, connection: Connection | None) -> None:
@@ -278,7 +278,7 @@
 
     def _take(self, frame: Frame) -> None:
         if not isinstance(frame.message, Heartbeat):
-            self.used_s = time.monotonic()
+            self.last_used_s = time.monotonic()
         if frame.call == 0:
             self._deliver(frame.message)
             return
@@ -308,5 +308,5 @@
     Only one that lasted starts the wait anew: a peer that says hello and
     closes, again and again, would otherwise be dialled without any pause.
     """
-    lasted_s = connection.heard_s - opened_s
+    lasted_s = connection.last_received_s - opened_s
     return BACKOFF_MIN_S if lasted_s > BACKOFF_MAX_S else backoff_s
--- a/src/trefoilpaddle/transport/peers.py
+++ b/src/trefoilpaddle/transport/peers.py
@@ -19,12 +19,12 @@
 
     Parameters
     ----------
-    own_hello, own_heartbeat, on_message, on_change, tls, closing_s
+    own_hello, own_heartbeat, on_message, on_change, tls, close_timeout_s
         As for `Link`, shared by all links.
     """
 
     __slots__ = (
-        "_closing_s",
+        "_close_timeout_s",
         "_on_change",
         "_on_message",
         "_own_heartbeat",
@@ -41,9 +41,9 @@
         on_message: OnMessage,
         on_change: Callable[[Link], None] | None = None,
         tls: ssl.SSLContext | None = None,
-        closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
+        close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
     ) -> None:
-        self._closing_s = closing_s
+        self._close_timeout_s = close_timeout_s
         self._own_hello = own_hello
         self._own_heartbeat = own_heartbeat
         self._on_message = on_message
@@ -62,7 +62,7 @@
                 on_message=self._on_message,
                 on_change=self._on_change,
                 tls=self._tls,
-                closing_s=self._closing_s,
+                close_timeout_s=self._close_timeout_s,
             )
             self.links[address] = link
             link.start()
@@ -74,7 +74,7 @@
         """Ask the peer at `address` and return its reply."""
         return await self.link(address).ask(message, timeout_s=timeout_s)
 
-    async def forget(self, address: Address) -> None:
+    async def close_link(self, address: Address) -> None:
         """Close the link to `address`, if there is one."""
         link = self.links.pop(address, None)
         if link is not None:
@@ -87,4 +87,4 @@
             yield self
         finally:
             addresses = list(self.links)
-            await asyncio.gather(*(self.forget(address) for address in addresses))
+            await asyncio.gather(*(self.close_link(address) for address in addresses))
--- a/src/trefoilpaddle/transport/platform_http.py
+++ b/src/trefoilpaddle/transport/platform_http.py
@@ -36,13 +36,13 @@
         The service's revision.
     values : tuple of PublishedValue
         In order of revision.
-    is_cut : bool
+    has_more : bool
         True if more follows after the last value.
     """
 
     revision: int
     values: tuple[PublishedValue, ...]
-    is_cut: bool
+    has_more: bool
 
 
 class PlatformClient:
@@ -141,7 +141,7 @@
             ValuesPage(
                 revision=int(page["revision"]),
                 values=values,
-                is_cut=bool(page.get("more", False)),
+                has_more=bool(page.get("more", False)),
             )
         )
     except (ValueError, TypeError, KeyError, AttributeError) as error:
--- a/src/trefoilpaddle/transport/server.py
+++ b/src/trefoilpaddle/transport/server.py
@@ -14,13 +14,13 @@
 from .connection import CLOSE_TIMEOUT_S, Address, Connection
 
 MAX_CONNECTIONS: Final = 2000
-MANY_CONNECTIONS: Final = 24
+SLOW_HEARTBEAT_CONNECTIONS: Final = 24
 """From so many connections on, heartbeats go out half as often."""
-MAX_OPEN_ASKS: Final = 256
+MAX_OPEN_QUERIES: Final = 256
 ANSWER_TIMEOUT_S: Final = 10.0
 """Longest time that an answer may take, unless its question says otherwise."""
 
-Answerer = Callable[[Any, Hello], Awaitable[Message]]
+QueryHandler = Callable[[Any, Hello], Awaitable[Message]]
 OnMessage = Callable[[Connection, Message], None]
 OnChange = Callable[[Connection], None]
 
@@ -42,14 +42,14 @@
         Called with each connection as it comes and goes.
     tls : ssl.SSLContext, optional
         Server side context; None speaks plain TCP.
-    closing_s : callable, optional
+    close_timeout_s : callable, optional
         Returns how long each step of the close may take, when it is begun.
     """
 
     __slots__ = (
         "_answerers",
         "_asks",
-        "_closing_s",
+        "_close_timeout_s",
         "_greeting",
         "_is_closing",
         "_is_over",
@@ -76,17 +76,17 @@
         on_open: OnChange | None = None,
         on_close: OnChange | None = None,
         tls: ssl.SSLContext | None = None,
-        closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
+        close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
     ) -> None:
         self.address = address
-        self._closing_s = closing_s
+        self._close_timeout_s = close_timeout_s
         self._own_hello = own_hello
         self._own_heartbeat = own_heartbeat
         self._on_message = on_message
         self._on_open = on_open
         self._on_close = on_close
         self._tls = tls
-        self._answerers: dict[type, Answerer] = {}
+        self._answerers: dict[type, QueryHandler] = {}
         self._timeouts_s: dict[type, float] = {}
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -96,8 +96,8 @@
         self._is_over = False
         self.connections: set[Connection] = set()
 
-    def answer(
-        self, question: type, answerer: Answerer, *, timeout_s: float | None = None
+    def add_handler(
+        self, question: type, answerer: QueryHandler, *, timeout_s: float | None = None
     ) -> None:
         """Answer messages of type `question` with what `answerer` returns.
 
@@ -143,17 +143,17 @@
 
     async def _close_connections(self) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._closing_s()):
+            async with asyncio.timeout(self._close_timeout_s()):
                 await self._answer_last()
         self._is_over = True
         for connection in list(self._greeting):
             connection.abort()
-        timeout_s = self._closing_s()
+        timeout_s = self._close_timeout_s()
         await asyncio.gather(
             *(each.close(timeout_s=timeout_s) for each in list(self.connections))
         )
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=self._closing_s())
+            await asyncio.wait(self._tasks, timeout=self._close_timeout_s())
 
     async def _answer_last(self) -> None:
         """Return once all that peers have sent is answered.
@@ -163,9 +163,9 @@
         that has just had this side's hello may have sent something behind its own.
         """
         for connection in self.connections:
-            connection.ask_last()
+            connection.request_close()
         connections = (*self.connections, *self._greeting)
-        await asyncio.gather(*(each.read_all.wait() for each in connections))
+        await asyncio.gather(*(each.all_received.wait() for each in connections))
         if self._asks:
             await asyncio.wait(self._asks)
 
@@ -216,7 +216,7 @@
         )
         self.connections.add(connection)
         if self._is_closing:
-            connection.ask_last()
+            connection.request_close()
         self._tell(self._on_open, connection)
         try:
             async for frame in connection.frames():
@@ -230,7 +230,7 @@
 
     def _n_ticks(self) -> int:
         """Return the ticks between heartbeats; two fit into a peer's silence."""
-        return 1 if len(self.connections) < MANY_CONNECTIONS else 2
+        return 1 if len(self.connections) < SLOW_HEARTBEAT_CONNECTIONS else 2
 
     def _tell(self, listener: OnChange | None, connection: Connection) -> None:
         # A listener's fault must not leak the connection.
@@ -249,7 +249,7 @@
             return
         # A peer that asks without waiting for replies would otherwise pile up
         # tasks here; past the bound its own connection waits, no other does.
-        while len(asks) >= MAX_OPEN_ASKS:
+        while len(asks) >= MAX_OPEN_QUERIES:
             await asyncio.wait(asks, return_when=asyncio.FIRST_COMPLETED)
         task = asyncio.create_task(self._answer(connection, frame))
         for open_asks in (asks, self._asks):
@@ -281,7 +281,7 @@
             )
             return
         # An answer that waits on a process that is gone must end: past
-        # MAX_OPEN_ASKS such answers the connection would never be read again.
+        # MAX_OPEN_QUERIES such answers the connection would never be read again.
         try:
             timeout_s = self._timeouts_s.get(question, ANSWER_TIMEOUT_S)
             async with asyncio.timeout(timeout_s):
--- a/tests/chain/fleet_model.py
+++ b/tests/chain/fleet_model.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self.handlers: dict[type, Callable[[Any, Hello], Awaitable[Message]]] = {}
 
-    def answer(
+    def add_handler(
         self,
         kind: type,
         handler: Callable[[Any, Hello], Awaitable[Message]],
@@ -70,7 +70,7 @@
     """An open connection to a live gateway."""
 
     @property
-    def heard_s(self) -> float:
+    def last_received_s(self) -> float:
         return time.monotonic()
 
 
--- a/tests/chain/test_cell_handover.py
+++ b/tests/chain/test_cell_handover.py
@@ -53,7 +53,7 @@
 
     @property
     def connection(self) -> object:
-        return SimpleNamespace(heard_s=time.monotonic())
+        return SimpleNamespace(last_received_s=time.monotonic())
 
     async def ask(self, question: object, *, timeout_s: float) -> Result[object, str]:
         self.asked_s.append(time.monotonic())
--- a/tests/chain/test_chain_router.py
+++ b/tests/chain/test_chain_router.py
@@ -11,7 +11,7 @@
 from trefoilpaddle.coordination.chain.chain_router import ChainRouter
 from trefoilpaddle.coordination.chain.running_chain import running_chain
 from trefoilpaddle.coordination.chain.scheduler_links import SchedulerLinks
-from trefoilpaddle.protocol.ids import incarnation_by_age
+from trefoilpaddle.protocol.ids import time_ordered_incarnation
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.chain.cells import MAX_WORKERS_PER_CELL, Cell
 from trefoilpaddle.state.chain.chain_work import (
@@ -58,10 +58,10 @@
 
 
 class FakeConnection:
-    """A connection whose peer last sent something at `heard_s`."""
+    """A connection whose peer last sent something at `last_received_s`."""
 
-    def __init__(self, heard_s: float) -> None:
-        self.heard_s = heard_s
+    def __init__(self, last_received_s: float) -> None:
+        self.last_received_s = last_received_s
 
 
 class FakeLink:
@@ -237,7 +237,7 @@
         # Gateways are restarted one after another. Each that took its cell back began
         # without queues and reservations and admitted three times what could be done,
         # so that everything was late.
-        members = [member("a", incarnation_by_age()), member("b", 1)]
+        members = [member("a", time_ordered_incarnation()), member("b", 1)]
         assert schedules_itself(router("b", members))
 
     def test_an_unresponsive_gateway_is_skipped(self) -> None:
@@ -275,5 +275,5 @@
         assert {place.cell.name for place in at.endpoints({"s"}, "a")} == before
 
     def test_incarnations_are_ordered_by_start_time(self) -> None:
-        starts = [incarnation_by_age() >> 20 for _ in range(100)]
+        starts = [time_ordered_incarnation() >> 20 for _ in range(100)]
         assert starts == sorted(starts)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
             ("DEAD_AFTER_S", 0.2),
             ("HELLO_TIMEOUT_S", 0.2),
             ("CLOSE_TIMEOUT_S", 0.5),
-            ("SILENCE_S", 0.15),
+            ("UNRESPONSIVE_AFTER_S", 0.15),
         ):
             if hasattr(module, name):
                 monkeypatch.setattr(module, name, value)
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -120,7 +120,7 @@
             own_heartbeat=lambda: Heartbeat(load=self.load()),
             on_message=self.on_message,
         )
-        server.answer(Bar, self.on_bar)
+        server.add_handler(Bar, self.on_bar)
         return server
 
     def hello(self) -> Hello:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -302,7 +302,7 @@
         assert slot.gateway is not None
         process = slot.gateway.process
         await self._end_gateway(slot)
-        return process.n_cut_off
+        return process.n_interrupted
 
     async def call(
         self,
--- a/tests/operators_rig.py
+++ b/tests/operators_rig.py
@@ -30,7 +30,7 @@
     def mint(self) -> str:
         identity = self.process.identity
         return str(
-            RequestId.mint(
+            RequestId.generate(
                 process_id=identity.process_id, incarnation=identity.incarnation
             )
         )
--- a/tests/test_config_schedules.py
+++ b/tests/test_config_schedules.py
@@ -96,7 +96,7 @@
     process = SimpleNamespace(
         published=published,
         journal=journal,
-        server=SimpleNamespace(answer=lambda question, answerer: None),
+        server=SimpleNamespace(add_handler=lambda question, answerer: None),
         message_listeners=[],
         link_listeners=[],
         peers=SimpleNamespace(links={}),
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -106,7 +106,7 @@
 
         async def enter() -> Attack:
             server = server_of(on_message=careless)
-            server.answer(Bar, answer_bar)
+            server.add_handler(Bar, answer_bar)
             await stack.enter_async_context(server.listening())
             link = await stack.enter_async_context(link_to(server.address))
             await link.opened.wait()
--- a/tests/test_gateway_failures.py
+++ b/tests/test_gateway_failures.py
@@ -27,7 +27,7 @@
         async with bench(unresponsive, other, published=catalogue(plain_stage())) as b:
             port = unresponsive.port
             monkeypatch.setattr(
-                Link, "is_heard", lambda self: self.address.port != port
+                Link, "is_responsive", lambda self: self.address.port != port
             )
             for _ in range(6):
                 async with b.post(json={}) as answer:
@@ -52,7 +52,7 @@
             await until(lambda: all(v.was_responsive for v in b.gateway._views))
             port = unresponsive.port
             monkeypatch.setattr(
-                Link, "is_heard", lambda self: self.address.port != port
+                Link, "is_responsive", lambda self: self.address.port != port
             )
             answer = await request
             assert answer.status == 200
@@ -72,7 +72,7 @@
             await until(lambda: bool(unresponsive.runs))
             port = unresponsive.port
             monkeypatch.setattr(
-                Link, "is_heard", lambda self: self.address.port != port
+                Link, "is_responsive", lambda self: self.address.port != port
             )
             error = await request
             assert error["outcome"] == "unknown"
@@ -100,8 +100,8 @@
         closing, other = sidecar(), sidecar(name="t2")
         async with bench(closing, other, published=catalogue(plain_stage())) as b:
             for connection in closing.server.connections:
-                connection.ask_last()
-                await connection.read_all.wait()
+                connection.request_close()
+                await connection.all_received.wait()
             for _ in range(30):
                 async with b.post(json={}) as answer:
                     assert answer.status == 200
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -35,7 +35,7 @@
             release.set()
             await stopping
             assert await (await asking).json() == "in full"
-            assert b.gateway.process.n_cut_off == 0
+            assert b.gateway.process.n_interrupted == 0
 
 
 class TestWokenGateway:
--- a/tests/test_gateway_stop.py
+++ b/tests/test_gateway_stop.py
@@ -45,7 +45,7 @@
             error = (await answer.json())["error"]
             assert answer.status == 504
             assert (error["outcome"], error["reason"]) == ("unknown", "stopping")
-            assert b.gateway.process.n_cut_off == 1
+            assert b.gateway.process.n_interrupted == 1
 
     async def test_a_request_with_a_partial_body_is_answered_as_not_run(self) -> None:
         """A caller is still sending its body when the gateway's drain time is over.
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 
-from trefoilpaddle.protocol.const import SILENCE_S
+from trefoilpaddle.protocol.const import UNRESPONSIVE_AFTER_S
 from trefoilpaddle.standins.child import Child
 from trefoilpaddle.standins.description import (
     Description,
@@ -194,7 +194,7 @@
             s.running.freeze("stock-1-sidecar")
             n_before = len(await s.runs("stock-1"))
             # The bound itself; a slower machine only waits longer.
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(UNRESPONSIVE_AFTER_S)
             told = await asyncio.gather(*(s.call("price") for _ in range(6)))
             assert {each.status for each in told} == {200}
             assert len(await s.runs("stock-1")) == n_before
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -218,7 +218,7 @@
             await until(lambda: all_know_all(fleet))
             await until(
                 lambda: any(
-                    link.is_heard() for link in paused.process.peers.links.values()
+                    link.is_responsive() for link in paused.process.peers.links.values()
                 )
             )
             links = list(paused.process.peers.links.values())
@@ -227,7 +227,7 @@
             )
             assert not paused.feed.is_known()
             assert paused.feed.directory.sidecars("a") == []
-            assert not any(link.is_heard() for link in links)
+            assert not any(link.is_responsive() for link in links)
             assert not paused.feed.is_known()
             await until(paused.feed.is_known)
             await until(lambda: Event.WOKE_LATE in paused.events())
@@ -303,7 +303,7 @@
             return BarAnswer()
 
         server = server_of()
-        server.answer(Gossip, answer)
+        server.add_handler(Gossip, answer)
         own = gateway("own")
         async with server.listening(), own.server.listening(), own.peers.open():
             fleet = Fleet(process=own, seeds=(str(server.address),))
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -78,7 +78,7 @@
             return BarAnswer(attempt_id=question.attempt_id)
 
         server = server_of()
-        server.answer(Bar, answer)
+        server.add_handler(Bar, answer)
         context = server.listening()
         await context.__aenter__()
         async with link_to(server.address) as link:
@@ -96,7 +96,7 @@
         # the other side to close. It was read, answered into a connection that took
         # nothing more, and the gateway's caller waited until its deadline.
         server = server_of()
-        server.answer(Bar, echo)
+        server.add_handler(Bar, echo)
         context = server.listening()
         await context.__aenter__()
         async with raw_peer(server.address) as peer:
@@ -113,7 +113,7 @@
         # hello and sends its own with its first question behind; the sidecar dropped
         # connections whose hello it had not read yet.
         server = server_of()
-        server.answer(Bar, echo)
+        server.add_handler(Bar, echo)
         context = server.listening()
         await context.__aenter__()
         async with raw_peer(server.address) as peer:
@@ -135,7 +135,7 @@
             return BarAnswer(attempt_id=question.attempt_id)
 
         server = server_of()
-        server.answer(Bar, answer)
+        server.add_handler(Bar, answer)
         context = server.listening()
         await context.__aenter__()
         async with link_to(server.address) as link:
@@ -202,7 +202,7 @@
         # Answers wait on a third process that is gone. Past the bound of open
         # questions the connection is not read any more, heartbeats included:
         # without an end to each answer it would stay so for ever.
-        monkeypatch.setattr(server_module, "MAX_OPEN_ASKS", 2)
+        monkeypatch.setattr(server_module, "MAX_OPEN_QUERIES", 2)
         monkeypatch.setattr(server_module, "ANSWER_TIMEOUT_S", 0.1, raising=False)
 
         async def hang(question: Claim, peer: Hello) -> ClaimAnswer:
@@ -210,8 +210,8 @@
             return ClaimAnswer()
 
         server = server_of()
-        server.answer(Claim, hang)
-        server.answer(Bar, echo)
+        server.add_handler(Claim, hang)
+        server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
             hung = [
                 asyncio.create_task(link.ask(Claim(), timeout_s=30)) for _ in range(5)
@@ -234,7 +234,7 @@
             return BarAnswer()
 
         server = server_of()
-        server.answer(Bar, slow, timeout_s=5.0)
+        server.add_handler(Bar, slow, timeout_s=5.0)
         async with server.listening(), link_to(server.address) as link:
             assert (await link.ask(Bar(), timeout_s=5.0)).is_ok()
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -35,10 +35,10 @@
         self.is_up = is_up
         self.peer = None
 
-    def is_heard(self) -> bool:
+    def is_responsive(self) -> bool:
         return self.is_up
 
-    def takes(self) -> bool:
+    def can_send(self) -> bool:
         return self.is_up
 
 
--- a/tests/test_target_view.py
+++ b/tests/test_target_view.py
@@ -42,7 +42,7 @@
         async with server_of(own_hello=hello).listening() as server, own_peers() as own:
             link = own.link(server.address)
             await until(lambda: link.connection is not None)
-            before_ns = link.connection.hello_at_ns if link.connection else 0
+            before_ns = link.connection.hello_received_ns if link.connection else 0
             host = Host(
                 name="t1",
                 failure_domain="fd-1",
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -45,7 +45,7 @@
             return BarAnswer(attempt_id=question.attempt_id)
 
         server = server_of()
-        server.answer(Bar, answer)
+        server.add_handler(Bar, answer)
         async with server.listening(), link_to(server.address) as link:
             first = asyncio.create_task(
                 link.ask(Bar(attempt_id=b"first"), timeout_s=10)
@@ -59,7 +59,7 @@
         # A link open for weeks runs out of 32-bit call numbers; the number
         # after the last one did not fit the frame and each further call raised.
         server = server_of()
-        server.answer(Bar, echo)
+        server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
             await link.opened.wait()
             link._numbers = iter(range(link_module.MAX_CALL - 1, 1 << 40))  # type: ignore[assignment]
@@ -123,8 +123,8 @@
             return ClaimAnswer(result=bytes(3 * 1024 * 1024))
 
         server = server_of()
-        server.answer(Claim, too_large)
-        server.answer(Bar, echo)
+        server.add_handler(Claim, too_large)
+        server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
             assert (await link.ask(Claim(), timeout_s=0.2)).is_err()
             assert (await link.ask(Bar(), timeout_s=10)).is_ok()
@@ -213,7 +213,7 @@
         async with raw_listener(serve) as address, link_to(address) as link:
             answer = await link.ask(Bar(), timeout_s=0.3)
             assert answer.is_err()
-            assert not link.is_heard()
+            assert not link.is_responsive()
 
     async def test_a_restarted_peer_is_known_by_its_new_incarnation(self) -> None:
         server = server_of(own_hello=hello_of("server", incarnation=1))
@@ -247,8 +247,8 @@
             ) as link,
         ):
             await link.opened.wait()
-            assert link.is_heard()
-            await until(lambda: not link.is_heard())
+            assert link.is_responsive()
+            await until(lambda: not link.is_responsive())
             await until(lambda: True in changes)
 
     @pytest.mark.usefixtures("fast")
