--- a/src/trefoilpaddle/protocol/__init__.py
+++ b/src/trefoilpaddle/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages, their codec and the errors that pass between processes."""
+"""Messages between processes, their codec, and shared error types."""
--- a/src/trefoilpaddle/protocol/checksum.py
+++ b/src/trefoilpaddle/protocol/checksum.py
@@ -1,4 +1,4 @@
-"""Checksums over bodies and answers, and the stable hash that places keys."""
+"""Checksums of bodies and answers, and the stable hash for rendezvous hashing."""
 
 import xxhash
 
@@ -11,12 +11,12 @@
 
 
 def checksum(data: bytes) -> int:
-    """Return the xxh3 checksum of `data` as a signed 64-bit number."""
+    """Return the xxh3 checksum of `data` as a signed 64-bit integer."""
     return _signed(xxhash.xxh3_64_intdigest(data))
 
 
 class RunningChecksum:
-    """Checksum over chunks in the order in which they are added."""
+    """Incremental checksum over chunks in the order in which they are added."""
 
     __slots__ = ("_state",)
 
@@ -24,14 +24,14 @@
         self._state = xxhash.xxh3_64()
 
     def add(self, data: bytes) -> None:
-        """Count `data` in."""
+        """Include `data` in the checksum."""
         self._state.update(data)
 
     def value(self) -> int:
-        """Return the signed 64-bit checksum of all that was added."""
+        """Return the signed 64-bit checksum of all added data."""
         return _signed(self._state.intdigest())
 
 
-def rendezvous_score(key: str, place: str) -> int:
-    """Return the rendezvous score of `place` for `key`; the highest wins."""
-    return xxhash.xxh3_64_intdigest(f"{place}\0{key}".encode())
+def rendezvous_score(key: str, node: str) -> int:
+    """Return the rendezvous score of `node` for `key`; the highest wins."""
+    return xxhash.xxh3_64_intdigest(f"{node}\0{key}".encode())
--- a/src/trefoilpaddle/protocol/const.py
+++ b/src/trefoilpaddle/protocol/const.py
@@ -1,33 +1,36 @@
-"""Bounds and version numbers that every process of the system shares."""
+"""Bounds, periods and the protocol version that all processes share."""
 
 from typing import Final
 
 PROTOCOL_VERSION: Final = 1
-"""Version of the frames; two processes talk only when theirs are equal."""
+"""Version of the protocol; two processes connect only if theirs are equal."""
 
 MAX_FRAME_BYTES: Final = 2 * 1024 * 1024
-"""Largest frame accepted, header included; holds a configuration value."""
+"""Largest accepted frame, including its header; fits a configuration value."""
 
 MAX_ITEMS: Final = 20_000
-"""Most items in one list of a frame; each costs far more memory than bytes."""
+"""Most items in one list of a frame.
+
+A decoded item takes far more memory than its bytes in the frame.
+"""
 
 CHUNK_BYTES: Final = 64 * 1024
-"""Largest piece of a body or an answer sent in one frame."""
+"""Largest part of a body or an answer in one frame."""
 
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
-"""Largest answer of a stage; a sidecar holds and a gateway takes no larger one."""
+"""Largest answer of a stage that sidecars keep and gateways accept."""
 
 INLINE_BODY_BYTES: Final = 64 * 1024
-"""Bodies up to this size travel inside the start frame."""
+"""Bodies up to this size are sent inside the start frame."""
 
 ATTEMPT_ID_BYTES: Final = 16
-"""Length of an attempt's random id."""
+"""Length of the random id of an attempt."""
 
 UNRESPONSIVE_AFTER_S: Final = 2.0
-"""A peer not heard from for this long gets no new work."""
+"""Seconds without data after which a peer gets no new work."""
 
 HEARTBEAT_S: Final = 0.5
-"""Shortest time between heartbeats on a connection."""
+"""Shortest period in seconds of the heartbeats on a connection."""
 
 NS_PER_S: Final = 1_000_000_000
 """Nanoseconds in a second."""
--- a/src/trefoilpaddle/protocol/errors.py
+++ b/src/trefoilpaddle/protocol/errors.py
@@ -1,4 +1,4 @@
-"""Errors that say what is known to have run, at which step and which peer."""
+"""Errors of calls: whether the work ran, the step that failed, and the peer."""
 
 from dataclasses import dataclass
 
@@ -8,20 +8,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotRun:
-    """The work did not start at any target and never will.
+    """The work did not start at any target and will not start later.
 
     Parameters
     ----------
     reason : Reason
-        Why it was refused.
+        Why the work was refused.
     step : str
-        Step at which the error arose, such as ``"queue"`` or ``"connect"``.
+        Step that failed, such as ``"queue"`` or ``"connect"``.
     peer : str
-        Process or target at which it arose.
+        Process or target at which it failed.
     detail : str
         One sentence for a person.
     retry_after_s : float
-        Seconds after which a retry may succeed; 0 when waiting does not help.
+        Seconds after which a retry may succeed; 0 if waiting does not help.
     """
 
     reason: Reason
@@ -33,11 +33,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Failed:
-    """The work ran at the target and failed; it did not produce an answer.
+    """The work ran at the target and failed without an answer.
+
+    Parameters
+    ----------
+    cost_s : float
+        Target time in seconds that the work used.
 
     See Also
     --------
-    NotRun : the fields have the same meaning.
+    NotRun : the other fields have the same meaning.
     """
 
     reason: Reason
@@ -50,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """Whether the work ran cannot be known; it may even finish later.
+    """It is unknown whether the work ran; it may still finish later.
 
     See Also
     --------
@@ -69,18 +74,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerError:
-    """A question to a peer got no answer.
+    """A request to a peer or to the platform got no usable reply.
 
     Parameters
     ----------
     step : str
-        ``"connect"``, ``"send"``, ``"wait"`` or ``"decode"``.
+        Step that failed, such as ``"connect"``, ``"send"``, ``"wait"`` or
+        ``"decode"``.
     peer : str
-        Address or process id asked.
+        Address, URL or process id of the peer.
     detail : str
         One sentence for a person.
     is_sent : bool
-        True if any part of the question may have left this process.
+        True if any part of the request may have been sent.
     """
 
     step: str
@@ -89,9 +95,9 @@
     is_sent: bool
 
     @classmethod
-    def unexpected_reply(cls, answer: object, *, peer: str) -> "PeerError":
-        """Return what is wrong with an answer that is none to its question."""
-        detail = f"answered by {type(answer).__name__}"
+    def unexpected_reply(cls, reply: object, *, peer: str) -> "PeerError":
+        """Return the error for a reply whose type does not match the request."""
+        detail = f"answered by {type(reply).__name__}"
         return cls(step="decode", peer=peer, detail=detail, is_sent=True)
 
 
@@ -107,7 +113,7 @@
 
 
 def to_failure(error: StageError, *, attempt_id: bytes, load: Load) -> Failure:
-    """Return the message that carries `error` to the gateway."""
+    """Return the message that reports `error` to the gateway."""
     cost_s = 0.0
     match error:
         case NotRun():
@@ -131,7 +137,7 @@
 
 
 def from_failure(failure: Failure) -> StageError:
-    """Return the typed error in `failure`; an unheard-of outcome is unknown."""
+    """Return the error in `failure`; `Unknown` for an unrecognised outcome."""
     reason = reason_from_wire(failure.reason)
     step, peer, detail = failure.step, failure.peer, failure.detail
     wait_s = failure.retry_after_s
--- a/src/trefoilpaddle/protocol/frames.py
+++ b/src/trefoilpaddle/protocol/frames.py
@@ -1,7 +1,7 @@
 """Length-prefixed frames: a kind, a call number and one thrift struct.
 
 A frame is ``length:u32 kind:u8 call:u32 body``, big-endian; the length counts
-everything behind itself. Call 0 is a message that expects no reply.
+all bytes after itself. A message with call number 0 expects no reply.
 """
 
 import struct
@@ -28,7 +28,7 @@
 KIND_AND_CALL_BYTES: Final = HEADER.size - LENGTH_BYTES
 
 Message = Any
-"""A generated thrift struct; which one, the frame's kind says."""
+"""A generated thrift struct; the kind of the frame determines its type."""
 
 KINDS: Final[Mapping[int, type]] = {
     1: stage.Hello,
@@ -81,8 +81,8 @@
 }
 KIND_OF: Final[Mapping[type, int]] = {cls: kind for kind, cls in KINDS.items()}
 
-# Made once: making one takes as long as writing a small struct with it. The
-# accelerated protocol keeps nothing between two structs but its transport.
+# Created once: creating a protocol takes as long as writing a small struct with it.
+# The accelerated protocol keeps no state between two structs except its transport.
 _WRITER: Final = TCompactProtocolAccelerated(TMemoryBuffer(), fallback=False)
 _READER: Final = TCompactProtocolAccelerated(
     TMemoryBuffer(),
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Frame:
-    """One message with its call number (0: expects no reply)."""
+    """One message with its call number; 0 for a message that expects no reply."""
 
     call: int
     message: Message
@@ -106,8 +106,8 @@
     Raises
     ------
     ValueError
-        If the frame would exceed ``MAX_FRAME_BYTES``; a fault of the caller,
-        who cuts bodies into chunks.
+        If the frame would exceed ``MAX_FRAME_BYTES``; callers have to split bodies
+        into chunks.
     """
     buffer = TMemoryBuffer()
     _WRITER.trans = buffer
@@ -120,12 +120,12 @@
 
 
 def decode(rest: bytes) -> Result[Frame, str]:
-    """Return the frame whose bytes behind the length are `rest`.
+    """Return the frame whose bytes after the length are `rest`.
 
     Returns
     -------
     Result[Frame, str]
-        What is wrong with the bytes, when no known message can be read.
+        The frame, or why the bytes are not a known message.
     """
     if len(rest) < KIND_AND_CALL_BYTES:
         return Err(f"frame of {len(rest)} bytes is shorter than its header")
@@ -137,6 +137,6 @@
     _READER.trans = TMemoryBuffer(rest[KIND_AND_CALL_BYTES:])
     try:
         message.read(_READER)
-    except Exception as error:  # the decoder raises many types on bad bytes
+    except Exception as error:  # the decoder raises many types on invalid bytes
         return Err(f"{cls.__name__} cannot be read: {error!r}")
     return Ok(Frame(call=int.from_bytes(rest[1:KIND_AND_CALL_BYTES]), message=message))
--- a/src/trefoilpaddle/protocol/reader.py
+++ b/src/trefoilpaddle/protocol/reader.py
@@ -1,4 +1,4 @@
-"""Cuts a byte stream into frames, within bounds."""
+"""Splits a byte stream into frames, within bounds."""
 
 from result import Err, Ok, Result
 
@@ -7,10 +7,10 @@
 
 
 class FrameReader:
-    """Buffer that turns received bytes into whole frames.
+    """Buffer that assembles received bytes into complete frames.
 
-    A length out of bounds is an error at once, before its bytes are awaited,
-    so a peer cannot make the buffer grow past one frame and one read.
+    A length out of bounds is an error before the bytes of the frame have arrived,
+    so a peer cannot make the buffer grow beyond one frame and one read.
     """
 
     __slots__ = ("_buffer",)
@@ -19,7 +19,7 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Result[list[Frame], str]:
-        """Return the frames that `data` completes, or why the stream is broken."""
+        """Return the frames that `data` completes, or why the stream is invalid."""
         self._buffer += data
         frames: list[Frame] = []
         start = 0
--- a/src/trefoilpaddle/protocol/reasons.py
+++ b/src/trefoilpaddle/protocol/reasons.py
@@ -1,11 +1,11 @@
-"""Why a request was delayed, refused or failed, as one closed list."""
+"""Reasons for which a request is delayed, refused or failed, as a closed list."""
 
 from enum import IntEnum, unique
 
 
 @unique
 class Reason(IntEnum):
-    """Reason of a decision; the number travels on the wire and never changes."""
+    """Reason of a decision; its number is part of the protocol and never changes."""
 
     NONE = 0
     PREDICTED_LATE = 1
@@ -47,8 +47,8 @@
 def reason_from_wire(number: int) -> Reason:
     """Return the reason that a peer sent.
 
-    One that runs a newer release may send a reason that this one does not know.
-    The request has ended all the same, so it reads as ``INTERNAL``.
+    A peer of a newer release may send a reason that this release does not know. The
+    request has ended in any case, so the reason is read as ``INTERNAL``.
     """
     try:
         return Reason(number)
--- a/src/trefoilpaddle/transport/__init__.py
+++ b/src/trefoilpaddle/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections: framed links between processes."""
+"""Framed connections between processes, and HTTP to the platform and targets."""
--- a/src/trefoilpaddle/transport/connection.py
+++ b/src/trefoilpaddle/transport/connection.py
@@ -1,4 +1,4 @@
-"""One framed connection to a peer, after both sides have said hello."""
+"""One framed connection to a peer, with the exchange of hellos that opens it."""
 
 import asyncio
 import contextlib
@@ -40,7 +40,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Result[Address, str]":
-        """Return the address that `text`, ``ip:port``, spells."""
+        """Return the address written as ``ip:port`` in `text`, or why it is invalid."""
         ip, _, port = text.rpartition(":")
         if not ip or not port.isdecimal() or int(port) > MAX_PORT:
             return Err(f"{text!r} is not IP:PORT")
@@ -48,30 +48,35 @@
 
 
 class Connection:
-    """A connection on which frames pass both ways.
+    """A connection that carries frames in both directions.
 
     Parameters
     ----------
     reader, writer : asyncio streams
         The open streams.
     own : Hello
-        What this process says of itself.
+        Hello message of this process.
 
     Attributes
     ----------
+    last_received_s : float
+        Monotonic time in seconds at which bytes last arrived from the peer.
+    hello_received_ns : int
+        Monotonic time in nanoseconds at which the peer's hello was accepted; 0
+        before.
     all_received : asyncio.Event
-        Set once nothing more can come from the peer that wants an answer: it has
-        said so after `request_close`, or the connection has ended.
+        Set once the peer can send nothing more that needs a reply: it has
+        confirmed this after `request_close`, or the connection has ended.
     """
 
     __slots__ = (
         "_close_requested",
-        "_ended",
-        "_frames",
+        "_frame_reader",
         "_is_closed",
-        "_is_finished",
         "_is_reading",
+        "_is_send_closed",
         "_reader",
+        "_reading_ended",
         "_unsent",
         "_unsent_bytes",
         "_writer",
@@ -92,13 +97,13 @@
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._frames = FrameReader()
+        self._frame_reader = FrameReader()
         self._unsent: list[bytes] = []
         self._unsent_bytes = 0
         self._close_requested = False
-        self._ended = asyncio.Event()
+        self._reading_ended = asyncio.Event()
         self._is_closed = False
-        self._is_finished = False
+        self._is_send_closed = False
         self._is_reading = False
         self.own = own
         self.peer = Hello()
@@ -109,20 +114,21 @@
 
     @property
     def peer_name(self) -> str:
-        """Process id of the peer, or its address before it has said hello."""
+        """Process id of the peer, or its address before its hello has arrived."""
         return self.peer.process_id or str(self._writer.get_extra_info("peername"))
 
     def is_closing(self) -> bool:
         """Return True if nothing more can be sent."""
-        return self._is_finished or self._writer.is_closing()
+        return self._is_send_closed or self._writer.is_closing()
 
     def write(self, message: Message, *, call: int = 0) -> bool:
         """Queue `message` for sending; return False if the connection is closed.
 
-        All that is written in one turn of the event loop leaves in one call of
-        the kernel, which costs more than a small frame. A peer that stops
-        reading while control messages pile up is cut off rather than allowed to
-        fill this process's memory.
+        Everything written in one iteration of the event loop is sent with one
+        system call, which costs more than a small frame. A peer that stops
+        reading while messages accumulate is disconnected once more than
+        ``MAX_UNSENT_BYTES`` are unsent, so that it cannot exhaust the memory of
+        this process.
         """
         if self.is_closing():
             return False
@@ -147,7 +153,7 @@
             self._writer.write(data)
 
     async def drain(self) -> None:
-        """Wait until the peer takes what was written; a closed one is no error."""
+        """Wait until the send buffer has space; a closed connection is no error."""
         self._flush()
         with contextlib.suppress(OSError):
             await self._writer.drain()
@@ -157,15 +163,21 @@
     ) -> None:
         """Send heartbeats until the connection closes or the peer is dead.
 
-        One goes out every `n_ticks` times ``HEARTBEAT_S``.
-
-        A peer whose host vanished sends no FIN and would keep its connection
-        open for ever. Silence is counted in own heartbeats, not on the clock:
-        after a pause of this process the peer's heartbeats still wait unread,
-        and the clock would blame the peer for the pause. One that has said that it
-        closes is judged like any other: it may vanish before it does.
+        A peer whose host disappears sends no FIN, and its connection would stay
+        open forever. The time without data is counted in ticks of this loop, not
+        by the clock: after a pause of this process, heartbeats of the peer are
+        still unread, and the clock would attribute the pause to the peer. A peer
+        that has announced its close is checked like any other, because its host
+        may disappear before the connection is closed.
+
+        Parameters
+        ----------
+        own_heartbeat : callable
+            Returns the heartbeat to send now.
+        n_ticks : callable
+            Returns the heartbeat period as a multiple of ``HEARTBEAT_S``.
         """
-        n_silent = 0
+        n_ticks_without_data = 0
         last_received_s = self.last_received_s
         for tick in itertools.count():
             if self._writer.is_closing():
@@ -173,44 +185,54 @@
             if tick % n_ticks() == 0:
                 self._send_heartbeat(own_heartbeat)
             await aligned_sleep(HEARTBEAT_S)
-            n_silent = n_silent + 1 if self.last_received_s == last_received_s else 0
+            n_ticks_without_data = (
+                n_ticks_without_data + 1
+                if self.last_received_s == last_received_s
+                else 0
+            )
             last_received_s = self.last_received_s
-            if n_silent * HEARTBEAT_S > DEAD_AFTER_S:
-                logging.warning("%s is silent; connection dropped", self.peer_name)
+            if n_ticks_without_data * HEARTBEAT_S > DEAD_AFTER_S:
+                logging.warning(
+                    "%s is unresponsive; closing the connection", self.peer_name
+                )
                 self.abort()
 
     def _send_heartbeat(self, own_heartbeat: Callable[[], Heartbeat]) -> None:
-        # One heartbeat that cannot be made must not end all later ones: the
-        # peer would take this process for paused and send it no more work.
+        # A heartbeat that cannot be built must not stop the later ones: the peer
+        # would consider this process paused and send it no more work.
         try:
             self.write(own_heartbeat())
         except Exception:
-            logging.exception("no heartbeat for %s", self.peer_name)
+            logging.exception("the heartbeat for %s could not be sent", self.peer_name)
 
     async def exchange_hello(self) -> Result[Hello, PeerError]:
-        """Send our hello and return the peer's, refusing another version."""
+        """Send the own hello and return the peer's hello.
+
+        A peer is refused if its hello does not arrive in time, is of another
+        protocol version, has an invalid process id, or is this process's own.
+        """
         self.write(self.own)
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 frame = await self._first_frame()
         except TimeoutError:
-            return self._error("no hello in time")
+            return self._hello_error("no hello in time")
         if frame is None or not isinstance(frame.message, Hello):
-            return self._error("the first frame was not a hello")
+            return self._hello_error("the first frame was not a hello")
         if frame.message.version != PROTOCOL_VERSION:
-            return self._error(f"speaks version {frame.message.version}")
+            return self._hello_error(f"speaks version {frame.message.version}")
         if not 0 < len(frame.message.process_id) <= MAX_NAME_CHARS:
-            return self._error("its process id is empty or too long")
+            return self._hello_error("its process id is empty or too long")
         if self._is_own(frame.message):
-            return self._error("is this process itself")
+            return self._hello_error("is this process itself")
         self.hello_received_ns = time.monotonic_ns()
         self.peer = frame.message
         return Ok(self.peer)
 
     def _is_own(self, hello: Hello) -> bool:
-        # Dialling a dead local port can make the kernel join the socket to
-        # itself. The link would look alive and hold the port against the
-        # restart of the process that listened there.
+        # Dialling a local port without a listener can make the kernel connect the
+        # socket to itself. The link would look alive and occupy the port, so that
+        # the process that listened there could not restart.
         own = (self.own.process_id, self.own.incarnation)
         return own == (hello.process_id, hello.incarnation)
 
@@ -228,19 +250,23 @@
         if not data:
             return False
         self.last_received_s = time.monotonic()
-        match self._frames.feed(data):
+        match self._frame_reader.feed(data):
             case Ok(frames):
                 TRAFFIC.n_frames_received += len(frames)
                 TRAFFIC.received_bytes += len(data)
                 self.pending += frames
                 return True
             case Err(problem):
-                logging.warning("%s: stream closed: %s", self.peer_name, problem)
+                logging.warning(
+                    "%s: closing the connection after invalid data: %s",
+                    self.peer_name,
+                    problem,
+                )
                 self.abort()
                 return False
 
     async def frames(self) -> AsyncIterator[Frame]:
-        """Yield frames until the peer closes, breaks or garbles the stream."""
+        """Yield frames until the connection ends or the peer sends invalid data."""
         self._is_reading = True
         try:
             while True:
@@ -254,15 +280,16 @@
                     return
         finally:
             self._is_reading = False
-            self._ended.set()
+            self._reading_ended.set()
             self.all_received.set()
 
     def request_close(self) -> None:
-        """Ask the peer to send nothing more, once it has sent what it must.
+        """Request that the peer send nothing more after what it has already sent.
 
-        What it sent before it heard of the close is still on its way. A process
-        that only closed its sending side read that too, but its answers went
-        nowhere: the peer saw the connection end and could not tell what had run.
+        Messages that the peer sent before it received the request are still in
+        flight and need replies. Closing only the sending side would let this
+        process read them, but not reply: the peer would see the connection end
+        and could not know which calls had run.
         """
         self._close_requested = True
         self.write(Closing())
@@ -272,45 +299,50 @@
             self.all_received.set()
             return
         self.write(Closing())
-        self._is_finished = True
+        self._is_send_closed = True
 
     def abort(self) -> None:
-        """Close at once, dropping what is unsent; does nothing once closed."""
+        """Close at once and discard unsent data; do nothing if already closed."""
         if not self._is_closed:
             self._is_closed = True
             self.all_received.set()
             self._writer.transport.abort()
 
     async def close(self, *, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Send what is queued, then close; a peer that never reads is dropped.
+        """Send what is queued, then close; a peer that never reads is disconnected.
+
+        Closing a socket with unread bytes makes the kernel reset the connection,
+        and the peer loses what was sent last. Therefore the sending side is
+        closed first, and the socket once the peer has closed its side.
 
-        Closing a socket with unread bytes makes the kernel reset it, and the
-        peer then loses what was sent last. So only the sending side closes
-        first, and the rest when the peer has closed its side.
+        Parameters
+        ----------
+        timeout_s : float
+            Longest time in seconds to wait for the peer.
         """
         self._flush()
-        self._is_finished = True
+        self._is_send_closed = True
         try:
             async with asyncio.timeout(timeout_s):
                 if self._writer.can_write_eof():
                     self._writer.write_eof()
                 else:
                     self._writer.close()
-                await self._peer_closes()
+                await self._wait_for_peer_close()
         except (OSError, RuntimeError):
-            # OSError is a timeout too; the loop raises RuntimeError where the
-            # peer's reset closed the socket a moment before.
+            # TimeoutError is an OSError. The event loop raises RuntimeError if a
+            # reset by the peer has just closed the socket.
             pass
         self.abort()
 
-    async def _peer_closes(self) -> None:
+    async def _wait_for_peer_close(self) -> None:
         if self._is_reading:
-            await self._ended.wait()
+            await self._reading_ended.wait()
             return
         while await self._read_more():
             self.pending.clear()
 
-    def _error(self, detail: str) -> Err[PeerError]:
+    def _hello_error(self, detail: str) -> Err[PeerError]:
         error = PeerError(
             step="hello", peer=self.peer_name, detail=detail, is_sent=False
         )
--- a/src/trefoilpaddle/transport/link.py
+++ b/src/trefoilpaddle/transport/link.py
@@ -1,4 +1,4 @@
-"""A link to one peer: dials, says hello, reconnects, asks and is answered."""
+"""A link to one peer: dials, exchanges hellos, reconnects, sends requests."""
 
 import asyncio
 import contextlib
@@ -23,8 +23,12 @@
 BACKOFF_MAX_S: Final = 1.0
 MAX_CALL: Final = (1 << 32) - 1
 
-N_DIALLER_TICKS: Final = 4
-"""The dialling side beats this much less often; nobody judges it by that."""
+DIALLER_HEARTBEAT_TICKS: Final = 4
+"""Heartbeat period of the dialling side, as a multiple of ``HEARTBEAT_S``.
+
+It is longer than that of the listening side, because no process decides whether to
+send work by the heartbeats of a dialling side.
+"""
 
 OnMessage = Callable[["Link", Message], None]
 
@@ -37,25 +41,34 @@
     address : Address
         Where the peer listens.
     own_hello : callable
-        Returns what this process says of itself now.
+        Returns the current hello message of this process.
     own_heartbeat : callable
         Returns the heartbeat to send now.
     on_message : callable
-        Takes each message that answers no question; must not block.
+        Called with each message that is not a reply; must not block.
     on_change : callable, optional
-        Called with the link after each connect and each loss.
+        Called with the link after each connect and each disconnect.
     tls : ssl.SSLContext, optional
-        Client side context; None speaks plain TCP.
+        Client-side context; None for plain TCP.
     close_timeout_s : callable, optional
-        Returns how long the close may take, when it is begun.
+        Returns the longest time in seconds for the close; called when it begins.
+
+    Attributes
+    ----------
+    connection : Connection or None
+        The open connection, after the exchange of hellos.
+    opened : asyncio.Event
+        Set while there is an open connection.
+    last_used_s : float
+        Monotonic time in seconds of the last message other than a heartbeat.
     """
 
     __slots__ = (
+        "_call_numbers",
         "_calls",
         "_close_timeout_s",
-        "_hurried",
+        "_dial_requested",
         "_is_stopping",
-        "_numbers",
         "_on_change",
         "_on_message",
         "_own_heartbeat",
@@ -86,24 +99,24 @@
         self._on_message = on_message
         self._on_change = on_change
         self._tls = tls
-        self._numbers = itertools.count()
+        self._call_numbers = itertools.count()
         self._is_stopping = False
         self._calls: dict[int, asyncio.Future[Message]] = {}
         self._task: asyncio.Task[None] | None = None
         self.connection: Connection | None = None
         self.opened = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._dial_requested = asyncio.Event()
         self.last_used_s = time.monotonic()
 
     @property
     def peer(self) -> Hello | None:
-        """The peer's last hello on the present connection, if there is one."""
+        """The peer's hello on the open connection; None without a connection."""
         return self.connection.peer if self.connection else None
 
     def is_responsive(self) -> bool:
-        """Return True if the peer spoke within ``UNRESPONSIVE_AFTER_S``.
+        """Return True if data arrived within the last ``UNRESPONSIVE_AFTER_S``.
 
-        Guards against sending work to a peer that is paused or cut off while
+        Guards against sending work to a peer that is paused or partitioned while
         its connection still looks open: TCP reports neither.
         """
         if self.connection is None:
@@ -111,34 +124,35 @@
         return time.monotonic() - self.connection.last_received_s < UNRESPONSIVE_AFTER_S
 
     def can_send(self) -> bool:
-        """Return True if what is sent now goes out, to a peer that is heard.
+        """Return True if the peer is responsive and the connection accepts messages.
 
-        A peer that closes is heard until it has answered all; nothing new is sent.
+        A closing peer stays responsive until it has sent all replies, but nothing
+        new is sent to it.
         """
         connection = self.connection
         return self.is_responsive() and not (connection and connection.is_closing())
 
     def is_idle(self, idle_s: float) -> bool:
-        """Return True if only heartbeats passed for `idle_s` seconds."""
+        """Return True if only heartbeats were exchanged for `idle_s` seconds."""
         return not self._calls and time.monotonic() - self.last_used_s > idle_s
 
     def dial_now(self) -> None:
-        """Dial now instead of waiting; others say that the peer is there."""
-        self._hurried.set()
+        """Skip the back-off, because other processes report that the peer is live."""
+        self._dial_requested.set()
 
     def reset(self) -> None:
-        """Break the present connection; the link dials again at once.
+        """Abort the open connection; the link then dials again.
 
-        What the peer sent on it and is not read yet is lost, and the link is
-        not heard until the peer has said hello anew: after a pause, frames in
-        the socket's buffer are old and would pass for fresh ones.
+        Unread data of the peer is discarded, and the link is unresponsive until
+        hellos are exchanged on a new connection: after a pause of this process,
+        frames in the socket's buffer are old and would be taken for current ones.
         """
         if self.connection is not None:
             self.connection.abort()
-            self._set(None)
+            self._set_connection(None)
 
     def send(self, message: Message) -> bool:
-        """Send a message that expects no reply; return False if not connected."""
+        """Send a message that expects no reply; return False if it cannot be sent."""
         self.last_used_s = time.monotonic()
         return self.connection is not None and self.connection.write(message)
 
@@ -147,42 +161,47 @@
     ) -> Result[Message, PeerError]:
         """Send `message` and return its reply, or the step that failed.
 
-        Waiting for a connection counts towards `timeout_s`.
+        Parameters
+        ----------
+        message : Message
+            The request.
+        timeout_s : float
+            Longest time in seconds; includes the wait for a connection.
         """
         self.last_used_s = time.monotonic()
-        ends_s = asyncio.get_running_loop().time() + timeout_s
-        connection = await self._connected(ends_s)
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
+        connection = await self._connected(deadline_s)
         if connection is None or connection.is_closing():
             return self._error("connect", "no connection", is_sent=False)
-        number = next(self._numbers) % MAX_CALL + 1
-        answer: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._calls[number] = answer
+        call = next(self._call_numbers) % MAX_CALL + 1
+        reply: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self._calls[call] = reply
         try:
-            if not connection.write(message, call=number):
+            if not connection.write(message, call=call):
                 return self._error("send", "connection closed", is_sent=True)
-            async with asyncio.timeout_at(ends_s):
-                return Ok(await answer)
+            async with asyncio.timeout_at(deadline_s):
+                return Ok(await reply)
         except TimeoutError:
             return self._error("wait", f"no reply in {timeout_s:g} s", is_sent=True)
         except ConnectionError as error:
             return self._error("wait", str(error), is_sent=True)
         finally:
-            self._calls.pop(number, None)
+            self._calls.pop(call, None)
 
-    async def _connected(self, ends_s: float) -> Connection | None:
+    async def _connected(self, deadline_s: float) -> Connection | None:
         if self.connection is None:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(ends_s):
+                async with asyncio.timeout_at(deadline_s):
                     await self.opened.wait()
         return self.connection
 
     def start(self) -> None:
-        """Begin dialling; the link then keeps itself open until `stop`."""
+        """Start dialling; the link reconnects until `stop` is called."""
         if self._task is None:
             self._task = asyncio.create_task(self._run(), name=f"link {self.address}")
 
     async def stop(self) -> None:
-        """Send what is queued, close the connection and end the link's task."""
+        """Send what is queued, close the connection and stop reconnecting."""
         if self._task is None:
             return
         self._is_stopping = True
@@ -206,14 +225,14 @@
             backoff_s = min(BACKOFF_MAX_S, 2 * backoff_s)
 
     async def _wait(self, wait_s: float) -> None:
-        self._hurried.clear()
+        self._dial_requested.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                await self._hurried.wait()
+                await self._dial_requested.wait()
 
     @contextlib.asynccontextmanager
     async def _open(self) -> AsyncIterator[Connection | None]:
-        """Yield a connection with hellos exchanged, or None; close it after."""
+        """Yield a connection after the hellos, or None; close it on exit."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(
@@ -230,70 +249,72 @@
         try:
             match await connection.exchange_hello():
                 case Ok(_):
-                    self._set(connection)
+                    self._set_connection(connection)
                     yield connection
                 case Err(error):
                     logging.warning("%s: %s", error.peer, error.detail)
                     yield None
         finally:
-            self._set(None)
+            self._set_connection(None)
             if self._is_stopping:
                 await connection.close(timeout_s=self._close_timeout_s())
             connection.abort()
 
-    def _set(self, connection: Connection | None) -> None:
-        was = self.connection
+    def _set_connection(self, connection: Connection | None) -> None:
+        previous = self.connection
         self.connection = connection
         if connection is not None:
             self.opened.set()
         else:
             self.opened.clear()
             self._fail_calls()
-        if self._on_change is not None and was is not connection:
-            self._tell_change(self._on_change)
+        if self._on_change is not None and previous is not connection:
+            self._notify_change(self._on_change)
 
-    def _tell_change(self, on_change: "Callable[[Link], None]") -> None:
-        # A listener's fault must neither leak the connection nor stop the link.
+    def _notify_change(self, on_change: "Callable[[Link], None]") -> None:
+        # An error in a listener must not leak the connection or stop the link.
         try:
             on_change(self)
         except Exception:
-            logging.exception("a listener failed on a change of %s", self.address)
+            logging.exception(
+                "the listener failed on a state change of the link to %s", self.address
+            )
 
     def _fail_calls(self) -> None:
-        for answer in self._calls.values():
-            if not answer.done():
-                answer.set_exception(ConnectionError("connection lost"))
+        for reply in self._calls.values():
+            if not reply.done():
+                reply.set_exception(ConnectionError("connection lost"))
 
     async def _serve(self, connection: Connection) -> None:
-        beats = asyncio.create_task(
-            connection.keep_alive(self._own_heartbeat, lambda: N_DIALLER_TICKS)
+        heartbeats = asyncio.create_task(
+            connection.keep_alive(self._own_heartbeat, lambda: DIALLER_HEARTBEAT_TICKS)
         )
         try:
             async for frame in connection.frames():
                 if self.connection is not connection:
                     return
-                self._take(frame)
+                self._dispatch(frame)
         finally:
-            beats.cancel()
+            heartbeats.cancel()
 
-    def _take(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         if not isinstance(frame.message, Heartbeat):
             self.last_used_s = time.monotonic()
         if frame.call == 0:
             self._deliver(frame.message)
             return
-        answer = self._calls.get(frame.call)
-        if answer is not None and not answer.done():
-            answer.set_result(frame.message)
+        reply = self._calls.get(frame.call)
+        if reply is not None and not reply.done():
+            reply.set_result(frame.message)
 
     def _deliver(self, message: Message) -> None:
-        # A fault in handling one attempt's frame must not cut off the other
-        # attempts that share the connection.
+        # An error while handling the frame of one attempt must not disconnect the
+        # other attempts that share the connection.
         try:
             self._on_message(self, message)
         except Exception:
             logging.exception(
-                "%s from %s was not handled", type(message).__name__, self.address
+                "handling %s from %s failed", type(message).__name__, self.address
             )
 
     def _error(self, step: str, detail: str, *, is_sent: bool) -> Err[PeerError]:
@@ -303,10 +324,11 @@
 
 
 def _backoff_after(connection: Connection, opened_s: float, backoff_s: float) -> float:
-    """Return the wait after a connection that was open since `opened_s`.
+    """Return the back-off in seconds after a connection that opened at `opened_s`.
 
-    Only one that lasted starts the wait anew: a peer that says hello and
-    closes, again and again, would otherwise be dialled without any pause.
+    The back-off is reset only after a connection that lasted longer than
+    ``BACKOFF_MAX_S``: a peer that repeatedly exchanges hellos and closes would
+    otherwise be dialled at the shortest interval.
     """
     lasted_s = connection.last_received_s - opened_s
     return BACKOFF_MIN_S if lasted_s > BACKOFF_MAX_S else backoff_s
--- a/src/trefoilpaddle/transport/peers.py
+++ b/src/trefoilpaddle/transport/peers.py
@@ -1,4 +1,4 @@
-"""Links to many peers, opened on first use and closed together."""
+"""Links to all peers that this process dials."""
 
 import asyncio
 import contextlib
@@ -15,12 +15,12 @@
 
 
 class Peers:
-    """All links that this process dials, by address.
+    """The links to peers by address, opened on first use and closed together.
 
     Parameters
     ----------
     own_hello, own_heartbeat, on_message, on_change, tls, close_timeout_s
-        As for `Link`, shared by all links.
+        As for `Link`; shared by all links.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         self.links: dict[Address, Link] = {}
 
     def link(self, address: Address) -> Link:
-        """Return the link to `address`, started if it is new."""
+        """Return the link to `address`; create and start it on first use."""
         link = self.links.get(address)
         if link is None:
             link = Link(
@@ -71,7 +71,7 @@
     async def ask(
         self, address: Address, message: Message, *, timeout_s: float
     ) -> Result[Message, PeerError]:
-        """Ask the peer at `address` and return its reply."""
+        """Send `message` to the peer at `address` and return its reply."""
         return await self.link(address).ask(message, timeout_s=timeout_s)
 
     async def close_link(self, address: Address) -> None:
@@ -82,7 +82,7 @@
 
     @contextlib.asynccontextmanager
     async def open(self) -> AsyncIterator["Peers"]:
-        """Close all links when the context ends."""
+        """Close all links on exit from the context."""
         try:
             yield self
         finally:
--- a/src/trefoilpaddle/transport/platform_http.py
+++ b/src/trefoilpaddle/transport/platform_http.py
@@ -1,4 +1,4 @@
-"""Reads what the platform publishes: configuration values and the host list."""
+"""HTTP client for what the platform publishes: configuration and host list."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,22 @@
 
 READ_TIMEOUT_S: Final = 5.0
 MAX_ANSWER_BYTES: Final = 8 * 1024 * 1024
-"""Bound on one answer; a page holds at most one megabyte of values."""
+"""Largest accepted response; a page holds at most one megabyte of values."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PublishedValue:
-    """One value as the configuration service gives it; None for a deletion."""
+    """One value of the configuration service.
+
+    Parameters
+    ----------
+    key : str
+        Its key.
+    revision : int
+        Revision of the service that set or deleted the value.
+    value : bytes or None
+        JSON of the value; None if it was deleted.
+    """
 
     key: str
     revision: int
@@ -28,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ValuesPage:
-    """One answer of the configuration service.
+    """One page of changed values.
 
     Parameters
     ----------
     revision : int
-        The service's revision.
+        Current revision of the service.
     values : tuple of PublishedValue
-        In order of revision.
+        The changes in order of revision.
     has_more : bool
-        True if more follows after the last value.
+        True if more changes follow after the last value.
     """
 
     revision: int
@@ -51,16 +61,16 @@
     Parameters
     ----------
     config_url, hosts_url : str
-        Where they answer.
+        Base URLs of the two services.
     session : aiohttp.ClientSession
-        Carries the calls.
+        Session used for the calls.
 
     Attributes
     ----------
     n_reads : int
-        Calls made to the configuration service, failed ones included.
+        Number of calls to the configuration service, including failed ones.
     n_host_reads : int
-        Calls made to the host list, failed ones included.
+        Number of calls to the host list, including failed ones.
     """
 
     __slots__ = ("_config_url", "_hosts_url", "_session", "n_host_reads", "n_reads")
@@ -75,7 +85,7 @@
         self.n_host_reads = 0
 
     async def values(self, *, after: int) -> Result[ValuesPage, PeerError]:
-        """Return the first page of what changed after revision `after`."""
+        """Return the first page of the changes after revision `after`."""
         self.n_reads += 1
         return await self._page(
             f"{self._config_url}/v1/values?after={after}", timeout_s=READ_TIMEOUT_S
@@ -84,7 +94,16 @@
     async def watch(
         self, *, after: int, timeout_s: float
     ) -> Result[ValuesPage, PeerError]:
-        """Return the same once something is newer, or an empty page in time."""
+        """Return changes after revision `after` as soon as there are any.
+
+        Parameters
+        ----------
+        after : int
+            Last revision that the caller has.
+        timeout_s : float
+            Longest time in seconds that the service waits for a change; it then
+            returns an empty page.
+        """
         self.n_reads += 1
         return await self._page(
             f"{self._config_url}/v1/watch?after={after}&timeout_s={timeout_s:g}",
@@ -92,7 +111,7 @@
         )
 
     async def hosts(self) -> Result[bytes, PeerError]:
-        """Return the host list, JSON as published."""
+        """Return the host list as published, in JSON."""
         self.n_host_reads += 1
         return await self._get(f"{self._hosts_url}/v1/hosts", timeout_s=READ_TIMEOUT_S)
 
@@ -165,7 +184,7 @@
 async def platform_client(
     *, config_url: str, hosts_url: str
 ) -> AsyncIterator[PlatformClient]:
-    """Yield a client whose connections are closed when the context ends."""
+    """Yield a client whose connections are closed on exit from the context."""
     async with aiohttp.ClientSession() as session:
         yield PlatformClient(
             config_url=config_url, hosts_url=hosts_url, session=session
--- a/src/trefoilpaddle/transport/port_lock.py
+++ b/src/trefoilpaddle/transport/port_lock.py
@@ -1,4 +1,4 @@
-"""A lock on a target: one listening port, held for the life of a process."""
+"""A lock on a target: a listening port that one process holds at a time."""
 
 import asyncio
 import contextlib
@@ -16,24 +16,24 @@
 
 
 class PortLockError(Exception):
-    """The port of the lock stayed in use for longer than the wait allowed."""
+    """The lock port was still in use at the end of the wait."""
 
 
 @contextlib.asynccontextmanager
 async def held_port(address: Address, *, wait_s: float) -> AsyncIterator[None]:
-    """Hold the port at `address` while the context is open.
+    """Hold the lock port at `address` while the context is open.
 
-    Guards against two sidecars of one target: an old one that was paused and
-    wakes up beside its successor would start work a second time. The kernel
-    frees the port when its holder dies and at no other time, so a paused
-    holder keeps it and its successor cannot begin.
+    Guards against two sidecars of one target: a paused sidecar that resumes next to
+    its successor would start work a second time. The kernel frees the port only
+    when the process that holds it exits, so a paused holder keeps the port and its
+    successor cannot start.
 
     Parameters
     ----------
     address : Address
         The port, on the target's host.
     wait_s : float
-        Seconds to wait for a former holder to end.
+        Longest time in seconds to wait for a previous holder to exit.
 
     Raises
     ------
@@ -45,14 +45,14 @@
 
 
 async def _bind(address: Address, *, wait_s: float) -> socket.socket:
-    give_up_s = time.monotonic() + wait_s
+    deadline_s = time.monotonic() + wait_s
     log_s = 0.0
     while True:
         try:
             return _listen(address)
         except OSError as error:
             now_s = time.monotonic()
-            if now_s >= give_up_s:
+            if now_s >= deadline_s:
                 raise PortLockError(
                     f"lock port {address} is in use ({error.strerror}): another "
                     "sidecar of this target runs or is paused; end it, or correct "
@@ -66,13 +66,13 @@
 
 def _listen(address: Address) -> socket.socket:
     family = socket.AF_INET6 if ":" in address.ip else socket.AF_INET
-    held = socket.socket(family, socket.SOCK_STREAM)
+    lock_socket = socket.socket(family, socket.SOCK_STREAM)
     try:
-        # Without SO_REUSEADDR and SO_REUSEPORT: either would let a second
-        # holder in on some systems.
-        held.bind((address.ip, address.port))
-        held.listen(1)
+        # SO_REUSEADDR and SO_REUSEPORT stay off: on some systems, either allows a
+        # second holder.
+        lock_socket.bind((address.ip, address.port))
+        lock_socket.listen(1)
     except OSError:
-        held.close()
+        lock_socket.close()
         raise
-    return held
+    return lock_socket
--- a/src/trefoilpaddle/transport/server.py
+++ b/src/trefoilpaddle/transport/server.py
@@ -1,4 +1,4 @@
-"""The listening side: accepts peers, answers questions, hands on messages."""
+"""The listening side: accepts peers, replies to requests, delivers messages."""
 
 import asyncio
 import contextlib
@@ -15,10 +15,11 @@
 
 MAX_CONNECTIONS: Final = 2000
 SLOW_HEARTBEAT_CONNECTIONS: Final = 24
-"""From so many connections on, heartbeats go out half as often."""
+"""Number of connections from which heartbeats are sent half as often."""
 MAX_OPEN_QUERIES: Final = 256
+"""Most requests of one connection that are handled at a time."""
 ANSWER_TIMEOUT_S: Final = 10.0
-"""Longest time that an answer may take, unless its question says otherwise."""
+"""Longest time in seconds for a reply, unless its handler has its own timeout."""
 
 QueryHandler = Callable[[Any, Hello], Awaitable[Message]]
 OnMessage = Callable[[Connection, Message], None]
@@ -31,31 +32,32 @@
     Parameters
     ----------
     address : Address
-        Where to listen; with port 0 the kernel chooses one and `address` tells it.
+        Where to listen; with port 0 the kernel assigns a port and `address` has it.
     own_hello : callable
-        Returns what this process says of itself now.
+        Returns the current hello message of this process.
     own_heartbeat : callable
         Returns the heartbeat to send now.
     on_message : callable, optional
-        Takes each message that expects no reply; must not block.
+        Called with each message that expects no reply; must not block.
     on_open, on_close : callable, optional
-        Called with each connection as it comes and goes.
+        Called with each connection after the hellos, and after it has ended.
     tls : ssl.SSLContext, optional
-        Server side context; None speaks plain TCP.
+        Server-side context; None for plain TCP.
     close_timeout_s : callable, optional
-        Returns how long each step of the close may take, when it is begun.
+        Returns the longest time in seconds for a step of the close; called when
+        the step begins.
     """
 
     __slots__ = (
         "_answerers",
-        "_asks",
+        "_awaiting_hello",
         "_close_timeout_s",
-        "_greeting",
+        "_is_closed",
         "_is_closing",
-        "_is_over",
         "_on_close",
         "_on_message",
         "_on_open",
+        "_open_queries",
         "_own_heartbeat",
         "_own_hello",
         "_server",
@@ -90,36 +92,40 @@
         self._timeouts_s: dict[type, float] = {}
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._asks: set[asyncio.Task[None]] = set()
-        self._greeting: set[Connection] = set()
+        self._open_queries: set[asyncio.Task[None]] = set()
+        self._awaiting_hello: set[Connection] = set()
         self._is_closing = False
-        self._is_over = False
+        self._is_closed = False
         self.connections: set[Connection] = set()
 
     def add_handler(
-        self, question: type, answerer: QueryHandler, *, timeout_s: float | None = None
+        self,
+        request_type: type,
+        handler: QueryHandler,
+        *,
+        timeout_s: float | None = None,
     ) -> None:
-        """Answer messages of type `question` with what `answerer` returns.
+        """Register the handler of the requests of type `request_type`.
 
         Parameters
         ----------
-        question : type
-            Message that expects a reply.
-        answerer : callable
-            Returns the reply.
+        request_type : type
+            Type of the request.
+        handler : callable
+            Called with the request and the peer's hello; returns the reply.
         timeout_s : float, optional
-            Longest time that it may take; `ANSWER_TIMEOUT_S` if not given.
+            Longest time in seconds for a reply; `ANSWER_TIMEOUT_S` by default.
         """
-        self._answerers[question] = answerer
+        self._answerers[request_type] = handler
         if timeout_s is not None:
-            self._timeouts_s[question] = timeout_s
+            self._timeouts_s[request_type] = timeout_s
 
     @contextlib.asynccontextmanager
     async def listening(self) -> AsyncIterator["PeerServer"]:
         """Listen while the context is open, then close all connections.
 
-        Open questions are answered before their connections close, and so is what
-        peers sent before they heard of the close.
+        Open requests are answered before their connections close, including those
+        that peers sent before they were notified of the close.
 
         Raises
         ------
@@ -127,7 +133,7 @@
             If the port is held by another process.
         """
         self._is_closing = False
-        self._is_over = False
+        self._is_closed = False
         self._server = await asyncio.start_server(
             self._accept, self.address.ip, self.address.port, ssl=self._tls
         )
@@ -144,9 +150,9 @@
     async def _close_connections(self) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._close_timeout_s()):
-                await self._answer_last()
-        self._is_over = True
-        for connection in list(self._greeting):
+                await self._answer_remaining()
+        self._is_closed = True
+        for connection in list(self._awaiting_hello):
             connection.abort()
         timeout_s = self._close_timeout_s()
         await asyncio.gather(
@@ -155,19 +161,20 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=self._close_timeout_s())
 
-    async def _answer_last(self) -> None:
-        """Return once all that peers have sent is answered.
+    async def _answer_remaining(self) -> None:
+        """Wait until all requests that peers have sent are answered.
 
-        What is dropped here would turn a known answer ("that attempt did not run")
-        into "unknown" at the peer, whose caller then waits for its deadline. A peer
-        that has just had this side's hello may have sent something behind its own.
+        A request that is dropped here would turn a known outcome ("that attempt did
+        not run") into "unknown" at the peer, whose caller would then wait until its
+        deadline. A peer that has just received the hello of this process may have
+        sent a request directly after its own hello.
         """
         for connection in self.connections:
             connection.request_close()
-        connections = (*self.connections, *self._greeting)
+        connections = (*self.connections, *self._awaiting_hello)
         await asyncio.gather(*(each.all_received.wait() for each in connections))
-        if self._asks:
-            await asyncio.wait(self._asks)
+        if self._open_queries:
+            await asyncio.wait(self._open_queries)
 
     def broadcast(self, message: Message) -> None:
         """Send `message` to every connected peer."""
@@ -182,112 +189,123 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            if self._has_room():
-                await self._greet_and_serve(connection)
+            if self._has_capacity():
+                await self._exchange_hello_and_serve(connection)
             else:
-                logging.warning("%s refused: too many", connection.peer_name)
+                logging.warning(
+                    "%s refused: too many connections, or this process is closing",
+                    connection.peer_name,
+                )
         finally:
             connection.abort()
             self._tasks.discard(task)
 
-    def _has_room(self) -> bool:
-        # Connections that have not said hello count too: they hold a socket
-        # each, and anyone can open them.
-        n_open = len(self.connections) + len(self._greeting)
+    def _has_capacity(self) -> bool:
+        # Connections without a hello count too: each occupies a socket, and any
+        # client can open them.
+        n_open = len(self.connections) + len(self._awaiting_hello)
         return n_open < MAX_CONNECTIONS and not self._is_closing
 
-    async def _greet_and_serve(self, connection: Connection) -> None:
-        self._greeting.add(connection)
+    async def _exchange_hello_and_serve(self, connection: Connection) -> None:
+        self._awaiting_hello.add(connection)
         try:
             hello = await connection.exchange_hello()
         finally:
-            self._greeting.discard(connection)
+            self._awaiting_hello.discard(connection)
         match hello:
             case Ok(_):
-                if not self._is_over:
+                if not self._is_closed:
                     await self._serve(connection)
             case Err(error):
                 logging.warning("%s: %s", error.peer, error.detail)
 
     async def _serve(self, connection: Connection) -> None:
-        asks: set[asyncio.Task[None]] = set()
-        beats = asyncio.create_task(
-            connection.keep_alive(self._own_heartbeat, self._n_ticks)
+        queries: set[asyncio.Task[None]] = set()
+        heartbeats = asyncio.create_task(
+            connection.keep_alive(self._own_heartbeat, self._heartbeat_ticks)
         )
         self.connections.add(connection)
         if self._is_closing:
             connection.request_close()
-        self._tell(self._on_open, connection)
+        self._notify(self._on_open, connection)
         try:
             async for frame in connection.frames():
-                await self._take(connection, frame, asks)
+                await self._dispatch(connection, frame, queries)
         finally:
-            beats.cancel()
-            for task in asks:
+            heartbeats.cancel()
+            for task in queries:
                 task.cancel()
             self.connections.discard(connection)
-            self._tell(self._on_close, connection)
+            self._notify(self._on_close, connection)
 
-    def _n_ticks(self) -> int:
-        """Return the ticks between heartbeats; two fit into a peer's silence."""
+    def _heartbeat_ticks(self) -> int:
+        """Return the heartbeat period as a multiple of ``HEARTBEAT_S``.
+
+        Even the longer one fits twice into ``UNRESPONSIVE_AFTER_S``.
+        """
         return 1 if len(self.connections) < SLOW_HEARTBEAT_CONNECTIONS else 2
 
-    def _tell(self, listener: OnChange | None, connection: Connection) -> None:
-        # A listener's fault must not leak the connection.
+    def _notify(self, listener: OnChange | None, connection: Connection) -> None:
+        # An error in a listener must not leak the connection.
         if listener is None:
             return
         try:
             listener(connection)
         except Exception:
-            logging.exception("a listener failed on %s", connection.peer_name)
+            logging.exception(
+                "the listener failed on a change of the connection to %s",
+                connection.peer_name,
+            )
 
-    async def _take(
-        self, connection: Connection, frame: Frame, asks: set[asyncio.Task[None]]
+    async def _dispatch(
+        self, connection: Connection, frame: Frame, queries: set[asyncio.Task[None]]
     ) -> None:
         if frame.call == 0:
             self._deliver(connection, frame.message)
             return
-        # A peer that asks without waiting for replies would otherwise pile up
-        # tasks here; past the bound its own connection waits, no other does.
-        while len(asks) >= MAX_OPEN_QUERIES:
-            await asyncio.wait(asks, return_when=asyncio.FIRST_COMPLETED)
+        # A peer that sends requests without waiting for replies would otherwise
+        # accumulate tasks here. At the bound, only its own connection waits.
+        while len(queries) >= MAX_OPEN_QUERIES:
+            await asyncio.wait(queries, return_when=asyncio.FIRST_COMPLETED)
         task = asyncio.create_task(self._answer(connection, frame))
-        for open_asks in (asks, self._asks):
-            open_asks.add(task)
-            task.add_done_callback(open_asks.discard)
+        for tasks in (queries, self._open_queries):
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
 
     def _deliver(self, connection: Connection, message: Message) -> None:
-        # A fault in handling one attempt's frame must not cut off the other
-        # attempts that share the connection.
+        # An error while handling the frame of one attempt must not disconnect the
+        # other attempts that share the connection.
         if self._on_message is None:
             return
         try:
             self._on_message(connection, message)
         except Exception:
             logging.exception(
-                "%s from %s was not handled",
+                "handling %s from %s failed",
                 type(message).__name__,
                 connection.peer_name,
             )
 
     async def _answer(self, connection: Connection, frame: Frame) -> None:
-        question = type(frame.message)
-        answerer = self._answerers.get(question)
-        if answerer is None:
+        request_type = type(frame.message)
+        handler = self._answerers.get(request_type)
+        if handler is None:
             logging.warning(
-                "%s asked %s, which this role does not answer",
+                "%s sent %s, which this role does not handle",
                 connection.peer_name,
-                question.__name__,
+                request_type.__name__,
             )
             return
-        # An answer that waits on a process that is gone must end: past
-        # MAX_OPEN_QUERIES such answers the connection would never be read again.
+        # A handler that waits for a process that has exited must time out: with
+        # MAX_OPEN_QUERIES of them, the connection would never be read again.
         try:
-            timeout_s = self._timeouts_s.get(question, ANSWER_TIMEOUT_S)
+            timeout_s = self._timeouts_s.get(request_type, ANSWER_TIMEOUT_S)
             async with asyncio.timeout(timeout_s):
-                reply = await answerer(frame.message, connection.peer)
+                reply = await handler(frame.message, connection.peer)
             connection.write(reply, call=frame.call)
         except Exception:
             logging.exception(
-                "%s from %s was not answered", question.__name__, connection.peer_name
+                "answering %s from %s failed",
+                request_type.__name__,
+                connection.peer_name,
             )
--- a/src/trefoilpaddle/transport/target_http.py
+++ b/src/trefoilpaddle/transport/target_http.py
@@ -1,4 +1,4 @@
-"""HTTP to the one target, with a last check right before bytes leave."""
+"""HTTP client for the target, with a last check right before a call is sent."""
 
 import contextlib
 from collections.abc import AsyncIterator, Callable, Mapping
@@ -19,21 +19,27 @@
 
 
 class SendRefusedError(Exception):
-    """The guard forbade the call before any byte of it left."""
+    """The guard refused the call before any byte of it was sent."""
 
 
 class SendGuard:
-    """Checks a call once more when its bytes are about to leave.
+    """Checks a call once more right before its bytes are sent.
 
-    Guards against a process that is paused between deciding to call and
-    calling: work would start after its deadline, when it may already run
-    elsewhere. The check runs behind every wait of the HTTP client, also the
-    one for a connection.
+    Guards against a pause of this process between the decision to call and the call:
+    work would start after its deadline, when it may already run elsewhere. The check
+    follows every wait of the HTTP client, including the one for a connection.
 
     Parameters
     ----------
     may_send : callable
         Returns True while the call may still be made.
+
+    Attributes
+    ----------
+    is_refused : bool
+        True if the check has failed; nothing was sent.
+    is_sent : bool
+        True if the check has passed; bytes of the call may have been sent.
     """
 
     __slots__ = ("_may_send", "is_refused", "is_sent")
@@ -43,13 +49,13 @@
         self.is_refused = False
         self.is_sent = False
 
-    def pass_or_raise(self) -> None:
-        """Note that the call is sent.
+    def check_and_mark_sent(self) -> None:
+        """Check the call and record that it is sent.
 
         Raises
         ------
         SendRefusedError
-            If the call may not be made any more; nothing was sent.
+            If the call may no longer be made; nothing was sent.
         """
         if not self._may_send():
             self.is_refused = True
@@ -58,7 +64,7 @@
 
 
 class GuardedBody(BytesPayload):
-    """Body of a call that asks its guard before the first byte is written."""
+    """Request body that checks its guard before the first byte is written."""
 
     def __init__(self, data: bytes, *, guard: SendGuard) -> None:
         super().__init__(data, content_type="application/json")
@@ -67,8 +73,8 @@
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
     ) -> None:
-        """Write the body, and the headers that wait for it, if the guard lets it."""
-        self._guard.pass_or_raise()
+        """Check the guard, then write the body and the headers buffered before it."""
+        self._guard.check_and_mark_sent()
         await super().write_with_length(writer, content_length)
 
 
@@ -89,7 +95,7 @@
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator["TargetHttp"]:
-        """Keep the session open while the context is."""
+        """Keep the session open while the context is open."""
         self._session = ClientSession(
             connector=TCPConnector(limit=0, keepalive_timeout=30.0),
             cookie_jar=DummyCookieJar(),
@@ -106,15 +112,15 @@
     def guarded_post(
         self, path: str, *, body: bytes, headers: Mapping[str, str], guard: SendGuard
     ) -> contextlib.AbstractAsyncContextManager[ClientResponse]:
-        """Post `body` if `guard` still allows it; the context is the response.
+        """Post `body` if `guard` allows it; the context yields the response.
 
-        The client library repeats no POST, and redirects are not followed, so
-        the call reaches the target at most once.
+        The client library does not repeat POST requests, and redirects are not
+        followed, so the call reaches the target at most once.
 
         Raises
         ------
         aiohttp.ClientError, OSError
-            If the call broke; ``guard.is_sent`` tells whether any of it left.
+            If the call failed; ``guard.is_sent`` is True if bytes may have been sent.
         """
         payload = GuardedBody(body, guard=guard)
         return self._open_session().post(
@@ -124,24 +130,24 @@
     def get(
         self, path: str, *, headers: Mapping[str, str] | None = None
     ) -> contextlib.AbstractAsyncContextManager[ClientResponse]:
-        """Get `path`; the context is the response.
+        """Get `path`; the context yields the response.
 
         Raises
         ------
         aiohttp.ClientError, OSError
-            If the call broke.
+            If the call failed.
         """
         return self._open_session().get(
             self._url + path, headers=headers, allow_redirects=False
         )
 
     async def post(self, path: str) -> int:
-        """Post nothing to `path` and return the status.
+        """Post an empty body to `path` and return the status.
 
         Raises
         ------
         aiohttp.ClientError, OSError
-            If the call broke.
+            If the call failed.
         """
         async with self._open_session().post(
             self._url + path, allow_redirects=False
--- a/src/trefoilpaddle/transport/traffic.py
+++ b/src/trefoilpaddle/transport/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what passes between this process and its peers."""
+"""Counters of the traffic between this process and its peers."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Traffic:
-    """Frames and bytes since the process started, without TCP's own headers."""
+    """Frames and bytes since the process started, without TCP headers."""
 
     n_frames_sent: int = 0
     sent_bytes: int = 0
@@ -15,4 +15,4 @@
 
 
 TRAFFIC: Final = Traffic()
-"""The counts of this process, over all its connections."""
+"""The counters of this process, over all its connections."""
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -140,7 +140,7 @@
         await context.__aenter__()
         async with link_to(server.address) as link:
             asked = asyncio.create_task(link.ask(Bar(attempt_id=b"x"), timeout_s=30))
-            await until(lambda: bool(server._asks))
+            await until(lambda: bool(server._open_queries))
             closing = asyncio.create_task(context.__aexit__(None, None, None))
             await until(
                 lambda: link.connection is not None and link.connection.is_closing()
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -62,7 +62,7 @@
         server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
             await link.opened.wait()
-            link._numbers = iter(range(link_module.MAX_CALL - 1, 1 << 40))  # type: ignore[assignment]
+            link._call_numbers = iter(range(link_module.MAX_CALL - 1, 1 << 40))  # type: ignore[assignment]
             for _ in range(4):
                 assert (await link.ask(Bar(attempt_id=b"a"), timeout_s=10)).is_ok()
 
