--- a/src/trefoilpaddle/cli/__init__.py
+++ b/src/trefoilpaddle/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line and its tools."""
+"""The command line interface."""
--- a/src/trefoilpaddle/cli/check.py
+++ b/src/trefoilpaddle/cli/check.py
@@ -1,4 +1,4 @@
-"""``trefoilpaddle check``: faults before they are published or started."""
+"""``trefoilpaddle check``: finds faults in settings and catalogues before use."""
 
 import sys
 from pathlib import Path
@@ -18,16 +18,27 @@
 
 
 def check(path: str, *, against: str, as_json: bool) -> int:
-    """Print all that is wrong with `path`; return the exit code."""
+    """Print all faults of `path`; return the exit code.
+
+    Parameters
+    ----------
+    path : str
+        A settings file, a catalogue file or a folder.
+    against : str
+        URL of the operators' port of a process whose active catalogue is compared;
+        empty for no comparison.
+    as_json : bool
+        True to print JSON.
+    """
     checked = check_path(Path(path))
     found: list[Difference] = []
     if against and checked.catalogue is not None:
-        match _in_force(against):
+        match _active_catalogue(against):
             case Err(problem):
                 print(problem, file=sys.stderr)
                 return EXIT_NO_ANSWER
-            case Ok(in_force):
-                found += differences(in_force=in_force, published=checked.catalogue)
+            case Ok(active):
+                found += differences(in_force=active, published=checked.catalogue)
     if as_json:
         print(_as_json(checked, found))
     else:
@@ -64,7 +75,7 @@
     ).decode()
 
 
-def _in_force(at: str) -> Result[Catalogue, str]:
+def _active_catalogue(at: str) -> Result[Catalogue, str]:
     match get(at, "/v1/catalogue"):
         case Err(problem):
             return Err(problem)
--- a/src/trefoilpaddle/cli/explain.py
+++ b/src/trefoilpaddle/cli/explain.py
@@ -1,4 +1,4 @@
-"""``trefoilpaddle explain``: why a request was served as it was."""
+"""``trefoilpaddle explain``: shows the timeline of a request."""
 
 import sys
 from typing import Final
@@ -16,7 +16,10 @@
 
 
 def explain(request_id: str, *, at: str, as_json: bool) -> int:
-    """Print the timeline of a request; return the exit code."""
+    """Print the timeline of a request; return the exit code.
+
+    `at` is the URL of the operators' port of any process.
+    """
     match get(at, f"/v1/explain/{quote(request_id, safe='')}"):
         case Err(problem):
             print(problem, file=sys.stderr)
--- a/src/trefoilpaddle/cli/main.py
+++ b/src/trefoilpaddle/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: one class, a method for each command."""
+"""The command line interface: one class with a method for each command."""
 
 import contextlib
 import sys
@@ -8,11 +8,11 @@
 
 from trefoilpaddle import __version__
 
-# Each command imports what it needs itself: a sidecar draws no tables, and the
-# binary starts in a fraction of the time.
+# Each command imports its modules when it runs: a sidecar needs no tables, for
+# example, and the binary starts in a fraction of the time.
 
 DEFAULT_AT: Final = "http://127.0.0.1:9464"
-"""Operators' port asked when none is named."""
+"""Default URL of the operators' port."""
 
 
 class Commands:
@@ -58,7 +58,7 @@
         """
         from .status import status
 
-        with contextlib.suppress(KeyboardInterrupt):  # the way to end --watch
+        with contextlib.suppress(KeyboardInterrupt):  # ends --watch
             sys.exit(status(at=at, watch=watch, as_json=json))
 
     def check(self, path: str, *, against: str = "", json: bool = False) -> None:
@@ -89,7 +89,7 @@
         """
         try:
             from .replay import replay as run
-        except ModuleNotFoundError as error:  # left out of the binary
+        except ModuleNotFoundError as error:  # not included in the binary
             sys.exit(f"replay needs {error.name}; run it from a checkout")
 
         sys.exit(
@@ -108,10 +108,10 @@
 
 
 def _text(value: object) -> str:
-    """Return what was typed; fire reads ``a=b,c=d`` as a tuple."""
+    """Return the argument as typed; fire parses ``a=b,c=d`` as a tuple."""
     return ",".join(map(str, value)) if isinstance(value, tuple) else str(value)
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given by the arguments."""
     fire.Fire(Commands, name="trefoilpaddle")
--- a/src/trefoilpaddle/cli/operators_http.py
+++ b/src/trefoilpaddle/cli/operators_http.py
@@ -1,4 +1,4 @@
-"""Calls a process's operators' port from the command line."""
+"""HTTP client of the command line for the operators' port of a process."""
 
 import asyncio
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """What a process answered."""
+    """HTTP answer of a process."""
 
     status: int
     body: bytes
 
 
 def get(at: str, path: str) -> Result[Reply, str]:
-    """Return the answer to ``GET path`` at the URL `at`, or what to do next."""
+    """Return the answer to ``GET path`` at the URL `at`, or a message for the user."""
     return asyncio.run(_get(at.rstrip("/") + path))
 
 
--- a/src/trefoilpaddle/cli/replay.py
+++ b/src/trefoilpaddle/cli/replay.py
@@ -1,4 +1,4 @@
-"""``trefoilpaddle replay``: a trace, played under the baseline and the product."""
+"""``trefoilpaddle replay``: plays a trace with the baseline and the product."""
 
 import asyncio
 import dataclasses
@@ -34,7 +34,21 @@
 
 
 def replay(trace: str, *, policy: str, as_json: bool, plot: str, n_seeds: int) -> int:
-    """Replay the trace file at `trace`; return the exit code."""
+    """Replay the trace file at `trace`; return the exit code.
+
+    Parameters
+    ----------
+    trace : str
+        Path of the trace file.
+    policy : str
+        Changes of the product's policy, as for `read_policy`.
+    as_json : bool
+        True to print JSON.
+    plot : str
+        Path of a plot to write; empty for none.
+    n_seeds : int
+        Number of seeds to play the scenario with.
+    """
     match read_trace(Path(trace)):
         case Err(problems):
             for problem in problems:
@@ -63,10 +77,10 @@
 
 
 def read_policy(text: str) -> Result[PolicySettings, str]:
-    """Return the product's policy with the changes that `text` names.
+    """Return the product's policy with the changes in `text`.
 
-    `text` is empty or ``KEY=VALUE,…`` with keys of the settings' table
-    ``[policy]``.
+    `text` is empty or ``KEY=VALUE,…``, with keys of the table ``[policy]`` of the
+    settings.
     """
     changes = dict(
         part.strip().split("=", 1) for part in text.split(",") if "=" in part
@@ -84,7 +98,7 @@
 
 
 def _with_seeds(first: Trace, n_seeds: int) -> list[Trace]:
-    """Return the trace itself, then the same scenario from the next seeds."""
+    """Return the trace and traces of the same scenario from the following seeds."""
     head = first.head
     if n_seeds <= 1:
         return [first]
@@ -93,8 +107,8 @@
     return [
         first,
         *(
-            generate(site, scenario=head.name, seed=head.seed + number)
-            for number in range(1, n_seeds)
+            generate(site, scenario=head.name, seed=head.seed + offset)
+            for offset in range(1, n_seeds)
         ),
     ]
 
--- a/src/trefoilpaddle/cli/serve.py
+++ b/src/trefoilpaddle/cli/serve.py
@@ -1,4 +1,4 @@
-"""Start one of the two roles from its settings file."""
+"""Starts a gateway or a sidecar from its settings file."""
 
 import gc
 import sys
@@ -14,7 +14,8 @@
 from ..state.settings import GatewaySettings, SidecarSettings
 from ..state.settings_read import lines_of, load_gateway, load_sidecar
 
-COLLECT_AFTER: Final = (20_000, 50, 100)
+GC_THRESHOLDS: Final = (20_000, 50, 100)
+"""Thresholds of the garbage collector for its three generations."""
 EXIT_FAILED: Final = 1
 EXIT_BAD_INPUT: Final = 2
 
@@ -35,10 +36,10 @@
     *,
     role_name: str,
 ) -> int:
-    """Run the role with its settings, or print all that is wrong with them.
+    """Run the role with its settings, or print all faults of the settings.
 
-    Nothing is opened before the settings are found whole, so a faulty file
-    never leaves a process half started.
+    Nothing is opened before the settings are validated, so an invalid file never
+    leaves a process partly started.
     """
     match loaded:
         case Err(problems):
@@ -52,7 +53,7 @@
                 verbosity=settings.log.verbosity,
                 process_id=process_id,
             )
-            _calm_collector()
+            _reduce_gc_frequency()
             try:
                 return uvloop.run(_role(settings))
             except OSError as error:
@@ -60,20 +61,20 @@
                 return EXIT_FAILED
 
 
-def _calm_collector() -> None:
-    """Look for garbage cycles rarely.
+def _reduce_gc_frequency() -> None:
+    """Run the collector of reference cycles rarely.
 
-    Tens of thousands of kept records are alive and hold no cycles; at the
-    usual thresholds the collector walks them again and again, which cost more
-    than writing them.
+    Tens of thousands of retained records are alive and contain no cycles. At the
+    default thresholds, the collector traverses them repeatedly, which costs more
+    than creating them.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def _role(settings: GatewaySettings | SidecarSettings) -> Coroutine[None, None, int]:
-    """Return the role's run; imported late, as the other's modules go unused."""
+    """Return the coroutine of the role; import only the modules of this role."""
     match settings:
         case GatewaySettings():
             from ..roles.gateway import run as run_gateway
--- a/src/trefoilpaddle/cli/status.py
+++ b/src/trefoilpaddle/cli/status.py
@@ -1,4 +1,4 @@
-"""``trefoilpaddle status``: hosts, targets, owners and who lags."""
+"""``trefoilpaddle status``: shows processes, targets, owners and revisions."""
 
 import sys
 import time
@@ -18,7 +18,10 @@
 
 
 def status(*, at: str, watch: bool, as_json: bool) -> int:
-    """Print the fleet's status once, or again and again; return the exit code."""
+    """Print the status of the fleet once or repeatedly; return the exit code.
+
+    `at` is the URL of the operators' port of any process.
+    """
     console = Console()
     match _read(at):
         case Err(problem):
--- a/src/trefoilpaddle/cli/status_table.py
+++ b/src/trefoilpaddle/cli/status_table.py
@@ -1,4 +1,4 @@
-"""The fleet's status as tables that a person reads."""
+"""The status of the fleet as tables for the terminal."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def render(status: FleetStatus) -> RenderableType:
-    """Return all tables under each other; empty ones are left out."""
+    """Return all tables in order, without empty tables of leases and faults."""
     return Group(*_parts(status))
 
 
@@ -164,5 +164,5 @@
     )
 
 
-def _percent(part: float, whole: float) -> str:
-    return f"{100 * part / whole:.0f} %" if whole else "-"
+def _percent(part: float, total_value: float) -> str:
+    return f"{100 * part / total_value:.0f} %" if total_value else "-"
--- a/src/trefoilpaddle/roles/__init__.py
+++ b/src/trefoilpaddle/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The two processes of the system: gateway and sidecar."""
+"""The two kinds of processes of the system: gateway and sidecar."""
--- a/src/trefoilpaddle/roles/caller_input.py
+++ b/src/trefoilpaddle/roles/caller_input.py
@@ -1,4 +1,4 @@
-"""Reads and checks a caller's request, within the bounds of the settings."""
+"""Reading and validation of callers' requests, within configured bounds."""
 
 import asyncio
 import hashlib
@@ -34,18 +34,18 @@
 
 
 class CallerInput:
-    """Turns a caller's HTTP request into a checked one.
+    """Converts a caller's HTTP request to a validated request.
 
     Parameters
     ----------
     settings : CallerSettings
-        The bounds.
+        The bounds on requests.
     published : Published
-        The catalogue in force.
+        Provides the active catalogue.
     index : GoverningIndex
-        Finds entries and accounts.
+        Finds the governing entry of a request and the account of a token.
     generate_id : callable
-        Returns a fresh request id.
+        Returns a new request id.
     """
 
     __slots__ = ("_generate_id", "_index", "_published", "_settings")
@@ -64,8 +64,8 @@
         self._generate_id = generate_id
 
     async def read(self, http: web.Request) -> Result[Request, NotRun]:
-        """Return the checked request, or what is wrong with it."""
-        arrived_s = time.monotonic()
+        """Return the validated request, or why it is refused."""
+        received_s = time.monotonic()
         match self.account(http):
             case Err(error):
                 return Err(error)
@@ -76,18 +76,18 @@
                 return Err(error)
             case Ok(governing):
                 pass
-        # Read before the body comes: a publication may take the pipeline away
-        # meanwhile, and the request goes on by what it was accepted under.
+        # Looked up before the body is read: a publication may remove the pipeline
+        # during the read, and the request keeps the pipeline it was accepted for.
         pipeline = self._published.catalogue.pipelines[http.match_info["pipeline"]]
         match await self._body(http):
             case Err(error):
                 return Err(error)
             case Ok(body):
                 pass
-        return self._request(http, account, governing, pipeline, body, arrived_s)
+        return self._request(http, account, governing, pipeline, body, received_s)
 
     def account(self, http: web.Request) -> Result[str, NotRun]:
-        """Return the client account that the caller proves or names."""
+        """Return the client account of the caller's token or of its header."""
         authorization = http.headers.get("Authorization", "")
         if authorization.startswith(BEARER):
             token = authorization.removeprefix(BEARER).strip()
@@ -98,10 +98,10 @@
             return _refuse(Reason.UNAUTHORISED, "The bearer token is not known.")
         account = http.headers.get("X-Client-Account", "")
         if self._settings.require_tokens or not account:
-            wanted = "Authorization: Bearer TOKEN"
+            header = "Authorization: Bearer TOKEN"
             if not self._settings.require_tokens:
-                wanted += " or X-Client-Account"
-            return _refuse(Reason.UNAUTHORISED, f"Send the header {wanted}.")
+                header += " or X-Client-Account"
+            return _refuse(Reason.UNAUTHORISED, f"Send the header {header}.")
         return Ok(account)
 
     def _governing(self, http: web.Request, account: str) -> Result[Governing, NotRun]:
@@ -140,7 +140,7 @@
             )
         limit = self._settings.max_body_bytes
         try:
-            if http.content.is_eof():  # all here already, nothing to wait for
+            if http.content.is_eof():  # the complete body has already arrived
                 return Ok(await http.read())
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 return Ok(await http.read())
@@ -158,14 +158,14 @@
         governing: Governing,
         pipeline: Pipeline,
         body: bytes,
-        arrived_s: float,
+        received_s: float,
     ) -> Result[Request, NotRun]:
         try:
-            deadline_s = arrived_s + self._deadline_s(http, governing)
+            deadline_s = received_s + self._deadline_s(http, governing)
             priority = _priority(http)
             key = _key(http)
             named_id = _named_id(http)
-            material = self._input(http, body)
+            input_value = self._input(http, body)
         except ValueError as error:
             return _refuse(Reason.BAD_REQUEST, str(error))
         name = http.match_info["pipeline"]
@@ -177,7 +177,7 @@
                 pipeline_name=name,
                 pipeline=pipeline,
                 governing=governing,
-                input=material,
+                input=input_value,
                 n_input_bytes=len(body),
                 fingerprint=checksum(f"{account}\0{name}\0".encode() + body),
                 try_id=new_try_id(request_id),
@@ -190,17 +190,17 @@
         )
 
     def _deadline_s(self, http: web.Request, governing: Governing) -> float:
-        most_s = min(governing.entry.deadline_s, self._settings.max_deadline_s)
+        max_s = min(governing.entry.deadline_s, self._settings.max_deadline_s)
         text = http.headers.get("X-Deadline-S")
         if text is None:
-            return most_s
+            return max_s
         try:
-            wanted_s = float(text)
+            requested_s = float(text)
         except ValueError:
-            wanted_s = math.nan
-        if not (math.isfinite(wanted_s) and wanted_s > 0):
+            requested_s = math.nan
+        if not (math.isfinite(requested_s) and requested_s > 0):
             raise ValueError("X-Deadline-S must be a number of seconds above 0.")
-        return min(wanted_s, most_s)
+        return min(requested_s, max_s)
 
     def _input(self, http: web.Request, body: bytes) -> Json:
         if http.content_type != "application/json":
--- a/src/trefoilpaddle/roles/caller_server.py
+++ b/src/trefoilpaddle/roles/caller_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, within bounds on connections and headers."""
+"""HTTP server for callers, with bounds on connections and headers."""
 
 import asyncio
 import contextlib
@@ -16,13 +16,17 @@
 KEEPALIVE_S: Final = 75.0
 
 SEND_TIMEOUT_S: Final = 1.0
-"""Longest wait at the close until callers' systems have taken the last answers.
+"""Longest time in seconds to send the last answers at the close.
 
-What may wait in this process of each is 64 KB: a second's worth of a slow line.
+Up to 64 KB of each answer may be in the send buffer, which a slow line transfers in
+a second.
 """
 
 SEND_POLL_S: Final = 0.005
-"""Time between two looks; the way of a packet within a region."""
+"""Period in seconds of the check for unsent answers.
+
+A packet takes about this long within a region.
+"""
 
 TOO_MANY_CONNECTIONS: Final = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
@@ -30,27 +34,27 @@
 )
 
 
-class _Full(asyncio.Protocol):
-    """Tells a caller over the bound to come back, and closes."""
+class _RejectingProtocol(asyncio.Protocol):
+    """Answers a connection over the bound with 503 and Retry-After, then closes it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Answer before anything is read."""
+        """Send the answer without reading the request."""
         assert isinstance(transport, asyncio.Transport)
         transport.write(TOO_MANY_CONNECTIONS)
         transport.close()
 
 
 class CallerServer:
-    """Serves the callers' application on one port.
+    """Serves the application for callers on one port.
 
     Parameters
     ----------
     settings : CallerSettings
-        Where to listen, and the bounds.
+        The address to listen on, and the bounds.
     application : web.Application
-        Answers the requests.
+        The application.
     tls : ssl.SSLContext, optional
-        Server side context; None speaks plain HTTP.
+        Server-side context; None for plain HTTP.
     """
 
     __slots__ = ("_application", "_settings", "_tls", "address")
@@ -71,7 +75,7 @@
 
     @contextlib.asynccontextmanager
     async def listening(self) -> AsyncIterator["CallerServer"]:
-        """Listen while the context is open; port 0 takes any free one.
+        """Listen while the context is open; with port 0, on any free port.
 
         Raises
         ------
@@ -79,8 +83,9 @@
             If the port is held by another process.
         """
         settings = self._settings
-        # A lost connection cancels its handler: how a caller's leaving is seen.
-        # Decompression stays off, or a small body could grow without bound.
+        # With handler_cancellation, a lost connection cancels its handler, which is
+        # how the disconnect of a caller is detected. Decompression stays off, as a
+        # small body could otherwise expand without bound.
         runner = web.AppRunner(
             self._application,
             access_log=None,
@@ -95,10 +100,14 @@
         await runner.setup()
         http = runner.server
         assert http is not None
-        most = settings.max_connections
+        max_connections = settings.max_connections
 
         def protocol() -> asyncio.Protocol:
-            return http() if len(http.connections) < most else _Full()
+            return (
+                http()
+                if len(http.connections) < max_connections
+                else _RejectingProtocol()
+            )
 
         server = await asyncio.get_running_loop().create_server(
             protocol, self.address.ip, self.address.port, ssl=self._tls
@@ -109,18 +118,19 @@
             yield self
         finally:
             server.close()
-            await _send_last(http)
+            await _flush_answers(http)
             await runner.cleanup()
 
 
-async def _send_last(http: web.Server) -> None:
-    """Return once no answer waits in this process to be sent, within bounds.
+async def _flush_answers(http: web.Server) -> None:
+    """Wait until all answers are sent, for at most ``SEND_TIMEOUT_S``.
 
-    An answer counts as given when it was written; the end of the process would
-    drop what the caller's system has not taken, and leave it half of an answer.
+    A handler is done when its answer is written to the send buffer. If the process
+    exited then, the rest of the buffer would be lost, and the caller would get a
+    truncated answer.
     """
-    ends_s = time.monotonic() + SEND_TIMEOUT_S
-    while time.monotonic() < ends_s:
+    deadline_s = time.monotonic() + SEND_TIMEOUT_S
+    while time.monotonic() < deadline_s:
         if not any(map(has_unsent, http.connections)):
             return
         await asyncio.sleep(SEND_POLL_S)
--- a/src/trefoilpaddle/roles/callers.py
+++ b/src/trefoilpaddle/roles/callers.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: routes, whole and streamed answers, health and readiness."""
+"""HTTP for callers: routes, complete and streamed answers, health, readiness."""
 
 import asyncio
 import time
@@ -24,9 +24,10 @@
 from .event_stream import EventStream
 
 FINAL_ANSWERS_TIMEOUT_S: Final = 0.5
-"""Longest wait for the answers of requests that the end of a stop gives up.
+"""Longest time in seconds to write the final answers of interrupted requests.
 
-Writing one takes a hundredth of it.
+These are requests that are still open at the end of a stop. Writing one answer takes a
+hundredth of this time.
 """
 
 STOPPED_DETAIL: Final = "The gateway stopped before the request had its answer."
@@ -35,39 +36,46 @@
 
 
 class Callers:
-    """Answers callers.
+    """Handles the HTTP requests of callers.
 
     Parameters
     ----------
     settings : CallerSettings
-        The bounds.
+        The bounds on requests.
     caller_input : CallerInput
-        Reads and checks requests.
+        Reads and validates requests.
     runner : RequestRunner
-        Runs them.
+        Runs requests.
     requests : Requests
-        What is known of past ones.
+        The states of current and past requests.
     journal : Journal
-        Takes the decisions.
+        Records the decisions.
     generate_id : callable
-        Returns a fresh request id.
+        Returns a new request id.
     is_ready : callable
-        Returns True while the balancer should send work here.
+        Returns True while the load balancer should send requests here.
     intake_refusal : callable
-        Returns why no new work is taken now, or None while it is.
+        Returns why new requests are refused now, or None if they are accepted.
+
+    Attributes
+    ----------
+    answering : set of asyncio.Task
+        Handlers of pipeline requests that have not yet finished.
+    running : set of asyncio.Task
+        Runs of requests; a run may outlive its handler.
     """
 
     __slots__ = (
+        "_body_reads",
         "_generate_id",
         "_input",
         "_intake_refusal",
         "_is_ready",
         "_journal",
-        "_reads",
         "_requests",
         "_runner",
         "_settings",
-        "_spent",
+        "_usages",
         "answering",
         "running",
     )
@@ -92,20 +100,20 @@
         self._generate_id = generate_id
         self._is_ready = is_ready
         self._intake_refusal = intake_refusal
-        self._reads: set[asyncio.Timeout] = set()
-        self._spent: dict[asyncio.Task[Result[Answer, Refusal]], RequestUsage] = {}
+        self._body_reads: set[asyncio.Timeout] = set()
+        self._usages: dict[asyncio.Task[Result[Answer, Refusal]], RequestUsage] = {}
         self.answering: set[asyncio.Task[Any]] = set()
         self.running: set[asyncio.Task[Result[Answer, Refusal]]] = set()
 
     def application(self) -> web.Application:
-        """Return the application with all routes and bounds."""
+        """Return the HTTP application with all routes and bounds."""
         app = web.Application(
             client_max_size=self._settings.max_body_bytes,
             middlewares=[self._bound],
         )
         app.router.add_post("/v1/pipelines/{pipeline}", self._pipeline)
         app.router.add_post("/v1/requests", self._new_request_id)
-        app.router.add_get("/v1/requests/{request_id}", self._known)
+        app.router.add_get("/v1/requests/{request_id}", self._request_state)
         app.router.add_get("/healthz", self._healthz)
         app.router.add_get("/readyz", self._readyz)
         return app
@@ -114,7 +122,7 @@
     async def _bound(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Refuse what exceeds the header bounds, and word the router's errors."""
+        """Refuse requests over the header bounds; return router errors as JSON."""
         detail = self._header_fault(request)
         if detail:
             return _plain_error(431, Reason.TOO_LARGE, detail)
@@ -132,14 +140,14 @@
             return f"{n_headers} headers are more than {self._settings.max_headers}."
         n_bytes = sum(len(name) + len(value) for name, value in http.raw_headers)
         if n_bytes > self._settings.max_header_bytes:
-            most = self._settings.max_header_bytes
-            return f"{n_bytes} bytes of headers are more than {most}."
+            max_bytes = self._settings.max_header_bytes
+            return f"{n_bytes} bytes of headers are more than {max_bytes}."
         return ""
 
     async def _pipeline(self, http: web.Request) -> web.StreamResponse:
-        closed = self._intake_refusal()
-        if closed is not None:
-            refusal = Refusal(error=closed, stage="")
+        refusal_error = self._intake_refusal()
+        if refusal_error is not None:
+            refusal = Refusal(error=refusal_error, stage="")
             return error_response(refusal, governing=None, request_id="")
         handler = asyncio.current_task()
         assert handler is not None
@@ -148,31 +156,40 @@
         return await self._serve(http)
 
     async def finish(self, *, timeout_s: float) -> int:
-        """Wait for what is held; return how many requests are still open then.
+        """Wait for open requests; return how many are still open at the timeout.
+
+        A request is open until its last stage has finished and its answer is written
+        to the caller's connection. Requests that are still open at the timeout get a
+        final answer, including those whose body is not yet read: their callers would
+        otherwise see a refusal_error connection without an outcome.
 
-        A request is held until its last stage has ended and its answer has been
-        handed to the caller's connection. Those still open get their final answer:
-        their callers would see a closed connection, and not know what it means.
-        So do those that are half read.
+        Parameters
+        ----------
+        timeout_s : float
+            Longest time in seconds to wait for open requests.
         """
-        await self._wait_for_held(timeout_s)
+        await self._wait_for_open(timeout_s)
         n_open = max(len(self.answering), len(self.running))
-        for reading in self._reads:
+        for reading in self._body_reads:
             reading.reschedule(asyncio.get_running_loop().time())
-        for task, spent in list(self._spent.items()):
-            self._end_open(task, spent)
-        await self._wait_for_held(FINAL_ANSWERS_TIMEOUT_S)
+        for task, spent in list(self._usages.items()):
+            self._answer_interrupted(task, spent)
+        await self._wait_for_open(FINAL_ANSWERS_TIMEOUT_S)
         return n_open
 
-    async def _wait_for_held(self, timeout_s: float) -> None:
-        end_s = time.monotonic() + timeout_s
-        while (held := self.answering | self.running) and time.monotonic() < end_s:
-            await asyncio.wait(held, timeout=max(0.0, end_s - time.monotonic()))
+    async def _wait_for_open(self, timeout_s: float) -> None:
+        deadline_s = time.monotonic() + timeout_s
+        while (
+            open_tasks := self.answering | self.running
+        ) and time.monotonic() < deadline_s:
+            await asyncio.wait(
+                open_tasks, timeout=max(0.0, deadline_s - time.monotonic())
+            )
 
-    def _end_open(
+    def _answer_interrupted(
         self, task: "asyncio.Task[Result[Answer, Refusal]]", spent: RequestUsage
     ) -> None:
-        """Have a request answered that is still open when the stop's time is over."""
+        """Set the final answer of a request that is still open at the end of a stop."""
         error: NotRun | Unknown = NotRun(
             reason=Reason.STOPPING, step="stop", peer="", detail=STOPPED_DETAIL
         )
@@ -195,17 +212,20 @@
         match await self._read(http):
             case Err(error):
                 refusal = Refusal(error=error, stage="")
-                self._record_unread(error)
+                self._record_refused_input(error)
                 return error_response(refusal, governing=None, request_id="")
             case Ok(request):
                 if request.is_streamed:
-                    return await self._streamed(http, request)
-                return await self._whole(request)
+                    return await self._streamed_answer(http, request)
+                return await self._complete_answer(request)
 
     async def _read(self, http: web.Request) -> Result[Request, NotRun]:
-        """Return the checked request, or why it is refused, at a stop's end too."""
+        """Return the validated request, or why it is refused.
+
+        `finish` outcomes the read when the stop runs out of time.
+        """
         reading = asyncio.timeout(None)
-        self._reads.add(reading)
+        self._body_reads.add(reading)
         try:
             async with reading:
                 return await self._input.read(http)
@@ -216,16 +236,16 @@
                 )
             )
         finally:
-            self._reads.remove(reading)
+            self._body_reads.remove(reading)
 
-    async def _whole(self, request: Request) -> web.StreamResponse:
+    async def _complete_answer(self, request: Request) -> web.StreamResponse:
         match await self._run(request, None):
             case Err(refusal):
                 return _refused(request, refusal)
             case Ok(answer):
                 return _answered(request, answer)
 
-    async def _streamed(
+    async def _streamed_answer(
         self, http: web.Request, request: Request
     ) -> web.StreamResponse:
         stream = EventStream(http=http, request=request)
@@ -238,33 +258,34 @@
     async def _run(
         self, request: Request, sink: Callable[[bytes], Awaitable[None]] | None
     ) -> Result[Answer, Refusal]:
-        """Run the request in a task of its own, so that it can outlive its caller.
+        """Run the request in a separate task that can outlive the handler.
 
-        aiohttp cancels the handler when the caller's connection is lost. What
-        must run at most once and may have started then goes on to its end, so
-        that a retry finds the result; anything else is cancelled downstream.
+        aiohttp cancels the handler when the caller's connection is lost. If a stage
+        that must run at most once may have started by then, the request continues to
+        completion, so that a retry finds its result. Otherwise it is cancelled
+        downstream.
         """
         spent = RequestUsage()
         task = asyncio.create_task(self._runner.run(request, spent=spent, sink=sink))
         self.running.add(task)
-        self._spent[task] = spent
+        self._usages[task] = spent
         task.add_done_callback(self._forget)
         try:
-            ends: set[asyncio.Future[Any]] = {task, spent.early_refusal}
-            await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+            outcomes: set[asyncio.Future[Any]] = {task, spent.early_refusal}
+            await asyncio.wait(outcomes, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             self._on_caller_left(request, spent, task)
             raise
         if task.done() and not task.cancelled():
             return task.result()
-        return Err(self._given_up(request, spent.early_refusal.result()))
+        return Err(self._record_early_answer(request, spent.early_refusal.result()))
 
     def _forget(self, task: "asyncio.Task[Result[Answer, Refusal]]") -> None:
         self.running.discard(task)
-        del self._spent[task]
+        del self._usages[task]
 
-    def _given_up(self, request: Request, refusal: Refusal) -> Refusal:
-        """Record that the caller is answered while its request still runs."""
+    def _record_early_answer(self, request: Request, refusal: Refusal) -> Refusal:
+        """Record that the caller gets its answer while the request still runs."""
         state = state_of(refusal.error)
         reason = refusal.error.reason
         self._requests.end(request.request_id, state=state, reason=reason)
@@ -284,19 +305,19 @@
         spent: RequestUsage,
         task: asyncio.Task[Result[Answer, Refusal]],
     ) -> None:
-        goes_on = spent.has_started_once_only
-        if not goes_on:
+        continues = spent.has_started_once_only
+        if not continues:
             task.cancel()
         self._journal.record(
             request_decision(
                 Event.CALLER_LEFT,
                 request,
                 reason=Reason.CANCELLED,
-                detail="goes on" if goes_on else "cancelled downstream",
+                detail="goes on" if continues else "cancelled downstream",
             )
         )
 
-    def _record_unread(self, error: NotRun) -> None:
+    def _record_refused_input(self, error: NotRun) -> None:
         self._journal.record(
             Decision(
                 event=Event.REQUEST_REFUSED, reason=error.reason, detail=error.detail
@@ -310,7 +331,7 @@
                 return error_response(refusal, governing=None, request_id="")
         return _json({"request_id": self._generate_id()})
 
-    async def _known(self, http: web.Request) -> web.StreamResponse:
+    async def _request_state(self, http: web.Request) -> web.StreamResponse:
         match self._input.account(http):
             case Err(error):
                 refusal = Refusal(error=error, stage="")
@@ -319,8 +340,8 @@
                 pass
         request_id = http.match_info["request_id"]
         record = self._requests.get(request_id)
-        # Another account's request is answered like an unknown one, so that ids
-        # cannot be probed.
+        # A request of another account gets the same answer as an unknown one, so
+        # that ids cannot be probed.
         if record is None or record.account != account:
             detail = "Nothing is known here of this request any more."
             return _plain_error(404, Reason.RESULT_GONE, detail)
@@ -363,7 +384,7 @@
 
 
 def _internal_error() -> web.Response:
-    """Return the answer to a request that met a fault of this gateway's own."""
+    """Return the answer to a request that failed by an error of this gateway."""
     error = Unknown(
         reason=Reason.INTERNAL, step="serve", peer="", detail="A fault of the gateway."
     )
--- a/src/trefoilpaddle/roles/error_body.py
+++ b/src/trefoilpaddle/roles/error_body.py
@@ -25,11 +25,11 @@
     Reason.LIMIT_CONCURRENCY: 429,
     Reason.LIMIT_TOKENS: 429,
 }
-"""Statuses of requests that were not run; any other reason is a 503."""
+"""HTTP statuses of requests that did not run; 503 for any other reason."""
 
 
 def status_of(error: StageError) -> int:
-    """Return the HTTP status that callers see for `error`."""
+    """Return the HTTP status of the answer for `error`."""
     match error:
         case NotRun():
             return STATUS_OF_REASON.get(error.reason, 503)
@@ -42,7 +42,7 @@
 def error_json(
     refusal: Refusal, *, governing: Governing | None, request_id: str
 ) -> bytes:
-    """Return the error body of a refused or failed request."""
+    """Return the JSON error body for a refused or failed request."""
     error = refusal.error
     fields = {
         "outcome": outcome_name(error),
@@ -64,7 +64,7 @@
 def error_response(
     refusal: Refusal, *, governing: Governing | None, request_id: str
 ) -> web.Response:
-    """Return the whole HTTP answer of a refused or failed request."""
+    """Return the HTTP answer to a refused or failed request."""
     error = refusal.error
     headers = answer_headers(governing=governing, request_id=request_id)
     headers["X-Reason"] = error.reason.name.lower()
@@ -79,7 +79,7 @@
 
 
 def answer_headers(*, governing: Governing | None, request_id: str) -> dict[str, str]:
-    """Return the headers that every answer to a request carries."""
+    """Return the headers that are common to all answers to requests."""
     headers = {"X-Request-Id": request_id} if request_id else {}
     if governing is not None:
         headers["X-Entry"] = governing.name
--- a/src/trefoilpaddle/roles/event_stream.py
+++ b/src/trefoilpaddle/roles/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events of one answer to a caller."""
+"""Streaming of an answer to a caller as server-sent events."""
 
 import asyncio
 import codecs
@@ -15,21 +15,26 @@
 from .error_body import answer_headers, error_json
 
 FINISH_TIMEOUT_S: Final = 1.0
-"""Longest wait for a slow caller to take the end of its stream."""
+"""Longest time in seconds to send the end of the stream to a slow caller."""
 
 
 class EventStream:
-    """Events of one answer; the first token opens the stream.
+    """Event stream of one answer; the first event opens it.
 
     Parameters
     ----------
     http : web.Request
         The caller's request.
     request : Request
-        The same, checked.
+        The validated request.
+
+    Attributes
+    ----------
+    is_open : bool
+        True once the headers of the stream are sent.
     """
 
-    __slots__ = ("_decoder", "_http", "_is_gone", "_request", "is_open", "response")
+    __slots__ = ("_decoder", "_http", "_is_closed", "_request", "is_open", "response")
 
     def __init__(self, *, http: web.Request, request: Request) -> None:
         headers = answer_headers(
@@ -40,32 +45,36 @@
         self.response = web.StreamResponse(headers=headers)
         self.response.content_type = SSE_TYPE
         self.is_open = False
-        self._is_gone = False
+        self._is_closed = False
         self._http = http
         self._request = request
         self._decoder = codecs.getincrementaldecoder("utf-8")("replace")
 
     async def token(self, data: bytes) -> None:
-        """Send the text of `data`; return once the caller has room for more.
+        """Send the text of `data`; return once the send buffer has space for more.
 
-        Waiting here holds back the credit of this answer alone, so a slow
-        caller costs bounded memory at each process on the way.
+        The wait delays the flow-control credit of this answer only, so a slow caller
+        uses bounded memory in each process on the path.
         """
         text = self._decoder.decode(data)
         if text:
             await self._send(b"token", {"text": text})
 
     async def finish(self, outcome: Result[Answer, Refusal]) -> None:
-        """Send the last event, ``end`` or ``error``, and close the stream."""
+        """Send the last event, ``end`` or ``error``, and close the stream.
+
+        If the caller does not accept it in time, the connection is aborted.
+        """
         try:
             async with asyncio.timeout(FINISH_TIMEOUT_S):
                 await self._finish(outcome)
         except TimeoutError:
-            # Too slow to be told: cut, so that it cannot look finished.
+            # The caller is too slow to get the last event. Its connection is
+            # aborted, so that the answer cannot look complete.
             if self._http.transport is not None:
                 self._http.transport.abort()
-        # The request may go on for a retry of it; this stream has had its end.
-        self._is_gone = True
+        # The request may still run for the sake of a retry; this stream has ended.
+        self._is_closed = True
 
     async def _finish(self, outcome: Result[Answer, Refusal]) -> None:
         match outcome:
@@ -73,7 +82,7 @@
                 await self._end(answer)
             case Err(refusal):
                 await self._error(refusal)
-        if not self._is_gone:
+        if not self._is_closed:
             with contextlib.suppress(ConnectionError):
                 await self.response.write_eof()
 
@@ -101,7 +110,7 @@
         await self._write(name, orjson.dumps(fields))
 
     async def _write(self, name: bytes, data: bytes) -> None:
-        if self._is_gone:
+        if self._is_closed:
             return
         try:
             if not self.is_open:
@@ -109,12 +118,12 @@
                 self.is_open = True
             await self.response.write(b"event: %b\ndata: %b\n\n" % (name, data))
         except ConnectionError:
-            # The stage call goes on or is cancelled by the handler's own end.
-            self._is_gone = True
+            # The cancellation of the handler decides whether the stage call continues.
+            self._is_closed = True
 
 
 def _text_of(output: Json) -> tuple[str, int]:
-    """Return the text of an output, and how many tokens it holds."""
+    """Return the text of an output and its number of tokens."""
     match output:
         case {"text": str() as text, "n_tokens": int() as n_tokens}:
             return text, n_tokens
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: built from its parts, run until it is told to stop."""
+"""The gateway: its components, and its run until a stop is requested."""
 
 import asyncio
 import contextlib
@@ -51,20 +51,20 @@
 
 TICK_S: Final = 0.25
 CLOSED_RETRY_AFTER_S: Final = 1.0
-"""When to come back to a gateway that takes no new work."""
+"""Seconds after which callers may retry at a gateway that refuses requests."""
 SEED_BITS: Final = 32
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Keys:
-    """Request keys as a gateway serves them.
+    """Handling of request keys in a gateway.
 
     Parameters
     ----------
     guard : KeyGuard
         Claims keys before requests run.
     generate_id : callable
-        Returns a fresh id that this gateway decides about.
+        Returns a new request id whose claim this gateway keeps.
     """
 
     guard: KeyGuard
@@ -72,17 +72,18 @@
 
 
 class Gateway:
-    """One gateway and its parts.
+    """One gateway and its components.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     directory, limiter, keys : optional
-        Who can be given work, the limits, and the request keys; without them
-        the published list alone is asked and nothing is bound.
+        The usable sidecars, the limits, and the request keys. By default, all
+        published sidecars are usable, and neither limits nor keys apply.
     is_known : callable, optional
-        Returns True while what is published is known well enough to take work.
+        Returns True while the published state is current enough to accept
+        requests. By default, once a catalogue is active.
     """
 
     __slots__ = (
@@ -144,7 +145,7 @@
             journal=process.journal,
         )
         predictor = Predictor(estimates=Estimates(), router=self._router, policy=policy)
-        walker = PipelineRunner(
+        pipeline_runner = PipelineRunner(
             published=process.published,
             runner=runner,
             predictor=predictor,
@@ -156,7 +157,7 @@
         )
         lifecycle = Lifecycle(
             predictor=predictor,
-            walker=walker,
+            walker=pipeline_runner,
             limiter=limiter,
             keys=self._keys.guard,
             requests=requests,
@@ -180,32 +181,33 @@
         )
 
     def is_ready(self) -> bool:
-        """Return True while the balancer should send new work here."""
-        return self._knows() and not self.process.stopping.is_set()
+        """Return True while the load balancer should send new requests here."""
+        return self._has_current_catalogue() and not self.process.stopping.is_set()
 
     def intake_refusal(self) -> NotRun | None:
-        """Return why no new work is taken now, or None while it is.
+        """Return why new requests are refused now, or None if they are accepted.
 
-        A stopping gateway takes work a little longer than it is ready: the
-        balancer notices only at its next look, and what it sends until then is
-        served, not refused. One that woke from a pause asks its peers first.
+        A stopping gateway accepts requests for a short time after it has become
+        unready: the load balancer notices this only at its next check, and requests
+        that it sends until then are served. A gateway that resumes after a pause
+        first queries its peers for the published state.
         """
         if self.process.stopping.is_set() and not self._is_settling:
-            return _closed(Reason.STOPPING, "This gateway stops; another takes work.")
-        if not self._knows():
-            return _closed(
+            return _refusal(Reason.STOPPING, "This gateway stops; another takes work.")
+        if not self._has_current_catalogue():
+            return _refusal(
                 Reason.NO_CONFIGURATION,
                 "This gateway has no catalogue yet, or woke from a pause and asks its "
                 "peers what is in force; another one takes work.",
             )
         return None
 
-    def _knows(self) -> bool:
-        """Return True while a catalogue is in force and surely the present one.
+    def _has_current_catalogue(self) -> bool:
+        """Return True while a catalogue is active and known to be current.
 
-        Guards against a first publication that was rejected as a whole: it has
-        been read, so it is known, but nothing is in force, and every caller
-        would be told that no entry governs it.
+        Guards against a first publication that was rejected entirely: it has been
+        read, so the published state is known, but no catalogue is active, and every
+        request would be refused because no entry governs it.
         """
         return self._is_known() and self._has_catalogue()
 
@@ -220,7 +222,7 @@
         return str(request_id)
 
     def _open_links(self) -> None:
-        """Open links early, so that the first request finds them heard."""
+        """Open links in advance, so that they are responsive at the first request."""
         wanted = set()
         for service in self.process.published.catalogue.services:
             for host in self._directory.sidecars(service):
@@ -230,7 +232,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator["Gateway"]:
-        """Serve callers while the context is open; its end drains first."""
+        """Serve callers while the context is open; drain on exit."""
         ticks = asyncio.create_task(self._tick())
         try:
             async with self.server.listening():
@@ -249,18 +251,18 @@
                 self._router.learn(call.work, call.view, measured_s=call.age_s)
 
     async def drain(self) -> None:
-        """Settle, finish what is held, and report how many were cut off."""
+        """Wait for the load balancer, finish open requests, count interrupted ones."""
         stop = self._settings.stop
         self.process.stopping.set()
         self._is_settling = True
         self._record(Event.PROCESS_STOPPING, n_held=len(self.callers.running))
         await asyncio.sleep(stop.settle_s)
         self._is_settling = False
-        n_cut_off = await self.callers.finish(timeout_s=stop.drain_s)
+        n_interrupted = await self.callers.finish(timeout_s=stop.drain_s)
         await self._keys.guard.flush()
-        self.process.n_interrupted = n_cut_off
-        if n_cut_off:
-            logging.error("%d requests were cut off by the stop", n_cut_off)
+        self.process.n_interrupted = n_interrupted
+        if n_interrupted:
+            logging.error("%d requests were interrupted by the stop", n_interrupted)
 
     def _record(self, event: Event, **figures: float) -> None:
         self.process.journal.record(
@@ -274,7 +276,7 @@
         )
 
 
-def _closed(reason: Reason, detail: str) -> NotRun:
+def _refusal(reason: Reason, detail: str) -> NotRun:
     return NotRun(
         reason=reason,
         step="admit",
@@ -285,13 +287,13 @@
 
 
 def new_process(settings: GatewaySettings) -> Process:
-    """Return the common parts of a gateway with these settings.
+    """Return the process components of a gateway with these settings.
 
     Raises
     ------
     ValueError
-        If the address to listen on cannot be read; the settings' check
-        prevents it.
+        If the address to listen on is invalid; the validation of the settings
+        prevents this.
     """
     identity = identity_of(process=settings.process, role="gateway")
     journal = Journal(
@@ -307,7 +309,7 @@
 def claimed_keys(
     *, settings: GatewaySettings, process: Process, directory: Directory
 ) -> Keys:
-    """Return request keys that are claimed at their places among the peers."""
+    """Return handling of request keys with claims at their replicas."""
     identity = process.identity
     registry = ClaimRegistry(
         process_id=identity.process_id,
@@ -335,7 +337,7 @@
 
 
 async def run(settings: GatewaySettings) -> int:
-    """Run a gateway until it is told to stop; return its exit code."""
+    """Run a gateway until a stop is requested; return its exit code."""
     process = new_process(settings)
     async with (
         process.running(),
--- a/src/trefoilpaddle/roles/operators.py
+++ b/src/trefoilpaddle/roles/operators.py
@@ -1,4 +1,4 @@
-"""Operators' HTTP of either role: health, metrics, explain and status."""
+"""HTTP for operators in both roles: health, metrics, explain and status."""
 
 import contextlib
 import time
@@ -47,25 +47,25 @@
 
 
 class OperatorsView:
-    """What operators see of one process, and through it of all.
+    """Operators' view of one process, and through it of all processes.
 
     Parameters
     ----------
     process : Process
-        Whose journal, peers and published state are shown.
+        The process whose journal, peers and published state are shown.
     is_ready : callable
-        Returns True while the process takes new work.
+        Returns True while the process accepts new work.
     leases, held_back : callable
-        Return the leases held now, and the changes that are not in force.
+        Return the current leases, and the published changes that are not active.
     """
 
     __slots__ = (
-        "_asker",
-        "_began_s",
         "_held_back",
         "_is_ready",
         "_leases",
         "_process",
+        "_queries",
+        "_started_s",
         "_tally",
         "metrics",
     )
@@ -82,8 +82,8 @@
         self._is_ready = is_ready
         self._leases = leases
         self._held_back = held_back
-        self._asker = OperatorQueries(peers=process.peers)
-        self._began_s = time.monotonic()
+        self._queries = OperatorQueries(peers=process.peers)
+        self._started_s = time.monotonic()
         self._tally = Tally()
         self.metrics = Metrics()
         self._set_gauges()
@@ -93,11 +93,11 @@
         process.server.add_handler(StatusAsk, self._answer_status)
 
     def is_ready(self) -> bool:
-        """Return True while the process takes new work."""
+        """Return True while the process accepts new work and is not stopping."""
         return self._is_ready() and not self._process.stopping.is_set()
 
     def status(self) -> ProcessStatus:
-        """Return what this process says of itself."""
+        """Return the status of this process."""
         process = self._process
         process.journal.flush()
         identity = process.identity
@@ -114,7 +114,7 @@
             is_leaving=process.stopping.is_set(),
             config_revision=process.published.catalogue.revision,
             hosts_revision=process.published.hosts.revision,
-            up_s=round(time.monotonic() - self._began_s, 3),
+            up_s=round(time.monotonic() - self._started_s, 3),
             n_peers_heard=sum(link.is_responsive() for link in links),
             n_peers=len(links),
             load=self._load() if identity.role == "sidecar" else None,
@@ -125,7 +125,7 @@
         )
 
     def own_steps(self, request_id: str) -> list[Step]:
-        """Return what this process knows of a request."""
+        """Return the steps of a request that this process has recorded."""
         journal = self._process.journal
         records = journal.timeline(request_id)
         return list(
@@ -217,7 +217,7 @@
             self.metrics.gauge(name, help_text).set_function(read)
 
     def _up_s(self) -> float:
-        return time.monotonic() - self._began_s
+        return time.monotonic() - self._started_s
 
     async def _answer_explain(self, ask: ExplainAsk, peer: Hello) -> ExplainAnswer:
         steps = self.own_steps(ask.request_id)
@@ -249,7 +249,7 @@
     async def _explain(self, request: web.Request) -> web.Response:
         request_id = request.match_info["request_id"]
         gatherer = TimelineGatherer(
-            queries=self._asker,
+            queries=self._queries,
             hosts=self._process.published.hosts,
             own_process_id=self._process.identity.process_id,
             own_target=self._process.identity.target,
@@ -266,7 +266,7 @@
         if request.query.get("scope") == "own":
             return _json(self.status())
         fleet = await gather_status(
-            queries=self._asker,
+            queries=self._queries,
             own=self.status(),
             hosts=self._process.published.hosts,
             catalogue=self._process.published.catalogue,
@@ -288,15 +288,15 @@
 ) -> AsyncIterator[OperatorsView]:
     """Serve operators at `listen`, ``ip:port``, while the context is open.
 
-    Open it around ``process.running()``: answers to peers are set up before
-    the peer port opens, and operators still see a process that drains.
+    Open it around ``process.running()``: the handlers for peers are then registered
+    before the peer port opens, and operators can still query a draining process.
 
     Raises
     ------
     OSError
         If the port is held by another process.
     ValueError
-        If `listen` is no address; the settings are checked for it before.
+        If `listen` is not an address; the validation of the settings prevents this.
     """
     view = OperatorsView(
         process=process, is_ready=is_ready, leases=leases, held_back=held_back
--- a/src/trefoilpaddle/roles/process.py
+++ b/src/trefoilpaddle/roles/process.py
@@ -1,4 +1,4 @@
-"""What a gateway and a sidecar have in common: identity, peers, signals."""
+"""Components common to gateway and sidecar: identity, peers, signals."""
 
 import asyncio
 import contextlib
@@ -29,9 +29,10 @@
     signal.SIGINT,
     signal.SIGHUP,
 )
-"""Signals that a process takes as the order to stop.
+"""Signals that request a planned stop of the process.
 
-A hangup without a handler would end it at once, and cut off all that it holds.
+A hangup without a handler would terminate the process immediately and interrupt all
+open requests.
 """
 
 LoadReader = Callable[[], Load]
@@ -43,22 +44,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """Who a process is.
+    """Identity of a process.
 
     Parameters
     ----------
     process_id : str
-        Host and role; stable over restarts.
+        Host and role; stable across restarts.
     incarnation : int
-        Random, new at each start.
+        Random positive number, new at each start.
     role : str
         ``"gateway"`` or ``"sidecar"``.
     failure_domain, region : str
-        Where it stands.
+        Location of its host.
     service, target : str
-        Of a sidecar.
+        Service and target of a sidecar; empty for a gateway.
     millicores : int
-        Processor that it may use, in thousandths of a core; 0 if untold.
+        CPU that the process may use, in thousandths of a core; 0 if unknown.
     """
 
     process_id: str
@@ -74,7 +75,7 @@
 def identity_of(
     *, process: "ProcessSettings", role: str, service: str = "", target: str = ""
 ) -> Identity:
-    """Return the identity of a process that starts now with these settings."""
+    """Return the identity of a process that starts with these settings."""
     return Identity(
         process_id=f"{process.host}-{role}",
         incarnation=new_incarnation(),
@@ -87,23 +88,28 @@
 
 
 class Process:
-    """Parts that both roles own; the role adds its own on top.
+    """Components that both roles share; each role adds its own.
 
     Parameters
     ----------
     identity : Identity
-        Who this process is.
+        Identity of this process.
     listen : Address
-        Where it listens for peers.
+        Address to listen on for peers.
     journal : Journal
-        Takes its decisions.
+        Records the decisions of this process.
 
     Attributes
     ----------
     close_timeout_s : callable
-        Returns how long each step of closing links to peers may take.
+        Returns the longest time in seconds for each step of closing the
+        connections to peers.
+    request_stop : callable
+        Called on a stop signal.
+    n_interrupted : int
+        Number of requests or calls that the stop has interrupted.
     stop_signals : tuple of signal.Signals
-        Those that the event loop takes as the order to stop.
+        Signals for which the event loop calls `request_stop`.
     """
 
     __slots__ = (
@@ -133,7 +139,7 @@
         self.stopping = asyncio.Event()
         self.stop_signals = STOP_SIGNALS
         self.request_stop: Callable[[], None] = self.stopping.set
-        self.load_reader: LoadReader = self._bare_load
+        self.load_reader: LoadReader = self._minimal_load
         self.link_listeners: list[LinkListener] = []
         self.message_listeners: list[ConnectionListener] = []
         self.close_listeners: list[CloseListener] = []
@@ -157,7 +163,7 @@
         )
 
     def hello(self) -> Hello:
-        """Return what this process says of itself on a new connection."""
+        """Return the hello message that this process sends on a new connection."""
         return Hello(
             version=PROTOCOL_VERSION,
             process_id=self.identity.process_id,
@@ -174,7 +180,7 @@
         """Return the heartbeat to send now."""
         return Heartbeat(load=self.load_reader())
 
-    def _bare_load(self) -> Load:
+    def _minimal_load(self) -> Load:
         return Load(
             stamp_ns=time.monotonic_ns(),
             leaving=self.stopping.is_set(),
@@ -208,7 +214,7 @@
         """
         loop = asyncio.get_running_loop()
         for number in self.stop_signals:
-            # Under nohup a hangup stays ignored.
+            # Under nohup, a hangup remains ignored.
             if signal.getsignal(number) is signal.SIG_IGN and number == signal.SIGHUP:
                 continue
             loop.add_signal_handler(number, self.request_stop)
--- a/src/trefoilpaddle/roles/sidecar.py
+++ b/src/trefoilpaddle/roles/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: the only process that talks to its target."""
+"""The sidecar: the only process that sends requests to its target."""
 
 import asyncio
 import contextlib
@@ -40,22 +40,23 @@
 from .operators import operators
 from .process import Process, identity_of
 
-HOUSEKEEPING_S: Final = 0.25
+EXPIRY_PERIOD_S: Final = 0.25
 LOCK_MARGIN_S: Final = 4 * CLOSE_TIMEOUT_S
-"""How much longer than a predecessor's drain its port is waited for.
+"""Time in seconds, added to the drain time, to wait for a predecessor's lock port.
 
-Where peers are paused, each of three steps of its close takes ``CLOSE_TIMEOUT_S``.
+If peers are paused, each of the three steps of the predecessor's close takes
+``CLOSE_TIMEOUT_S``.
 """
 DEFAULT_SLOTS: Final = {
     ServiceKind.ENGINE: 8,
     ServiceKind.POOL: 4,
     ServiceKind.PLAIN: 4,
 }
-"""Slots of a target while its service is not in the catalogue."""
+"""Number of slots of a target while its service is not in the catalogue."""
 
 
 async def run(settings: SidecarSettings) -> int:
-    """Run a sidecar until it is told to stop; return its exit status."""
+    """Run a sidecar until a stop is requested; return its exit code."""
     listen = _address(settings.process.listen)
     lock = _lock_address(settings)
     wait_s = settings.stop.drain_s + LOCK_MARGIN_S
@@ -82,8 +83,8 @@
     )
     process = Process(identity=identity, listen=listen, journal=journal)
     sidecar = Sidecar(settings=settings, process=process)
-    # Nothing is taken before a catalogue is in force: a process that starts
-    # while the configuration service is down knows no weights and no limits.
+    # No work is accepted before a catalogue is active: a process that starts while
+    # the configuration service is unavailable has neither weights nor limits.
     sidecar.dispatcher.intake.is_configured = False
     async with (
         sidecar.open(),
@@ -103,12 +104,12 @@
 
 
 class Sidecar:
-    """The parts of one sidecar, wired to its process.
+    """The components of one sidecar, connected to its process.
 
     Parameters
     ----------
     settings : SidecarSettings
-        As read from its file.
+        Validated settings.
     process : Process
         Identity, peers and journal.
     """
@@ -181,12 +182,12 @@
         process.published.subscribe(self._on_published)
         async with self._http.opened(), process.running():
             tasks = [
-                asyncio.create_task(self._keep_house()),
+                asyncio.create_task(self._expire_held_results()),
                 asyncio.create_task(self._watch().run()),
                 asyncio.create_task(key_syncs.run()),
             ]
             if self._settings.target.kind is ServiceKind.ENGINE:
-                tasks.append(asyncio.create_task(self._place()))
+                tasks.append(asyncio.create_task(self._run_placement()))
             try:
                 yield self
             finally:
@@ -194,7 +195,7 @@
                     task.cancel()
 
     async def stop(self) -> int:
-        """Leave: refuse new work, finish the rest; return how many were cut off."""
+        """Refuse new work and finish open calls; return how many were interrupted."""
         process = self._process
         self.dispatcher.intake.is_leaving = True
         process.server.broadcast(process.heartbeat())
@@ -236,19 +237,19 @@
             dispatcher=self.dispatcher,
         )
 
-    async def _keep_house(self) -> None:
+    async def _expire_held_results(self) -> None:
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(EXPIRY_PERIOD_S)
             self.table.held.expire(time.monotonic_ns())
 
-    async def _place(self) -> None:
-        """Keep the models that the catalogue wants on the target."""
+    async def _run_placement(self) -> None:
+        """Run the placement of models on the target, as the catalogue requires."""
         process, target = self._process, self._settings.target
         orders = TargetOrders(
             http=self._http,
             target=target.name,
             fencing=target.fencing,
-            # The lock is held for as long as this role runs.
+            # The lock port is held as long as this role runs.
             has_lock=lambda: not self.dispatcher.intake.is_leaving,
             journal=process.journal,
         )
