--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: built from its parts, run until it is told to stop."""
+"""The gateway: its components, and its run until a stop is requested."""
 
 import asyncio
 import contextlib
@@ -50,39 +50,40 @@
 from .process import Process, identity_of
 
 TICK_S: Final = 0.25
-CLOSED_S: Final = 1.0
-"""When to come back to a gateway that takes no new work."""
+CLOSED_RETRY_AFTER_S: Final = 1.0
+"""Seconds after which callers may retry at a gateway that refuses requests."""
 SEED_BITS: Final = 32
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Keys:
-    """Request keys as a gateway serves them.
+    """Handling of request keys in a gateway.
 
     Parameters
     ----------
     guard : KeyGuard
         Claims keys before requests run.
-    mint : callable
-        Returns a fresh id that this gateway decides about.
+    generate_id : callable
+        Returns a new request id whose claim this gateway keeps.
     """
 
     guard: KeyGuard
-    mint: Callable[[], str]
+    generate_id: Callable[[], str]
 
 
 class Gateway:
-    """One gateway and its parts.
+    """One gateway and its components.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     directory, limiter, keys : optional
-        Who can be given work, the limits, and the request keys; without them
-        the published list alone is asked and nothing is bound.
+        The usable sidecars, the limits, and the request keys. By default, all
+        published sidecars are usable, and neither limits nor keys apply.
     is_known : callable, optional
-        Returns True while what is published is known well enough to take work.
+        Returns True while the published state is current enough to accept
+        requests. By default, once a catalogue is active.
     """
 
     __slots__ = (
@@ -118,7 +119,7 @@
         process.link_listeners.append(self.attempts.on_message)
         process.change_listeners.append(self.attempts.on_change)
         process.published.subscribe(self._open_links)
-        self._keys = keys or Keys(guard=UnguardedKeys(), mint=self._mint)
+        self._keys = keys or Keys(guard=UnguardedKeys(), generate_id=self._generate_id)
         self._is_known = is_known or self._has_catalogue
         self.callers = self._build_callers(limiter or UnlimitedLimiter())
         self.server = CallerServer(
@@ -166,7 +167,7 @@
             settings=self._settings.callers,
             published=process.published,
             index=GoverningIndex(published=process.published),
-            mint=self._mint,
+            generate_id=self._generate_id,
         )
         return Callers(
             settings=self._settings.callers,
@@ -174,53 +175,54 @@
             runner=lifecycle,
             requests=requests,
             journal=process.journal,
-            mint=self._keys.mint,
+            generate_id=self._keys.generate_id,
             is_ready=self.is_ready,
-            why_closed=self.why_closed,
+            intake_refusal=self.intake_refusal,
         )
 
     def is_ready(self) -> bool:
-        """Return True while the balancer should send new work here."""
-        return self._knows() and not self.process.stopping.is_set()
+        """Return True while the load balancer should send new requests here."""
+        return self._has_current_catalogue() and not self.process.stopping.is_set()
 
-    def why_closed(self) -> NotRun | None:
-        """Return why no new work is taken now, or None while it is.
+    def intake_refusal(self) -> NotRun | None:
+        """Return why new requests are refused now, or None if they are accepted.
 
-        A stopping gateway takes work a little longer than it is ready: the
-        balancer notices only at its next look, and what it sends until then is
-        served, not refused. One that woke from a pause asks its peers first.
+        A stopping gateway accepts requests for a short time after it has become
+        unready: the load balancer notices this only at its next check, and requests
+        that it sends until then are served. A gateway that resumes after a pause
+        first queries its peers for the published state.
         """
         if self.process.stopping.is_set() and not self._is_settling:
-            return _closed(Reason.STOPPING, "This gateway stops; another takes work.")
-        if not self._knows():
-            return _closed(
+            return _refusal(Reason.STOPPING, "This gateway stops; another takes work.")
+        if not self._has_current_catalogue():
+            return _refusal(
                 Reason.NO_CONFIGURATION,
                 "This gateway has no catalogue yet, or woke from a pause and asks its "
                 "peers what is in force; another one takes work.",
             )
         return None
 
-    def _knows(self) -> bool:
-        """Return True while a catalogue is in force and surely the present one.
+    def _has_current_catalogue(self) -> bool:
+        """Return True while a catalogue is active and known to be current.
 
-        Guards against a first publication that was rejected as a whole: it has
-        been read, so it is known, but nothing is in force, and every caller
-        would be told that no entry governs it.
+        Guards against a first publication that was rejected entirely: it has been
+        read, so the published state is known, but no catalogue is active, and every
+        request would be refused because no entry governs it.
         """
         return self._is_known() and self._has_catalogue()
 
     def _has_catalogue(self) -> bool:
         return self.process.published.catalogue.revision > 0
 
-    def _mint(self) -> str:
+    def _generate_id(self) -> str:
         identity = self.process.identity
-        request_id = RequestId.mint(
+        request_id = RequestId.generate(
             process_id=identity.process_id, incarnation=identity.incarnation
         )
         return str(request_id)
 
     def _open_links(self) -> None:
-        """Open links early, so that the first request finds them heard."""
+        """Open links in advance, so that they are responsive at the first request."""
         wanted = set()
         for service in self.process.published.catalogue.services:
             for host in self._directory.sidecars(service):
@@ -230,7 +232,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator["Gateway"]:
-        """Serve callers while the context is open; its end drains first."""
+        """Serve callers while the context is open; drain on exit."""
         ticks = asyncio.create_task(self._tick())
         try:
             async with self.server.listening():
@@ -249,18 +251,18 @@
                 self._router.learn(call.work, call.view, measured_s=call.age_s)
 
     async def drain(self) -> None:
-        """Settle, finish what is held, and report how many were cut off."""
+        """Wait for the load balancer, finish open requests, count interrupted ones."""
         stop = self._settings.stop
         self.process.stopping.set()
         self._is_settling = True
         self._record(Event.PROCESS_STOPPING, n_held=len(self.callers.running))
         await asyncio.sleep(stop.settle_s)
         self._is_settling = False
-        n_cut_off = await self.callers.finish(timeout_s=stop.drain_s)
+        n_interrupted = await self.callers.finish(timeout_s=stop.drain_s)
         await self._keys.guard.flush()
-        self.process.n_cut_off = n_cut_off
-        if n_cut_off:
-            logging.error("%d requests were cut off by the stop", n_cut_off)
+        self.process.n_interrupted = n_interrupted
+        if n_interrupted:
+            logging.error("%d requests were interrupted by the stop", n_interrupted)
 
     def _record(self, event: Event, **figures: float) -> None:
         self.process.journal.record(
@@ -274,20 +276,24 @@
         )
 
 
-def _closed(reason: Reason, detail: str) -> NotRun:
+def _refusal(reason: Reason, detail: str) -> NotRun:
     return NotRun(
-        reason=reason, step="admit", peer="", detail=detail, retry_after_s=CLOSED_S
+        reason=reason,
+        step="admit",
+        peer="",
+        detail=detail,
+        retry_after_s=CLOSED_RETRY_AFTER_S,
     )
 
 
 def new_process(settings: GatewaySettings) -> Process:
-    """Return the common parts of a gateway with these settings.
+    """Return the process components of a gateway with these settings.
 
     Raises
     ------
     ValueError
-        If the address to listen on cannot be read; the settings' check
-        prevents it.
+        If the address to listen on is invalid; the validation of the settings
+        prevents this.
     """
     identity = identity_of(process=settings.process, role="gateway")
     journal = Journal(
@@ -303,7 +309,7 @@
 def claimed_keys(
     *, settings: GatewaySettings, process: Process, directory: Directory
 ) -> Keys:
-    """Return request keys that are claimed at their places among the peers."""
+    """Return handling of request keys with claims at their replicas."""
     identity = process.identity
     registry = ClaimRegistry(
         process_id=identity.process_id,
@@ -325,12 +331,13 @@
         generated_ids=generated_ids,
     )
     return Keys(
-        guard=KeyClaims(claimer=claimer), mint=lambda: str(generated_ids.generate())
+        guard=KeyClaims(claimer=claimer),
+        generate_id=lambda: str(generated_ids.generate()),
     )
 
 
 async def run(settings: GatewaySettings) -> int:
-    """Run a gateway until it is told to stop; return its exit code."""
+    """Run a gateway until a stop is requested; return its exit code."""
     process = new_process(settings)
     async with (
         process.running(),
--- a/src/trefoilpaddle/roles/process.py
+++ b/src/trefoilpaddle/roles/process.py
@@ -1,4 +1,4 @@
-"""What a gateway and a sidecar have in common: identity, peers, signals."""
+"""Components common to gateway and sidecar: identity, peers, signals."""
 
 import asyncio
 import contextlib
@@ -29,9 +29,10 @@
     signal.SIGINT,
     signal.SIGHUP,
 )
-"""Signals that a process takes as the order to stop.
+"""Signals that request a planned stop of the process.
 
-A hangup without a handler would end it at once, and cut off all that it holds.
+A hangup without a handler would terminate the process immediately and interrupt all
+open requests.
 """
 
 LoadReader = Callable[[], Load]
@@ -43,22 +44,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """Who a process is.
+    """Identity of a process.
 
     Parameters
     ----------
     process_id : str
-        Host and role; stable over restarts.
+        Host and role; stable across restarts.
     incarnation : int
-        Random, new at each start.
+        Random positive number, new at each start.
     role : str
         ``"gateway"`` or ``"sidecar"``.
     failure_domain, region : str
-        Where it stands.
+        Location of its host.
     service, target : str
-        Of a sidecar.
+        Service and target of a sidecar; empty for a gateway.
     millicores : int
-        Processor that it may use, in thousandths of a core; 0 if untold.
+        CPU that the process may use, in thousandths of a core; 0 if unknown.
     """
 
     process_id: str
@@ -74,7 +75,7 @@
 def identity_of(
     *, process: "ProcessSettings", role: str, service: str = "", target: str = ""
 ) -> Identity:
-    """Return the identity of a process that starts now with these settings."""
+    """Return the identity of a process that starts with these settings."""
     return Identity(
         process_id=f"{process.host}-{role}",
         incarnation=new_incarnation(),
@@ -87,38 +88,43 @@
 
 
 class Process:
-    """Parts that both roles own; the role adds its own on top.
+    """Components that both roles share; each role adds its own.
 
     Parameters
     ----------
     identity : Identity
-        Who this process is.
+        Identity of this process.
     listen : Address
-        Where it listens for peers.
+        Address to listen on for peers.
     journal : Journal
-        Takes its decisions.
+        Records the decisions of this process.
 
     Attributes
     ----------
-    closing_s : callable
-        Returns how long each step of closing links to peers may take.
+    close_timeout_s : callable
+        Returns the longest time in seconds for each step of closing the
+        connections to peers.
+    request_stop : callable
+        Called on a stop signal.
+    n_interrupted : int
+        Number of requests or calls that the stop has interrupted.
     stop_signals : tuple of signal.Signals
-        Those that the event loop takes as the order to stop.
+        Signals for which the event loop calls `request_stop`.
     """
 
     __slots__ = (
         "change_listeners",
         "close_listeners",
-        "closing_s",
+        "close_timeout_s",
         "identity",
         "journal",
         "link_listeners",
         "load_reader",
         "message_listeners",
-        "n_cut_off",
-        "order_stop",
+        "n_interrupted",
         "peers",
         "published",
+        "request_stop",
         "server",
         "stop_signals",
         "stopping",
@@ -132,20 +138,20 @@
         self.published = Published()
         self.stopping = asyncio.Event()
         self.stop_signals = STOP_SIGNALS
-        self.order_stop: Callable[[], None] = self.stopping.set
-        self.load_reader: LoadReader = self._bare_load
+        self.request_stop: Callable[[], None] = self.stopping.set
+        self.load_reader: LoadReader = self._minimal_load
         self.link_listeners: list[LinkListener] = []
         self.message_listeners: list[ConnectionListener] = []
         self.close_listeners: list[CloseListener] = []
-        self.n_cut_off = 0
-        self.closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S
+        self.n_interrupted = 0
+        self.close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S
         self.change_listeners: list[ChangeListener] = []
         self.peers = Peers(
             own_hello=self.hello,
             own_heartbeat=self.heartbeat,
             on_message=self._on_link_message,
             on_change=self._on_link_change,
-            closing_s=lambda: self.closing_s(),
+            close_timeout_s=lambda: self.close_timeout_s(),
         )
         self.server = PeerServer(
             address=listen,
@@ -153,11 +159,11 @@
             own_heartbeat=self.heartbeat,
             on_message=self._on_peer_message,
             on_close=self._on_peer_close,
-            closing_s=lambda: self.closing_s(),
+            close_timeout_s=lambda: self.close_timeout_s(),
         )
 
     def hello(self) -> Hello:
-        """Return what this process says of itself on a new connection."""
+        """Return the hello message that this process sends on a new connection."""
         return Hello(
             version=PROTOCOL_VERSION,
             process_id=self.identity.process_id,
@@ -174,7 +180,7 @@
         """Return the heartbeat to send now."""
         return Heartbeat(load=self.load_reader())
 
-    def _bare_load(self) -> Load:
+    def _minimal_load(self) -> Load:
         return Load(
             stamp_ns=time.monotonic_ns(),
             leaving=self.stopping.is_set(),
@@ -208,10 +214,10 @@
         """
         loop = asyncio.get_running_loop()
         for number in self.stop_signals:
-            # Under nohup a hangup stays ignored.
+            # Under nohup, a hangup remains ignored.
             if signal.getsignal(number) is signal.SIG_IGN and number == signal.SIGHUP:
                 continue
-            loop.add_signal_handler(number, self.order_stop)
+            loop.add_signal_handler(number, self.request_stop)
         async with self.server.listening(), self.peers.open():
             self.journal.record(
                 Decision(event=Event.PROCESS_STARTED, peer=self.identity.process_id)
@@ -221,7 +227,7 @@
             Decision(
                 event=Event.PROCESS_STOPPED,
                 peer=self.identity.process_id,
-                figures=(Figure(name="n_cut_off", value=self.n_cut_off),),
+                figures=(Figure(name="n_cut_off", value=self.n_interrupted),),
             )
         )
         self.journal.flush()
--- a/src/trefoilpaddle/state/rendezvous.py
+++ b/src/trefoilpaddle/state/rendezvous.py
@@ -3,7 +3,7 @@
 import heapq
 from collections.abc import Iterable
 
-from ..protocol.checksum import place_score
+from ..protocol.checksum import rendezvous_score
 
 
 def highest(key: str, candidates: Iterable[str], *, n: int) -> list[str]:
@@ -12,4 +12,4 @@
     Adding or removing a candidate changes the choice only for keys for which it
     is or was among the `n` best.
     """
-    return heapq.nlargest(n, candidates, key=lambda name: place_score(key, name))
+    return heapq.nlargest(n, candidates, key=lambda name: rendezvous_score(key, name))
--- a/src/trefoilpaddle/state/replicas.py
+++ b/src/trefoilpaddle/state/replicas.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..protocol.checksum import place_score
+from ..protocol.checksum import rendezvous_score
 from .hosts import Host, HostList, HostState
 
 N_FORMER_LISTS: Final = 32
@@ -48,7 +48,7 @@
         if not self.replicas:
             return ()
         scored = [
-            (place_score(key, replica.process_id), replica) for replica in self.replicas
+            (rendezvous_score(key, replica.process_id), replica) for replica in self.replicas
         ]
         primary = _highest(scored)
         rest = [item for item in scored if item[1] is not primary]
--- a/src/trefoilpaddle/transport/peers.py
+++ b/src/trefoilpaddle/transport/peers.py
@@ -1,4 +1,4 @@
-"""Links to many peers, opened on first use and closed together."""
+"""Links to all peers that this process dials."""
 
 import asyncio
 import contextlib
@@ -15,16 +15,16 @@
 
 
 class Peers:
-    """All links that this process dials, by address.
+    """The links to peers by address, opened on first use and closed together.
 
     Parameters
     ----------
-    own_hello, own_heartbeat, on_message, on_change, tls, closing_s
-        As for `Link`, shared by all links.
+    own_hello, own_heartbeat, on_message, on_change, tls, close_timeout_s
+        As for `Link`; shared by all links.
     """
 
     __slots__ = (
-        "_closing_s",
+        "_close_timeout_s",
         "_on_change",
         "_on_message",
         "_own_heartbeat",
@@ -41,9 +41,9 @@
         on_message: OnMessage,
         on_change: Callable[[Link], None] | None = None,
         tls: ssl.SSLContext | None = None,
-        closing_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
+        close_timeout_s: Callable[[], float] = lambda: CLOSE_TIMEOUT_S,
     ) -> None:
-        self._closing_s = closing_s
+        self._close_timeout_s = close_timeout_s
         self._own_hello = own_hello
         self._own_heartbeat = own_heartbeat
         self._on_message = on_message
@@ -52,7 +52,7 @@
         self.links: dict[Address, Link] = {}
 
     def link(self, address: Address) -> Link:
-        """Return the link to `address`, started if it is new."""
+        """Return the link to `address`; create and start it on first use."""
         link = self.links.get(address)
         if link is None:
             link = Link(
@@ -62,7 +62,7 @@
                 on_message=self._on_message,
                 on_change=self._on_change,
                 tls=self._tls,
-                closing_s=self._closing_s,
+                close_timeout_s=self._close_timeout_s,
             )
             self.links[address] = link
             link.start()
@@ -71,10 +71,10 @@
     async def ask(
         self, address: Address, message: Message, *, timeout_s: float
     ) -> Result[Message, PeerError]:
-        """Ask the peer at `address` and return its reply."""
+        """Send `message` to the peer at `address` and return its reply."""
         return await self.link(address).ask(message, timeout_s=timeout_s)
 
-    async def forget(self, address: Address) -> None:
+    async def close_link(self, address: Address) -> None:
         """Close the link to `address`, if there is one."""
         link = self.links.pop(address, None)
         if link is not None:
@@ -82,9 +82,9 @@
 
     @contextlib.asynccontextmanager
     async def open(self) -> AsyncIterator["Peers"]:
-        """Close all links when the context ends."""
+        """Close all links on exit from the context."""
         try:
             yield self
         finally:
             addresses = list(self.links)
-            await asyncio.gather(*(self.forget(address) for address in addresses))
+            await asyncio.gather(*(self.close_link(address) for address in addresses))
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -306,7 +306,7 @@
         assert slot.gateway is not None
         process = slot.gateway.process
         await self._close_gateway(slot)
-        return process.n_cut_off
+        return process.n_interrupted
 
     async def call(
         self,
