--- a/src/trefoilpaddle/standins/calls.py
+++ b/src/trefoilpaddle/standins/calls.py
@@ -18,7 +18,7 @@
 from .outputs import call_output, digest
 from .pace import Pace
 from .record import Outcome, Record
-from .web import cut_off, faulty_application, json_answer, not_run
+from .web import abort_connection, faulty_application, json_answer, not_run
 
 BYTES_PER_KB: Final = 1024
 
@@ -215,5 +215,5 @@
     response.content_length = len(body)
     await response.prepare(request)
     await response.write(body[: len(body) // 2])
-    cut_off(request)
+    abort_connection(request)
     return response
--- a/src/trefoilpaddle/standins/engine.py
+++ b/src/trefoilpaddle/standins/engine.py
@@ -14,7 +14,7 @@
 from trefoilpaddle.state.catalogue import STRICT
 
 from .batching import Batch, BatchModel
-from .engine_stream import answer_whole, stream
+from .engine_stream import answer_complete, stream
 from .faults import Faults
 from .generation import Generation
 from .orders import Orders
@@ -186,7 +186,7 @@
             return json_answer({"detail": "fault: fail"}, status=500)
         self.batch.add(generation)
         if not completion.stream:
-            return await answer_whole(generation)
+            return await answer_complete(generation)
         return await stream(
             request,
             generation,
--- a/src/trefoilpaddle/standins/engine_stream.py
+++ b/src/trefoilpaddle/standins/engine_stream.py
@@ -11,7 +11,7 @@
 from .faults import Faults
 from .generation import Generation
 from .record import Outcome
-from .web import cut_off, json_answer
+from .web import abort_connection, json_answer
 
 _HEADERS: Final = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 _FINISH_REASONS: Final = {
@@ -21,7 +21,7 @@
 }
 
 
-async def answer_whole(generation: Generation) -> web.Response:
+async def answer_complete(generation: Generation) -> web.Response:
     """Return the answer once the last token is decoded."""
     with _reader(generation):
         while not generation.has_ended:
@@ -65,7 +65,7 @@
                 await response.write(_token_events(generation, n_sent, n_ready))
             n_sent = n_ready
             if cut_at is not None and n_sent >= cut_at:
-                cut_off(request)
+                abort_connection(request)
                 return response
         last = orjson.dumps(_last_event(generation))
         await response.write(b"data: " + last + b"\n\ndata: [DONE]\n\n")
--- a/src/trefoilpaddle/standins/generation.py
+++ b/src/trefoilpaddle/standins/generation.py
@@ -70,7 +70,7 @@
         if self.has_ended:
             return
         self.run.end(outcome)
-        self.wake()
+        self.notify_readers()
 
     def decode(self) -> None:
         """Add one token; the last one ends it."""
@@ -78,9 +78,9 @@
         if self.n_decoded >= len(self.tokens):
             self.end(Outcome.DONE)
         else:
-            self.wake()
+            self.notify_readers()
 
-    def wake(self) -> None:
+    def notify_readers(self) -> None:
         """Let those who wait for more look again."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
--- a/src/trefoilpaddle/standins/launcher.py
+++ b/src/trefoilpaddle/standins/launcher.py
@@ -14,7 +14,7 @@
 
 from .child import Child
 from .description import Description, PublishedValues
-from .layout import Layout, TargetPlace, make_layout
+from .layout import Layout, TargetLayout, make_layout
 from .running import Running
 from .written_settings import Overrides, gateway_settings, sidecar_settings
 
@@ -125,7 +125,9 @@
         yield _stand_in(place.name, options, folder)
 
 
-def _target_arguments(place: TargetPlace, *, time_scale: float, seed: int) -> list[str]:
+def _target_arguments(
+    place: TargetLayout, *, time_scale: float, seed: int
+) -> list[str]:
     service = place.service
     parameters = {"time_scale": time_scale, "seed": seed, **service.stand_in}
     if service.kind is ServiceKind.ENGINE:
--- a/src/trefoilpaddle/standins/layout.py
+++ b/src/trefoilpaddle/standins/layout.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetPlace:
+class TargetLayout:
     """A target, its stand-in and the sidecar beside it.
 
     Parameters
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class GatewayPlace:
+class GatewayLayout:
     """A gateway on its entry host.
 
     Parameters
@@ -79,19 +79,19 @@
     ----------
     config_address, hosts_address, weights_address : str
         ``ip:port`` of the platform's stand-ins.
-    gateways : tuple of GatewayPlace
+    gateways : tuple of GatewayLayout
         Entry hosts.
-    targets : tuple of TargetPlace
+    targets : tuple of TargetLayout
         Target hosts.
     """
 
     config_address: str
     hosts_address: str
     weights_address: str
-    gateways: tuple[GatewayPlace, ...]
-    targets: tuple[TargetPlace, ...]
+    gateways: tuple[GatewayLayout, ...]
+    targets: tuple[TargetLayout, ...]
 
-    def target(self, name: str) -> TargetPlace:
+    def target(self, name: str) -> TargetLayout:
         """Return the target called `name`.
 
         Raises
@@ -212,7 +212,7 @@
             hosts_address=ports.address(),
             weights_address=ports.address(),
             gateways=tuple(
-                GatewayPlace(
+                GatewayLayout(
                     host=f"entry-{i + 1}",
                     failure_domain=description.domain(i),
                     callers_address=ports.address(),
@@ -225,11 +225,11 @@
         )
 
 
-def _target_places(description: Description, ports: Ports) -> Iterator[TargetPlace]:
+def _target_places(description: Description, ports: Ports) -> Iterator[TargetLayout]:
     place = description.n_gateways
     for service in description.services:
         for name in service.targets():
-            yield TargetPlace(
+            yield TargetLayout(
                 name=name,
                 service=service,
                 failure_domain=description.domain(place),
--- a/src/trefoilpaddle/standins/platform/crashing.py
+++ b/src/trefoilpaddle/standins/platform/crashing.py
@@ -10,10 +10,10 @@
 
 from .worker import PlatformWorker
 
-CRASH_AFTER_S: Final = 0.1
+CRASH_DELAY_S: Final = 0.1
 """Time from the beginning of such a request to the worker's end."""
 
-DOWN_S: Final = 1.5
+RESTART_DELAY_S: Final = 1.5
 """Time from a worker's end to its next start, at the same address."""
 
 
@@ -88,7 +88,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def _crash_soon(self) -> None:
-        asyncio.get_running_loop().call_later(CRASH_AFTER_S, self.crash)
+        asyncio.get_running_loop().call_later(CRASH_DELAY_S, self.crash)
 
     async def _go_down(self) -> None:
         self.crashed_s.append(time.monotonic())
@@ -98,8 +98,8 @@
             for connection in list(self._runner.server.connections):
                 if connection.transport is not None:
                     connection.transport.abort()
-        await asyncio.sleep(DOWN_S)
-        self.worker.start_again()
+        await asyncio.sleep(RESTART_DELAY_S)
+        self.worker.restart()
         await self._listen()
         self._on_start()
 
--- a/src/trefoilpaddle/standins/platform/demo.py
+++ b/src/trefoilpaddle/standins/platform/demo.py
@@ -15,7 +15,7 @@
 N_REQUESTS: Final = 40
 """Requests of each round; enough that stages of several share calls."""
 
-LOOK_S: Final = 0.05
+POLL_S: Final = 0.05
 OK_STATUS: Final = 200
 
 
@@ -32,14 +32,14 @@
             console.print(f"2 gateways and {len(site.workers)} workers are ready")
             n_faulty = await _round(console, site, client, first, "calm")
             second.signal(signal.SIGKILL)
-            await second.ended()
+            await second.wait_exit()
             n_faulty += await _round(console, site, client, first, "one killed")
             second.start()
             await second.wait_ready(client)
             await _wait_for_workers(site, (second,))
             first.signal(signal.SIGTERM)
             n_faulty += await _round(console, site, client, second, "one stops")
-            code = await first.ended()
+            code = await first.wait_exit()
             console.print(f"the stopped one ended with code {code}")
     return 1 if n_faulty or code else 0
 
@@ -83,7 +83,7 @@
     """Wait until each gateway has seen all workers."""
     for gateway in started:
         while not _has_seen(gateway, site):  # noqa: ASYNC110 - its log tells of it
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
 
 def _has_seen(gateway: GatewayProcess, site: Site) -> bool:
--- a/src/trefoilpaddle/standins/platform/gateway_process.py
+++ b/src/trefoilpaddle/standins/platform/gateway_process.py
@@ -19,10 +19,10 @@
 ROOT: Final = Path(__file__).resolve().parents[4]
 """Of the repository, where the platform starts its programs."""
 
-CAP_S: Final = 30.0
+PROCESS_TIMEOUT_S: Final = 30.0
 """Longest wait for a process to be ready, or to end."""
 
-LOOK_S: Final = 0.02
+POLL_S: Final = 0.02
 N_PORTS: Final = 4
 OK_STATUS: Final = 200
 
@@ -122,20 +122,20 @@
         if self.run is not None:
             self.run.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_exit(self) -> int:
         """Return its exit code once it has ended.
 
         Raises
         ------
         TimeoutError
-            If it still runs after ``CAP_S``.
+            If it still runs after ``PROCESS_TIMEOUT_S``.
         """
         run = self.run
         if run is None:
             return 0
-        async with asyncio.timeout(CAP_S):
+        async with asyncio.timeout(PROCESS_TIMEOUT_S):
             while run.poll() is None:  # noqa: ASYNC110 - no event tells of it
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
         return run.returncode
 
     def kill(self) -> None:
@@ -165,16 +165,16 @@
         ChildProcessError
             If it ends before, with the last line of its log.
         TimeoutError
-            If it is not ready after ``CAP_S``.
+            If it is not ready after ``PROCESS_TIMEOUT_S``.
         """
-        async with asyncio.timeout(CAP_S):
+        async with asyncio.timeout(PROCESS_TIMEOUT_S):
             while not await self.is_ready(client):
                 if self.run is not None and self.run.poll() is not None:
                     raise ChildProcessError(
                         f"{self.host} ended with {self.run.returncode} before it was"
                         f" ready: {self._last_words()}"
                     )
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     def _last_words(self) -> str:
         """Return the last line of its log that names an error, or else the last."""
--- a/src/trefoilpaddle/standins/platform/site.py
+++ b/src/trefoilpaddle/standins/platform/site.py
@@ -169,7 +169,7 @@
         self.workers[worker_id] = worker
         self.list_worker(worker_id, service, domain=domain)
 
-    async def add_crashing(
+    async def add_crashing_worker(
         self, worker_id: str, service: str, *, marker: bytes, **fields: Any
     ) -> CrashingServer:
         """Start and list a worker that requests with a marker end."""
--- a/src/trefoilpaddle/standins/platform/store.py
+++ b/src/trefoilpaddle/standins/platform/store.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class StoreCopy:
+class StoreBackup:
     """What the store held at some moment.
 
     Parameters
@@ -100,18 +100,18 @@
         """Return the keys of all items."""
         return list(self._items)
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Lose all that watches could still ask for."""
         self._forgotten = self.revision
         self._events.clear()
 
-    def copy(self) -> StoreCopy:
+    def take_backup(self) -> StoreBackup:
         """Return what it holds now."""
-        return StoreCopy(
+        return StoreBackup(
             revision=self.revision, items=dict(self._items), events=list(self._events)
         )
 
-    def return_from(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreBackup) -> None:
         """Come back with what a copy holds; all that was written since is gone."""
         self.era += 1
         self.revision = copy.revision
--- a/src/trefoilpaddle/standins/platform/worker.py
+++ b/src/trefoilpaddle/standins/platform/worker.py
@@ -11,7 +11,7 @@
 
 from ..faults import Faults
 from ..record import Record
-from ..web import cut_off, faulty_application, json_answer
+from ..web import abort_connection, faulty_application, json_answer
 
 SEAL: Final = "Trefoilpaddle-Server-Seal"
 ATTEMPT: Final = "Trefoilpaddle-Attempt-Id"
@@ -48,7 +48,7 @@
         Unix time of its present start, in milliseconds.
     held : set of str
         Handles of the results that it holds.
-    break_off : bool
+    interrupts_answers : bool
         Breaks connections instead of answering, after it has run the request.
     ran : list of str
         Ids of the requests that it ran, one for each time.
@@ -70,11 +70,11 @@
         "_numbers",
         "address",
         "born_ms",
-        "break_off",
         "faults",
         "freed",
         "headers",
         "held",
+        "interrupts_answers",
         "marked_s",
         "marker",
         "n_busy",
@@ -98,7 +98,7 @@
         self.address = ""
         self.born_ms = int(time.time() * 1000)
         self.held: set[str] = set()
-        self.break_off = False
+        self.interrupts_answers = False
         self.marker = b""
         self.marked_s: list[float] = []
         self.on_marked: Callable[[], None] = _nothing
@@ -113,7 +113,7 @@
         self.n_busy = 0
         self._numbers = itertools.count()
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Begin a new lifetime under the same id: what it held is gone."""
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
         self.held.clear()
@@ -150,8 +150,8 @@
         headers = {ATTEMPT: request_id, SEAL: f"{self.worker_id}.{request_id}"}
         if not self.n_events:
             await asyncio.sleep(self.work_s)
-            if self.break_off:
-                cut_off(request)
+            if self.interrupts_answers:
+                abort_connection(request)
             return web.Response(body=request_id.encode(), headers=headers)
         headers["Content-Type"] = "text/event-stream"
         answer = web.StreamResponse(headers=headers)
@@ -159,8 +159,8 @@
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
         for number in range(first, self.n_events + 1):
             await asyncio.sleep(self.work_s)
-            if self.break_off:
-                cut_off(request)
+            if self.interrupts_answers:
+                abort_connection(request)
                 return answer
             await answer.write(f"id: {number}\ndata: {request_id}\n\n".encode())
         await answer.write_eof()
--- a/src/trefoilpaddle/standins/running.py
+++ b/src/trefoilpaddle/standins/running.py
@@ -15,8 +15,8 @@
 from .description import Description
 from .layout import Layout
 
-START_S: Final = 90.0
-STOP_S: Final = 60.0
+START_TIMEOUT_S: Final = 90.0
+STOP_TIMEOUT_S: Final = 60.0
 _LOOK_S: Final = 0.05
 _CUT_OFF: Final = re.compile(r'n_cut_off["=: ]+(\d+)')
 
@@ -153,7 +153,7 @@
         """End a process with SIGTERM and return its exit code."""
         child = self.children[name]
         child.send(signal.SIGTERM)
-        return await child.wait(timeout_s=STOP_S)
+        return await child.wait(timeout_s=STOP_TIMEOUT_S)
 
     async def start(self, name: str) -> None:
         """Start a process that has ended; return when it answers.
@@ -162,7 +162,7 @@
         revisions that it had; so would those with a disk.
         """
         child = self.children[name]
-        await child.wait(timeout_s=STOP_S)
+        await child.wait(timeout_s=STOP_TIMEOUT_S)
         child.start()
         await self.wait_ready([name])
         match name:
@@ -244,7 +244,9 @@
         async with self._session.put(url, json={"hosts": hosts}) as answer:
             answer.raise_for_status()
 
-    async def wait_ready(self, names: list[str], *, timeout_s: float = START_S) -> None:
+    async def wait_ready(
+        self, names: list[str], *, timeout_s: float = START_TIMEOUT_S
+    ) -> None:
         """Return when all named processes answer that they are ready.
 
         Raises
--- a/src/trefoilpaddle/standins/web.py
+++ b/src/trefoilpaddle/standins/web.py
@@ -83,7 +83,7 @@
     return app
 
 
-def cut_off(request: web.Request) -> None:
+def abort_connection(request: web.Request) -> None:
     """Break the connection of `request` without a closing handshake."""
     if request.transport is not None:
         request.transport.abort()
--- a/src/trefoilpaddle/standins/written_settings.py
+++ b/src/trefoilpaddle/standins/written_settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from .description import Description
-from .layout import GatewayPlace, Layout, TargetPlace
+from .layout import GatewayLayout, Layout, TargetLayout
 
 Value = str | bool | int | float | list[str]
 Table = Mapping[str, Value]
@@ -31,7 +31,7 @@
 
 
 def gateway_settings(
-    place: GatewayPlace, description: Description, layout: Layout, change: Overrides
+    place: GatewayLayout, description: Description, layout: Layout, change: Overrides
 ) -> str:
     """Return the TOML text of a gateway's settings."""
     process: Table = {
@@ -46,7 +46,7 @@
 
 
 def sidecar_settings(
-    place: TargetPlace, description: Description, layout: Layout, change: Overrides
+    place: TargetLayout, description: Description, layout: Layout, change: Overrides
 ) -> str:
     """Return the TOML text of the settings of a target's sidecar."""
     process: Table = {
--- a/tests/platform_adapter/crash_harness.py
+++ b/tests/platform_adapter/crash_harness.py
@@ -191,7 +191,7 @@
             ):
                 is_marked = (service in ("stock", "model")) is not crashes_stages
                 servers.append(
-                    await site.add_crashing(
+                    await site.add_crashing_worker(
                         f"{service}{number}",
                         service,
                         marker=MARKER if is_marked else b"",
--- a/tests/platform_adapter/test_gateway_process.py
+++ b/tests/platform_adapter/test_gateway_process.py
@@ -213,7 +213,7 @@
                 gateway.signal(signal.SIGTERM)
                 rest = await answer.read()
                 assert event_numbers(rest)[-1] == 5
-            assert await gateway.ended() == 0
+            assert await gateway.wait_exit() == 0
             assert "n_cut_off=0" in gateway.log()
 
     async def test_waiting_requests_are_refused_before_the_kill(
@@ -260,7 +260,7 @@
             outcomes = await asyncio.gather(*drafts, return_exceptions=True)
             assert (503, True) in outcomes
             assert set(outcomes) <= {(200, False), (503, True)}
-            assert await gateway.ended() == 0
+            assert await gateway.wait_exit() == 0
             assert "n_cut_off=0" in gateway.log()
             refused = {
                 f"d{n}" for n, outcome in enumerate(outcomes) if outcome == (503, True)
@@ -308,7 +308,7 @@
             await asyncio.sleep(0.1)
             gateway.signal(signal.SIGTERM)
             async with asyncio.timeout(GRACE_S):
-                assert await gateway.ended() == 0
+                assert await gateway.wait_exit() == 0
             writer.close()
 
     async def test_a_paused_gateway_does_not_delay_the_stop(
@@ -327,7 +327,7 @@
             paused.signal(signal.SIGSTOP)
             gateway.signal(signal.SIGTERM)
             async with asyncio.timeout(GRACE_S):
-                assert await gateway.ended() == 0
+                assert await gateway.wait_exit() == 0
 
     async def test_sighup_does_not_end_the_process(self, tmp_path: Path) -> None:
         async with (
@@ -348,7 +348,7 @@
         ):
             await until(lambda: "retrieve1" in gateway.log())
             gateway.signal(signal.SIGTERM)
-            ending = asyncio.create_task(gateway.ended())
+            ending = asyncio.create_task(gateway.wait_exit())
             while not ending.done():
                 gateway.signal(signal.SIGHUP)
                 await asyncio.sleep(0.0005)
@@ -365,7 +365,7 @@
         ):
             await until(lambda: "retrieve1" in gateway.log())
             gateway.signal(signal.SIGTERM)
-            ending = asyncio.create_task(gateway.ended())
+            ending = asyncio.create_task(gateway.wait_exit())
             while not ending.done():
                 gateway.signal(signal.SIGTERM)
                 await asyncio.sleep(0.0005)
@@ -383,7 +383,7 @@
             await until(lambda: "retrieve1" in gateway.logs[-1].read_text())
             gateway.signal(signal.SIGTERM)
             async with asyncio.timeout(grace_s):
-                assert await gateway.ended() == 0
+                assert await gateway.wait_exit() == 0
 
 
 class TestFaults:
@@ -400,7 +400,7 @@
             async with client.post(f"{gateway.url}/draft/1", headers=sent) as answer:
                 body = await answer.content.readany()
                 used = next(w for w in site.workers.values() if "d1" in w.ran)
-                used.break_off = True
+                used.interrupts_answers = True
                 body += await answer.read()
             assert event_numbers(body) == [1, 2, 3, 4, 5]
 
@@ -416,7 +416,7 @@
         ):
             await until(lambda: "stock2" in gateway.log())
             for worker_id in ("stock1", "stock2"):
-                site.workers[worker_id].break_off = True
+                site.workers[worker_id].interrupts_answers = True
             sent = headers("h1")
             async with client.post(f"{gateway.url}/hold/1", headers=sent) as answer:
                 assert answer.status == 502
--- a/tests/platform_adapter/test_store_client.py
+++ b/tests/platform_adapter/test_store_client.py
@@ -47,9 +47,9 @@
     async def test_each_response_contains_its_era(self) -> None:
         store = filled()
         async with opened(store) as client:
-            store.return_from(store.copy())
+            store.restore_from(store.take_backup())
             assert (await client.snapshot()).unwrap().position.era == 1
-            store.return_from(store.copy())
+            store.restore_from(store.take_backup())
             store.put("servers/w2", entry("stock", "127.0.0.1:2"))
             after = StorePosition(era=1, revision=2)
             changes = (await client.changes(after)).unwrap()
@@ -59,10 +59,10 @@
     async def test_a_response_to_an_unknown_revision_contains_the_era(self) -> None:
         # When this counted as lost history only, each gateway listed the whole store.
         store = filled()
-        backup = store.copy()
+        backup = store.take_backup()
         store.put("servers/w2", entry("stock", "127.0.0.1:2"))
         async with opened(store) as client:
-            store.return_from(backup)
+            store.restore_from(backup)
             answer = await client.changes(StorePosition(revision=3))
             assert answer == Ok(StoreChanges(position=StorePosition(era=1)))
             answer = await client.changes(StorePosition(era=1, revision=3))
--- a/tests/platform_adapter/test_store_returns.py
+++ b/tests/platform_adapter/test_store_returns.py
@@ -47,7 +47,7 @@
             aiohttp.ClientSession() as client,
         ):
             store = site.store
-            backup = store.copy()
+            backup = store.take_backup()
             store.put(TABLE_KEY, configuration(2))
             store.remove("servers/stock2")
             for _ in range(5):
@@ -56,7 +56,7 @@
             await until(lambda: all("peer=stock2" in g.log() for g in every))
             store.is_refusing = True
             await asyncio.sleep(UNAVAILABLE_S)
-            store.return_from(backup)
+            store.restore_from(backup)
             await site.add_worker("stock3", "stock")
             for _ in range(12):
                 site.list_worker("stock1", "stock")
--- a/tests/soak/soak_returns.py
+++ b/tests/soak/soak_returns.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from trefoilpaddle.standins.platform.site import Site
-from trefoilpaddle.standins.platform.store import StoreCopy
+from trefoilpaddle.standins.platform.store import StoreBackup
 
 COPIES_S: Final = 0.25
 N_COPIES: Final = 40
@@ -38,7 +38,7 @@
     def __init__(self, *, site: Site, rng: random.Random) -> None:
         self._store = site.store
         self._rng = rng
-        self._copies: list[StoreCopy] = []
+        self._copies: list[StoreBackup] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.said: dict[str, object] = {}
 
@@ -67,15 +67,15 @@
         n_before = min(len(self._copies), 1 + int(age_s / COPIES_S))
         if not n_before:
             return
-        self._store.return_from(self._copies[-n_before])
-        self._copies = [self._store.copy()]
+        self._store.restore_from(self._copies[-n_before])
+        self._copies = [self._store.take_backup()]
         task = asyncio.create_task(self._write_again(self._store.era))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _copy(self) -> None:
         while True:
-            self._copies.append(self._store.copy())
+            self._copies.append(self._store.take_backup())
             del self._copies[:-N_COPIES]
             await asyncio.sleep(COPIES_S)
 
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -149,7 +149,7 @@
     async def restart_worker(self, service: str) -> None:
         """Crash the newest worker of a service and start it under the same id."""
         worker_id = self.by_service[service][-1]
-        self.site.workers[worker_id].start_again()
+        self.site.workers[worker_id].restart()
         self.relays[worker_id].cut()
         await asyncio.sleep(BORN_S)
         self.list_again(worker_id, service)
@@ -249,9 +249,9 @@
                 return None
             case BreakAnswers(service=service, for_s=for_s):
                 worker = site.site.workers[site.by_service[service][-1]]
-                worker.break_off = True
+                worker.interrupts_answers = True
                 await asyncio.sleep(for_s)
-                worker.break_off = False
+                worker.interrupts_answers = False
                 return None
             case ReplaceWorker(service=service, says_so=says_so):
                 await site.replace_worker(service, says_so=says_so)
@@ -273,7 +273,7 @@
                 site.site.store.is_refusing = False
                 return None
             case ForgetHistory():
-                site.site.store.forget_history()
+                site.site.store.discard_history()
                 return None
             case ReturnStore(for_s=for_s, age_s=age_s):
                 site.site.store.is_refusing = True
@@ -302,10 +302,10 @@
         gateway.signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(GRACE_S):
-                await gateway.ended()
+                await gateway.wait_exit()
         # One that is gone already, though this process did not look, is not killed.
         gateway.kill()
-        code = await gateway.ended()
+        code = await gateway.wait_exit()
         if code == -signal.SIGKILL:
             record.problems.append(f"g{number} was not gone within its grace")
         elif code and not (is_early and code == -signal.SIGTERM):
