--- a/src/trefoilpaddle/standins/batching.py
+++ b/src/trefoilpaddle/standins/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching: one loop that decodes a token of each prompt a step."""
+"""Continuous batching: each step decodes one token of every running prompt."""
 
 import asyncio
 import contextlib
@@ -20,28 +20,29 @@
 from .pace import Pace
 from .prefix_cache import PrefixCache
 
+# Longest delay of the step schedule that the following steps still catch up.
 _MAX_LATE_S: Final = 0.25
 _MIN_SLEEP_S: Final = 0.001
 
 
 @checked_dataclass(slots=True, kw_only=True, config=STRICT)
 class BatchModel:
-    """How long a step takes and how much fits in it.
+    """Duration of a step and capacity of the batch.
 
     Parameters
     ----------
     max_batch : int
-        Prompts that are worked on at once.
+        Largest number of prompts that run at once.
     max_waiting : int
-        Prompts that may wait.
+        Largest number of prompts in the queue.
     step_base_s : float
         Time of a step with an empty batch.
     step_per_prompt_s : float
-        Added for each prompt that decodes.
+        Time added for each prompt that is decoding.
     prefill_per_token_s : float
-        Added for each prompt token worked in that was not cached.
+        Time added for each prompt token that is prefilled, as it was not cached.
     prefill_chunk : int
-        Most prompt tokens worked in a step.
+        Largest number of prompt tokens that are prefilled in one step.
     """
 
     max_batch: int = 8
@@ -54,25 +55,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BatchLoad:
-    """Prompts of an engine at one moment."""
+    """Running and waiting prompts of an engine at one moment."""
 
     n_running: int = 0
     n_waiting: int = 0
 
 
 class Batch:
-    """Runs generations together, step by step.
+    """Runs generations as one batch, step by step.
 
     Parameters
     ----------
     model : BatchModel
-        How long steps take.
+        Duration of steps and capacity of the batch.
     cache : PrefixCache
-        Prompt blocks that need no prefill.
+        Blocks of prompts that need no prefill.
     pace : Pace
-        Scales steps.
+        Scales the duration of steps.
     faults : Faults
-        May pause it.
+        Faults that are set; a pause stops the steps.
     """
 
     __slots__ = (
@@ -102,21 +103,21 @@
 
     @property
     def is_full(self) -> bool:
-        """Return True if no further prompt may wait."""
+        """Return True if the queue has no space for a further prompt."""
         return len(self._waiting) >= self._model.max_waiting
 
     def add(self, generation: Generation) -> None:
-        """Let `generation` wait for its place in the batch."""
-        place = (generation.priority, next(self._arrivals), generation)
-        heapq.heappush(self._waiting, place)
+        """Queue `generation` until the batch has a free slot."""
+        queued = (generation.priority, next(self._arrivals), generation)
+        heapq.heappush(self._waiting, queued)
         self._has_work.set()
-        self._note_load()
+        self._record_load()
 
     @contextlib.asynccontextmanager
     async def stepping(self) -> AsyncIterator[None]:
         """Run steps while the context is open."""
-        task = asyncio.create_task(self._steps())
-        task.add_done_callback(_report)
+        task = asyncio.create_task(self._run_steps())
+        task.add_done_callback(_raise_loop_error)
         try:
             yield
         finally:
@@ -124,7 +125,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await task
 
-    async def _steps(self) -> None:
+    async def _run_steps(self) -> None:
         step_end_s = time.monotonic()
         while True:
             self._admit()
@@ -141,7 +142,7 @@
             self._finish_step(step_s, prefills)
 
     def _admit(self) -> None:
-        """Fill the batch by priority, then arrival; drop what has ended."""
+        """Fill the batch by priority, then arrival; drop ended ones."""
         self._running = [each for each in self._running if not each.has_ended]
         while self._waiting and len(self._running) < self._model.max_batch:
             _, _, generation = heapq.heappop(self._waiting)
@@ -151,15 +152,15 @@
             generation.n_cached_tokens = n_cached
             generation.n_prefill_left = generation.n_prompt_tokens - n_cached
             self._running.append(generation)
-        self._note_load()
+        self._record_load()
 
     def _prefills(self) -> Iterator[tuple[Generation, int]]:
-        """Yield who has prompt tokens worked in this step, and how many."""
-        left = self._model.prefill_chunk
+        """Yield each generation prefilled in this step and its number of tokens."""
+        n_left = self._model.prefill_chunk
         for generation in self._running:
-            n_tokens = min(left, generation.n_prefill_left)
+            n_tokens = min(n_left, generation.n_prefill_left)
             if n_tokens > 0:
-                left -= n_tokens
+                n_left -= n_tokens
                 yield generation, n_tokens
 
     def _step_s(self, prefills: list[tuple[Generation, int]]) -> float:
@@ -191,7 +192,7 @@
     def _share_cost(
         self, step_s: float, prefills: list[tuple[Generation, int]]
     ) -> None:
-        """Charge each prompt the part of the step that it caused."""
+        """Charge each prompt the part of the step's time that it caused."""
         model = self._model
         weights = {id(each): model.step_per_prompt_s for each in self._running}
         for generation, n_tokens in prefills:
@@ -202,13 +203,16 @@
             part = (base_s + weights[id(generation)]) / total_s
             generation.run.cost_s += step_s * part
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         load = BatchLoad(n_running=len(self._running), n_waiting=len(self._waiting))
         if load != self.load.latest:
             self.load.set(load)
 
 
-def _report(task: "asyncio.Task[None]") -> None:
-    """Tell of a loop that broke; its engine would look alive and never answer."""
+def _raise_loop_error(task: "asyncio.Task[None]") -> None:
+    """Raise the error of a failed step loop.
+
+    Otherwise the engine would seem healthy but never answer.
+    """
     if not task.cancelled() and (error := task.exception()) is not None:
         raise error
--- a/src/trefoilpaddle/standins/calls.py
+++ b/src/trefoilpaddle/standins/calls.py
@@ -1,4 +1,4 @@
-"""Stand-in for a pool of encoders, retrievers or rerankers, and a plain service."""
+"""Stand-in for targets of a pool (encoder, retriever, reranker) or a plain service."""
 
 import asyncio
 import contextlib
@@ -25,25 +25,25 @@
 
 @checked_dataclass(slots=True, kw_only=True, config=STRICT)
 class CallModel:
-    """How a pool or plain service works.
+    """Behaviour of a target of a pool or a plain service.
 
     Parameters
     ----------
     n_slots : int
-        Calls that run at once; the rest wait in order of arrival.
+        Number of calls that run at once; the rest wait in order of arrival.
     base_s : float
         Service time of an empty input.
     s_per_kb : float
         Service time for each 1024 bytes of input.
     max_waiting : int
-        Calls that may wait; more are refused as not run.
+        Largest number of waiting calls; further ones are refused as not run.
     once_paths : tuple of str
         Paths whose calls have an effect that must happen at most once; these
-        run on when the caller leaves.
+        calls continue when the caller disconnects.
     reports_load : bool
-        Whether ``GET /load`` answers.
+        Whether ``GET /load`` is served.
     load_lag_s : float
-        How late the load is reported.
+        Delay with which the load is reported.
     time_scale, jitter, seed
         See `Pace`.
     """
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """Calls of a target at one moment."""
+    """Running and waiting calls of a target at one moment."""
 
     n_running: int = 0
     n_waiting: int = 0
@@ -74,9 +74,9 @@
     Parameters
     ----------
     model : CallModel
-        How it works.
+        Service times, slots and queue.
     name : str
-        Name of the target, told in answers' ``X-Target``.
+        Name of the target, sent in the header ``X-Target``.
     """
 
     __slots__ = (
@@ -106,7 +106,7 @@
         self._load = Lagged(initial=LoadReport())
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the target."""
         app = faulty_application(faults=self.faults, record=self.record)
         if self.model.reports_load:
             app.router.add_get("/load", self._get_load)
@@ -114,13 +114,13 @@
         return app
 
     async def _get_load(self, _: web.Request) -> web.Response:
-        seen_s = self.faults.visible_s(self.model.load_lag_s)
-        load = self._load.at(seen_s)
+        reported_s = self.faults.visible_s(self.model.load_lag_s)
+        load = self._load.at(reported_s)
         return json_answer(
             {
                 "n_running": load.n_running,
                 "n_waiting": load.n_waiting,
-                "age_s": time.monotonic() - seen_s,
+                "age_s": time.monotonic() - reported_s,
             }
         )
 
@@ -130,7 +130,7 @@
             return not_run(f"{self.name} has {len(self._waiting)} calls waiting")
         if request.path not in self.model.once_paths:
             return await self._run(request, body)
-        # The effect goes on when the caller leaves, as it would in a database.
+        # The effect is completed even if the caller disconnects, as in a database.
         return await asyncio.shield(asyncio.ensure_future(self._run(request, body)))
 
     async def _run(self, request: web.Request, body: bytes) -> web.StreamResponse:
@@ -169,15 +169,15 @@
         if self._n_running >= self.model.n_slots:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiting.append(turn)
-            self._note_load()
+            self._record_load()
             try:
                 await turn
             except asyncio.CancelledError:
-                self._give_up(turn)
+                self._abandon_turn(turn)
                 raise
         else:
             self._n_running += 1
-        self._note_load()
+        self._record_load()
         try:
             yield
         finally:
@@ -187,7 +187,7 @@
         are_slots_taken = self._n_running >= self.model.n_slots
         return are_slots_taken and len(self._waiting) >= self.model.max_waiting
 
-    def _give_up(self, turn: "asyncio.Future[None]") -> None:
+    def _abandon_turn(self, turn: "asyncio.Future[None]") -> None:
         if turn.done() and not turn.cancelled():
             self._free_slot()
         elif turn in self._waiting:
@@ -198,12 +198,12 @@
             turn = self._waiting.popleft()
             if not turn.done():
                 turn.set_result(None)
-                self._note_load()
+                self._record_load()
                 return
         self._n_running -= 1
-        self._note_load()
+        self._record_load()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         load = LoadReport(n_running=self._n_running, n_waiting=len(self._waiting))
         self._load.set(load)
 
--- a/src/trefoilpaddle/standins/child.py
+++ b/src/trefoilpaddle/standins/child.py
@@ -1,4 +1,4 @@
-"""One process that a run starts, stops, kills and freezes."""
+"""A child process that a run starts, stops, kills and suspends."""
 
 import asyncio
 import ctypes
@@ -11,31 +11,32 @@
 from pathlib import Path
 from typing import Final
 
-_LOOK_S: Final = 0.02
+_POLL_S: Final = 0.02
 _PR_SET_PDEATHSIG: Final = 1
 _SOURCES: Final = Path(__file__).resolve().parents[2]
 
 
 def _die_with_parent() -> None:
-    """Have the kernel kill this process when the one that started it dies.
+    """Have the kernel kill this process when its parent dies.
 
-    Without it a test that is killed leaves a whole deployment running.
+    Without this, a test that is killed leaves all processes of its deployment
+    running.
     """
     if sys.platform == "linux":
         ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Child:
-    """A process, started again after it ended if asked to.
+    """A process that can be started again after it has exited.
 
     Parameters
     ----------
     name : str
-        Its name in the run.
+        Name of the process in the run.
     arguments : sequence of str
         Arguments of the Python interpreter.
     log : Path
-        Takes its output.
+        File that receives its output.
     """
 
     __slots__ = ("_arguments", "_process", "log", "name")
@@ -53,12 +54,12 @@
 
     @property
     def exit_code(self) -> int | None:
-        """Return how it ended, negative for a signal; None while it runs."""
+        """Return the exit code, negative for a signal; None while it runs."""
         return self._process.poll() if self._process else None
 
     @property
     def is_running(self) -> bool:
-        """Return True while the process exists, frozen or not."""
+        """Return True while the process exists, suspended or not."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
@@ -67,10 +68,10 @@
         Raises
         ------
         RuntimeError
-            If it runs already.
+            If it is already running.
         """
         if self.is_running:
-            raise RuntimeError(f"{self.name} runs already as process {self.pid}")
+            raise RuntimeError(f"{self.name} is already running as process {self.pid}")
         paths = [str(_SOURCES), os.environ.get("PYTHONPATH", "")]
         environment = os.environ | {
             "PYTHONPATH": os.pathsep.join(path for path in paths if path),
@@ -87,24 +88,24 @@
                 preexec_fn=_die_with_parent,
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process if it runs."""
         if self._process is not None and self.is_running:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
     async def wait(self, *, timeout_s: float) -> int:
-        """Return the exit code once it has ended.
+        """Return the exit code once the process has exited.
 
         Raises
         ------
         TimeoutError
-            If it still runs after `timeout_s`.
+            If it is still running after `timeout_s`.
         """
         end_s = time.monotonic() + timeout_s
         while (code := self.exit_code) is None:
             if time.monotonic() > end_s:
-                raise TimeoutError(f"{self.name} still runs after {timeout_s} s")
-            await asyncio.sleep(_LOOK_S)
+                raise TimeoutError(f"{self.name} is still running after {timeout_s} s")
+            await asyncio.sleep(_POLL_S)
         return code
 
     def tail(self, n_lines: int = 20) -> str:
--- a/src/trefoilpaddle/standins/commands.py
+++ b/src/trefoilpaddle/standins/commands.py
@@ -1,4 +1,4 @@
-"""Commands that run one stand-in each, as a process of its own, and the demo."""
+"""Commands that run a stand-in as a separate process, and the demos."""
 
 import dataclasses
 import sys
@@ -26,7 +26,7 @@
 
 
 def _names(value: object) -> tuple[str, ...]:
-    """Return the names that fire read from ``a,b`` as text or as a tuple."""
+    """Return the names in ``a,b``, which fire parses to a string or a tuple."""
     if isinstance(value, str):
         return tuple(part for part in value.split(",") if part)
     if isinstance(value, Iterable):
@@ -47,7 +47,7 @@
     ) -> None:
         """Run a model engine; parameters are those of EngineModel and BatchModel."""
         if fencing not in _FENCING:
-            raise SystemExit(f"--fencing {fencing}: give checked or ignored")
+            raise SystemExit(f"--fencing {fencing}: must be checked or ignored")
         in_batch = {each.name for each in dataclasses.fields(BatchModel)}
         batch = {key: value for key, value in parameters.items() if key in in_batch}
         rest = {key: value for key, value in parameters.items() if key not in in_batch}
--- a/src/trefoilpaddle/standins/config.py
+++ b/src/trefoilpaddle/standins/config.py
@@ -1,4 +1,4 @@
-"""Stand-in for the configuration service: read and watched only, at a rate."""
+"""Stand-in for the configuration service: reads and watches with a rate limit."""
 
 import asyncio
 import time
@@ -13,22 +13,22 @@
 from .revisions import MAX_VALUE_BYTES, Revisions
 from .web import faulty_application, json_answer
 
-_LOOK_S: Final = 0.05
+_POLL_S: Final = 0.05
 _MAX_WATCH_S: Final = 60.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Reads:
-    """Calls of readers since the start; a waiting watch is one.
+    """Counts of readers' calls since the start; a waiting watch counts as one.
 
     Parameters
     ----------
     n_reads, n_watches : int
-        Calls that were let through.
+        Calls that were admitted.
     n_refused : int
-        Calls over the rate.
+        Calls that exceeded the rate.
     n_bytes : int
-        Bytes of values answered.
+        Bytes of values that were sent.
     """
 
     n_reads: int = 0
@@ -43,20 +43,20 @@
     Parameters
     ----------
     start_revision : int
-        Revision before the first change; an older one than before plays a
-        service that came back from an old copy.
+        Revision before the first change. A lower one than before simulates a
+        service that was restored from an old backup.
     reads_per_s : float
-        Calls that all readers together may make.
+        Rate limit for all readers together, in calls per second.
     lag_s : float
-        How late a change is published.
+        Delay with which a change is published.
     """
 
     __slots__ = (
-        "_allowance",
-        "_allowance_s",
         "_changed",
         "_lag_s",
         "_reads_per_s",
+        "_refilled_s",
+        "_tokens",
         "faults",
         "reads",
         "record",
@@ -76,13 +76,13 @@
         self.revisions = Revisions(start=start_revision)
         self._reads_per_s = reads_per_s
         self._lag_s = lag_s
-        self._allowance = reads_per_s
-        self._allowance_s = time.monotonic()
+        self._tokens = reads_per_s
+        self._refilled_s = time.monotonic()
         self._changed = asyncio.Event()
-        self.faults.subscribe(self._tell)
+        self.faults.subscribe(self._notify_watches)
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the configuration service."""
         app = faulty_application(faults=self.faults, record=self.record)
         app.router.add_get("/v1/values", self._get_values)
         app.router.add_get("/v1/watch", self._get_watch)
@@ -95,18 +95,18 @@
         """Publish `value` under `key`, or delete it if None; return the revision."""
         encoded = b"" if value is None else orjson.dumps(value)
         revision = self.revisions.publish(key, encoded)
-        self._tell()
+        self._notify_watches()
         return revision
 
     async def _get_values(self, request: web.Request) -> web.Response:
-        if not self._has_allowance():
-            return _over_rate()
+        if not self._take_token():
+            return _refuse_over_rate()
         self.reads.n_reads += 1
         return self._answer(_after(request), self._visible())
 
     async def _get_watch(self, request: web.Request) -> web.Response:
-        if not self._has_allowance():
-            return _over_rate()
+        if not self._take_token():
+            return _refuse_over_rate()
         self.reads.n_watches += 1
         after = _after(request)
         end_s = time.monotonic() + _timeout_s(request)
@@ -115,8 +115,9 @@
                 return json_answer({"detail": "down"}, status=503)
             if self._visible() > after:
                 break
-            # A lag or the end of a fault makes a change visible with no event.
-            await _wait(self._changed, min(left_s, _LOOK_S))
+            # The event is not set when a change becomes visible because its lag has
+            # passed or a fault has expired, so the revision is polled.
+            await _wait(self._changed, min(left_s, _POLL_S))
         return self._answer(after, self._visible())
 
     def _answer(self, after: int, until: int) -> web.Response:
@@ -150,18 +151,18 @@
     def _visible(self) -> int:
         return self.revisions.visible(self.faults.visible_s(self._lag_s))
 
-    def _has_allowance(self) -> bool:
+    def _take_token(self) -> bool:
         now = time.monotonic()
-        gained = (now - self._allowance_s) * self._reads_per_s
-        self._allowance = min(self._reads_per_s, self._allowance + gained)
-        self._allowance_s = now
-        if self._allowance < 1.0:
+        gained = (now - self._refilled_s) * self._reads_per_s
+        self._tokens = min(self._reads_per_s, self._tokens + gained)
+        self._refilled_s = now
+        if self._tokens < 1.0:
             self.reads.n_refused += 1
             return False
-        self._allowance -= 1.0
+        self._tokens -= 1.0
         return True
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -185,7 +186,7 @@
         return _MAX_WATCH_S
 
 
-def _over_rate() -> web.Response:
+def _refuse_over_rate() -> web.Response:
     return json_answer(
         {"detail": "over the read rate"}, status=429, headers={"Retry-After": "1"}
     )
--- a/src/trefoilpaddle/standins/demo.py
+++ b/src/trefoilpaddle/standins/demo.py
@@ -1,4 +1,4 @@
-"""Runs a deployment, sends it real inputs, tells why each was served, drains."""
+"""Demo: runs a deployment, sends samples, explains each request and drains."""
 
 import asyncio
 import os
@@ -27,14 +27,14 @@
 
 
 async def demo(*, name: str, is_serving: bool) -> int:
-    """Run the demo on the deployment called `name`; return the exit code.
+    """Run the demo on the deployment `name` and return the exit code.
 
     Parameters
     ----------
     name : str
-        Folder under ``examples``.
+        Name of a folder under ``examples``.
     is_serving : bool
-        True leaves it listening until SIGINT or SIGTERM.
+        True sends no samples and serves until SIGINT or SIGTERM.
     """
     console = Console(highlight=False)
     folder = EXAMPLES / name
@@ -75,17 +75,17 @@
 
 
 async def _send_samples(console: Console, running: Running) -> int:
-    """Send each sample in turn; return how many answers were not whole."""
+    """Send each sample in turn; return the signal_number of faulty answers."""
     n_faulty = 0
     async with aiohttp.ClientSession() as session:
-        for number, sample in enumerate(running.description.samples):
-            gateway = running.gateways[number % len(running.gateways)]
+        for index, sample in enumerate(running.description.samples):
+            gateway = running.gateways[index % len(running.gateways)]
             console.rule(Text(sample.title, style="bold"))
             reply = await _send(console, session, gateway, sample)
             n_faulty += bool(reply.fault)
-            operators = running.layout.gateways[number % len(running.gateways)]
+            operators = running.layout.gateways[index % len(running.gateways)]
             url = running.operators_url(operators.process_id)
-            await _print_why(console, session, url, reply)
+            await _print_explanation(console, session, url, reply)
     return n_faulty
 
 
@@ -112,10 +112,10 @@
     return reply
 
 
-async def _print_why(
+async def _print_explanation(
     console: Console, session: aiohttp.ClientSession, operators_url: str, reply: Reply
 ) -> None:
-    """Print the timeline of a request, or what its headers tell without one."""
+    """Print the timeline of a request, or its answer headers if there is none."""
     url = f"{operators_url}/v1/explain/{reply.request_id}?format=text"
     timeout = aiohttp.ClientTimeout(total=_EXPLAIN_TIMEOUT_S)
     try:
@@ -132,10 +132,10 @@
 
 
 async def _serve(console: Console, running: Running) -> None:
-    """Print how to call it, then wait for a signal."""
+    """Print example calls, then wait for a signal."""
     console.print("Listening; try one of these, and end with Ctrl-C:")
-    for place, sample in enumerate(running.description.samples):
-        gateway = running.gateways[place % len(running.gateways)]
+    for index, sample in enumerate(running.description.samples):
+        gateway = running.gateways[index % len(running.gateways)]
         console.print(f"\n# {sample.title}")
         for line in _curl_lines(gateway, sample):
             console.print(Text(line), soft_wrap=True)
@@ -150,13 +150,13 @@
     )
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     await stopping.wait()
 
 
 def _curl_lines(gateway: str, sample: Sample) -> Iterator[str]:
-    """Yield what to type to send `sample` by hand."""
+    """Yield the shell commands that send `sample`."""
     path = os.path.relpath(EXAMPLES / "inputs" / sample.input)
     headers = [f"-H{name}: {value}" for name, value in headers_of(sample).items()]
     call = ["curl", "-si", *(["-N"] if sample.is_streamed else []), *headers]
@@ -164,13 +164,13 @@
     if not sample.has_minted_id:
         yield shlex.join(call)
         return
-    mint = shlex.join(["curl", "-s", "-XPOST", *headers, f"{gateway}/v1/requests"])
-    yield f"ID=$({mint} | cut -d'\"' -f4)"
+    get_id = shlex.join(["curl", "-s", "-XPOST", *headers, f"{gateway}/v1/requests"])
+    yield f"ID=$({get_id} | cut -d'\"' -f4)"
     yield f'{shlex.join(call)} -H"X-Request-Id: $ID"  # repeat it: it runs once'
 
 
 async def _drain(console: Console, running: Running, n_faulty: int) -> int:
-    """Stop the whole system while it answers; return the demo's exit code."""
+    """Stop all processes while requests are answered; return the exit code."""
     console.rule("Planned stop of every process, while requests are being answered")
     streamed = [each for each in running.description.samples if each.is_streamed]
     async with aiohttp.ClientSession() as session:
@@ -183,10 +183,10 @@
         n_cut_off = await running.drain()
         faults = [fault for each in open_calls if (fault := await each.fault())]
     n_processes = len(running.system_processes())
-    n_whole = len(open_calls) - len(faults)
+    n_complete = len(open_calls) - len(faults)
     console.print(
         f"{n_processes} processes stopped; cut off: {n_cut_off};"
-        f" {n_whole} of {len(open_calls)} open answers came whole"
+        f" {n_complete} of {len(open_calls)} open answers came whole"
     )
     for fault in faults:
         console.print(Text(fault, "red"))
@@ -196,16 +196,16 @@
 
 
 class _OpenCall:
-    """A sample that is being answered.
+    """A streamed sample whose answer is being received.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Sends it.
+        Session that sends the request.
     gateway : str
         Base URL of the gateway.
     sample : Sample
-        What is sent; streamed.
+        Sample to send; its answer is streamed.
     """
 
     __slots__ = ("_task", "has_begun")
@@ -221,7 +221,7 @@
         self._task.add_done_callback(lambda task: self.has_begun.set())
 
     async def fault(self) -> str:
-        """Return why the answer is not whole, empty if it is, once it has ended."""
+        """Wait for the answer and return its fault; empty if it is complete."""
         try:
             return (await self._task).fault
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
--- a/src/trefoilpaddle/standins/description.py
+++ b/src/trefoilpaddle/standins/description.py
@@ -1,4 +1,4 @@
-"""A deployment as described in ``examples/NAME/deployment.toml``."""
+"""Descriptions of deployments, read from ``examples/NAME/deployment.toml``."""
 
 import json
 import tomllib
@@ -22,7 +22,7 @@
 
 @unique
 class CatalogueKind(StrEnum):
-    """Kinds of published keys, in the order in which they can be published."""
+    """Kinds of published keys, in a valid order of publication."""
 
     ACCOUNT = "account"
     SERVICE = "service"
@@ -32,18 +32,18 @@
 
 @dataclass(slots=True, kw_only=True, config=_STRICT)
 class ServiceDescription:
-    """One service's targets.
+    """Targets of one service.
 
     Parameters
     ----------
     name : str
-        As in the catalogue; targets are called ``NAME-1`` and so on.
+        Name in the catalogue; targets are named ``NAME-1`` and so on.
     kind : ServiceKind
-        Which stand-in plays them.
+        Kind of the service, which selects the stand-in.
     n_targets : int
-        How many.
+        Number of targets.
     fencing : Fencing
-        Of engines: whether they refuse orders with an old fencing number.
+        Whether engines refuse orders with an old fencing number.
     stand_in : dict
         Parameters of the stand-in's model.
     """
@@ -66,16 +66,17 @@
     Parameters
     ----------
     title : str
-        What it is, for a person.
+        Title to print.
     pipeline, account, class_of_work : str
-        As in the catalogue.
+        Names in the catalogue.
     input : str
-        File under ``examples/inputs``; JSON if it ends so, else text.
+        File under ``examples/inputs``; JSON if its name ends in ``.json``,
+        otherwise text.
     is_streamed : bool
-        Whether the answer is asked for as a stream.
+        Whether a streamed answer is requested.
     has_minted_id : bool
-        Whether an id is asked for first and sent with the request, so that a
-        retry cannot run it twice.
+        Whether a request id is obtained first and sent with the request, so that
+        a retry cannot run it twice.
     """
 
     title: str
@@ -89,26 +90,26 @@
 
 @dataclass(slots=True, kw_only=True, config=_STRICT)
 class Description:
-    """A deployment: who serves it, and what the demo asks of it.
+    """A deployment: its processes, and the requests of the demo.
 
     Parameters
     ----------
     name : str
         Name of the deployment.
     region : str
-        Where it stands.
+        Region of the deployment.
     failure_domains : tuple of str
-        Targets and gateways are spread over them in turn.
+        Gateways and targets are assigned to them in turn.
     n_gateways : int
-        Entry hosts.
+        Number of gateways, each on its own entry host.
     hosts_lag_s : float
-        How late the host list is.
+        Delay of the host list.
     reads_per_s : float
-        Reads that the configuration service bears.
+        Rate limit of the configuration service, in reads per second.
     services : tuple of ServiceDescription
-        Targets.
+        Services and their targets.
     samples : tuple of Sample
-        What the demo sends.
+        Requests that the demo sends.
     """
 
     name: Name
@@ -120,9 +121,9 @@
     services: Annotated[tuple[ServiceDescription, ...], Field(min_length=1)]
     samples: tuple[Sample, ...] = ()
 
-    def domain(self, place: int) -> str:
-        """Return the failure domain of the process at `place`, counted from 0."""
-        return self.failure_domains[place % len(self.failure_domains)]
+    def domain(self, process_index: int) -> str:
+        """Return the failure domain of a process by its index, counted from 0."""
+        return self.failure_domains[process_index % len(self.failure_domains)]
 
 
 _DESCRIPTION: Final = TypeAdapter(Description)
@@ -134,14 +135,14 @@
     Raises
     ------
     OSError, tomllib.TOMLDecodeError, pydantic.ValidationError
-        If the file is missing or wrong.
+        If the file is missing or invalid.
     """
     table = tomllib.loads((folder / "deployment.toml").read_text())
     return _DESCRIPTION.validate_python(table)
 
 
 def load_catalogue(folder: Path) -> PublishedValues:
-    """Return the values in ``catalogue/*.json`` in an order to publish them in.
+    """Return the values in ``catalogue/*.json`` in a valid order of publication.
 
     Raises
     ------
--- a/src/trefoilpaddle/standins/engine.py
+++ b/src/trefoilpaddle/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine: batches, caches prefixes, streams, resumes."""
+"""Stand-in for a model engine with batching, a prefix cache and resumable streams."""
 
 import asyncio
 import contextlib
@@ -43,30 +43,30 @@
 
 @checked_dataclass(slots=True, kw_only=True, config=STRICT)
 class EngineModel:
-    """How an engine works.
+    """Behaviour of an engine.
 
     Parameters
     ----------
     batch : BatchModel
-        Steps and batch.
+        Duration of steps and capacity of the batch.
     models : tuple of str
-        Models loaded from the start.
+        Models that are loaded at the start.
     is_fenced : bool
         Whether orders with an old fencing number are refused.
     load_s : float
-        Time that loading a model takes.
+        Nominal time to load a model.
     weights_url : str
-        Weight store to load from; empty for none.
+        Base URL of the weight store; empty loads models without one.
     n_cache_blocks : int
-        Blocks that the prefix cache keeps.
+        Capacity of the prefix cache in blocks.
     cache_event_lag_s : float
-        How late cache events are published.
+        Delay with which cache events are published.
     cache_event_gap_share : float
-        Share of cache events that are lost.
+        Share of the cache events that are lost.
     load_lag_s : float
-        How late the load is reported.
+        Delay with which the load is reported.
     resume_s : float
-        How long a stream that nobody reads can be resumed.
+        Time for which a stream without a reader can be resumed.
     time_scale, jitter, seed
         See `Pace`.
     """
@@ -87,12 +87,12 @@
 
 
 class Engine:
-    """A model engine without a model.
+    """A model engine that simulates the work of a model.
 
     Parameters
     ----------
     model : EngineModel
-        How it works.
+        Service times, cache and batch.
     name : str
         Name of the target.
     """
@@ -138,9 +138,9 @@
         self._generations: dict[str, Generation] = {}
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the engine."""
         app = faulty_application(faults=self.faults, record=self.record)
-        app.cleanup_ctx.append(self._running)
+        app.cleanup_ctx.append(self._run_tasks)
         app.router.add_post("/v1/completions", self._post_completion)
         app.router.add_get("/v1/resume/{attempt_id}", self._get_resume)
         app.router.add_post("/v1/cancel/{attempt_id}", self._post_cancel)
@@ -152,7 +152,7 @@
         app.router.add_get("/v1/models", self.orders.get_loaded)
         return app
 
-    async def _running(self, _: web.Application) -> AsyncIterator[None]:
+    async def _run_tasks(self, _: web.Application) -> AsyncIterator[None]:
         sweeper = asyncio.create_task(self._sweep())
         async with self.batch.stepping():
             yield
@@ -161,7 +161,7 @@
             await sweeper
 
     async def _sweep(self) -> None:
-        """Cancel and forget what nobody has read for `resume_s`."""
+        """Cancel and remove generations that had no reader for `resume_s`."""
         while True:
             await asyncio.sleep(min(_SWEEP_S, self.model.resume_s / 2))
             oldest_s = time.monotonic() - self.model.resume_s
@@ -222,7 +222,7 @@
             request,
             generation,
             faults=self.faults,
-            n_sent=_number(request, "from_token"),
+            n_sent=_query_int(request, "from_token"),
             has_cut=False,
         )
 
@@ -251,7 +251,7 @@
 
     async def _get_cache_events(self, request: web.Request) -> web.Response:
         until_s = self.faults.visible_s(self.model.cache_event_lag_s)
-        after = _number(request, "after")
+        after = _query_int(request, "after")
         events = self.cache.events(after=after, until_s=until_s)
         return json_answer(
             {
@@ -268,17 +268,17 @@
         )
 
     async def _get_load(self, _: web.Request) -> web.Response:
-        seen_s = self.faults.visible_s(self.model.load_lag_s)
-        load = self.batch.load.at(seen_s)
+        reported_s = self.faults.visible_s(self.model.load_lag_s)
+        load = self.batch.load.at(reported_s)
         return json_answer(
             {
                 "n_running": load.n_running,
                 "n_waiting": load.n_waiting,
-                "age_s": time.monotonic() - seen_s,
+                "age_s": time.monotonic() - reported_s,
             }
         )
 
 
-def _number(request: web.Request, name: str) -> int:
+def _query_int(request: web.Request, name: str) -> int:
     text = request.query.get(name, "0")
     return int(text) if text.isdigit() else 0
--- a/src/trefoilpaddle/standins/engine_stream.py
+++ b/src/trefoilpaddle/standins/engine_stream.py
@@ -1,4 +1,4 @@
-"""An engine's answers: server-sent events of tokens, or one whole body."""
+"""Answers of an engine: a stream of server-sent events, or one complete body."""
 
 import contextlib
 import time
@@ -22,7 +22,7 @@
 
 
 async def answer_complete(generation: Generation) -> web.Response:
-    """Return the answer once the last token is decoded."""
+    """Return the complete answer once the generation has ended."""
     with _reader(generation):
         while not generation.has_ended:
             await generation.wait_beyond(generation.n_decoded)
@@ -43,18 +43,18 @@
     Parameters
     ----------
     request : web.Request
-        Who reads.
+        Request of the reader.
     generation : Generation
-        What is read.
+        Generation whose tokens are sent.
     faults : Faults
-        May pause it.
+        Faults that are set; a pause stops the stream.
     n_sent : int
-        Tokens that the reader has already.
+        Number of tokens that the reader already has.
     has_cut : bool
-        True breaks the connection halfway; the generation goes on.
+        True aborts the connection halfway; the generation continues.
     """
     response = web.StreamResponse(headers=_HEADERS)
-    cut_at = len(generation.tokens) // 2 if has_cut else None
+    n_before_cut = len(generation.tokens) // 2 if has_cut else None
     with _reader(generation):
         await response.prepare(request)
         while n_sent < generation.n_decoded or not generation.has_ended:
@@ -64,7 +64,7 @@
             if n_ready > n_sent:
                 await response.write(_token_events(generation, n_sent, n_ready))
             n_sent = n_ready
-            if cut_at is not None and n_sent >= cut_at:
+            if n_before_cut is not None and n_sent >= n_before_cut:
                 abort_connection(request)
                 return response
         last = orjson.dumps(_last_event(generation))
--- a/src/trefoilpaddle/standins/faults.py
+++ b/src/trefoilpaddle/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a test or a script sets over HTTP."""
+"""Faults that a test or a script injects over HTTP."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 @unique
 class FaultKind(StrEnum):
-    """What goes wrong."""
+    """Kinds of injected faults."""
 
     SLOW = "slow"
     PAUSE = "pause"
@@ -31,15 +31,15 @@
     Parameters
     ----------
     kind : FaultKind
-        What goes wrong; ``heal`` ends all faults.
+        Kind of the fault; ``heal`` ends all faults.
     factor : float
-        Of ``slow``: multiplies service times.
+        Multiplies service times; for ``slow``.
     duration_s : float
-        How long it lasts; 0 until healed.
+        Duration of the fault; 0 lasts until it is healed.
     share : float
-        Of ``fail`` and ``cut``: share of calls that it hits.
+        Share of the calls that are affected; for ``fail`` and ``cut``.
     lag_s : float
-        Of ``stale``: how late publishing and reports are; 0 freezes them.
+        Delay of published values and reports; 0 freezes them. For ``stale``.
     """
 
     kind: FaultKind
@@ -57,12 +57,12 @@
 
 
 class Faults:
-    """Faults in force at one stand-in.
+    """Active faults of one stand-in.
 
     Parameters
     ----------
     seed : int
-        Of the draws that `share` asks for.
+        Seed of the random draws for `share`.
     """
 
     __slots__ = ("_active", "_listeners", "_random", "_unpaused")
@@ -78,7 +78,7 @@
         self._listeners.append(listener)
 
     def set(self, fault: Fault) -> None:
-        """Put `fault` in force now, or end all of them."""
+        """Activate `fault`, or end all faults if it is ``heal``."""
         if fault.kind is FaultKind.HEAL:
             self._active.clear()
         else:
@@ -93,7 +93,7 @@
 
     @property
     def slow_factor(self) -> float:
-        """Return what multiplies service times now."""
+        """Return the factor that multiplies service times now."""
         active = self._get(FaultKind.SLOW)
         return active.fault.factor if active else 1.0
 
@@ -103,20 +103,20 @@
         return self._get(FaultKind.DOWN) is not None
 
     def has_failure(self) -> bool:
-        """Return True if the call that asks is to fail."""
-        return self._has_drawn(FaultKind.FAIL)
+        """Draw whether the current call fails."""
+        return self._draw(FaultKind.FAIL)
 
     def has_cut(self) -> bool:
-        """Return True if the answer to the call that asks is to be cut off."""
-        return self._has_drawn(FaultKind.CUT)
+        """Draw whether the answer to the current call is interrupted."""
+        return self._draw(FaultKind.CUT)
 
     def visible_s(self, lag_s: float) -> float:
-        """Return the moment whose state is published or reported now.
+        """Return the monotonic time of the state that is published or reported now.
 
         Parameters
         ----------
         lag_s : float
-            Lag without a fault.
+            Delay without a fault.
         """
         active = self._get(FaultKind.STALE)
         now = time.monotonic()
@@ -127,7 +127,7 @@
         return active.begin_s - lag_s
 
     async def wait_unpaused(self) -> None:
-        """Return when no pause is in force; at once without one."""
+        """Wait until no pause is active."""
         while active := self._get(FaultKind.PAUSE):
             left_s = active.end_s - time.monotonic()
             timeout_s = None if left_s == float("inf") else max(0.0, left_s)
@@ -136,7 +136,7 @@
             except TimeoutError:
                 continue
 
-    def _has_drawn(self, kind: FaultKind) -> bool:
+    def _draw(self, kind: FaultKind) -> bool:
         active = self._get(kind)
         return active is not None and self._random.random() < active.fault.share
 
--- a/src/trefoilpaddle/standins/generation.py
+++ b/src/trefoilpaddle/standins/generation.py
@@ -1,4 +1,4 @@
-"""One prompt being answered by an engine, and those who read the answer."""
+"""A generation: a prompt that an engine answers, and the readers of its tokens."""
 
 import asyncio
 import time
@@ -8,20 +8,20 @@
 
 
 class Generation:
-    """Tokens of one prompt, as far as they are decoded.
+    """Progress of one prompt through prefill and decoding.
 
     Parameters
     ----------
     attempt_id : str
-        Id under which it is resumed and cancelled.
+        Id by which the generation is resumed or cancelled.
     prompt : str
-        The prompt.
+        Text of the prompt.
     max_tokens : int
-        Most tokens to decode.
+        Largest number of tokens to decode.
     priority : int
-        The lower, the sooner.
+        Prompts with a lower value start first.
     run : Run
-        Its line in the record.
+        Entry of the generation in the record.
     """
 
     __slots__ = (
@@ -57,23 +57,23 @@
 
     @property
     def has_ended(self) -> bool:
-        """Return True if nothing more will be decoded."""
+        """Return True if no further token will be decoded."""
         return self.run.outcome is not Outcome.RUNNING
 
     @property
     def is_decoding(self) -> bool:
-        """Return True if the prompt is worked in and tokens are being made."""
+        """Return True if the prompt is prefilled and tokens are being decoded."""
         return self.n_prefill_left == 0 and not self.has_ended
 
     def end(self, outcome: Outcome) -> None:
-        """End it and tell its readers; the first end counts."""
+        """Record the outcome and notify the readers; later calls have no effect."""
         if self.has_ended:
             return
         self.run.end(outcome)
         self.notify_readers()
 
     def decode(self) -> None:
-        """Add one token; the last one ends it."""
+        """Decode one token; the last one ends the generation."""
         self.n_decoded += 1
         if self.n_decoded >= len(self.tokens):
             self.end(Outcome.DONE)
@@ -81,14 +81,14 @@
             self.notify_readers()
 
     def notify_readers(self) -> None:
-        """Let those who wait for more look again."""
+        """Resume the readers that wait for further tokens."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def wait_beyond(self, n_tokens: int) -> None:
-        """Return when more than `n_tokens` are decoded, or it has ended."""
+        """Wait until more than `n_tokens` are decoded or the generation has ended."""
         while self.n_decoded <= n_tokens and not self.has_ended:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
--- a/src/trefoilpaddle/standins/hosts.py
+++ b/src/trefoilpaddle/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of live and leaving hosts; it lags."""
+"""Stand-in for the platform's list of live and leaving hosts, published late."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Listing:
-    """The list at one revision, as JSON."""
+    """The host list at one revision; `hosts` is JSON."""
 
     revision: int = 0
     hosts: bytes = b"[]"
@@ -27,7 +27,7 @@
     start_revision : int
         Revision before the first change.
     lag_s : float
-        How late a change is published.
+        Delay with which a change is published.
     """
 
     __slots__ = ("_lag_s", "faults", "listing", "record")
@@ -39,7 +39,7 @@
         self._lag_s = lag_s
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the host list."""
         app = faulty_application(faults=self.faults, record=self.record)
         app.router.add_get("/v1/hosts", self._get_hosts)
         app.router.add_put("/admin/hosts", self._put_hosts)
--- a/src/trefoilpaddle/standins/launcher.py
+++ b/src/trefoilpaddle/standins/launcher.py
@@ -1,4 +1,4 @@
-"""Starts a deployment as separate processes on loopback and ends all of them."""
+"""Runs a deployment as separate processes on loopback addresses."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 from .running import Running
 from .written_settings import Overrides, gateway_settings, sidecar_settings
 
-_END_S: Final = 10.0
+_EXIT_TIMEOUT_S: Final = 10.0
 _PLATFORM: Final = ("config", "hosts", "weights")
 
 
@@ -31,20 +31,20 @@
     time_scale: float = 1.0,
     has_system: bool = True,
 ) -> AsyncIterator[Running]:
-    """Run `description` while the context is open.
+    """Run the deployment `description` while the context is open.
 
     Parameters
     ----------
     description : Description
-        What to run.
+        Deployment to run.
     catalogue : dict of str to dict
-        Values to publish before the system starts.
+        Values that are published before gateways and sidecars start.
     overrides : Overrides, optional
-        Settings changed in every process, such as the policy.
+        Settings that are changed in every process, such as the policy.
     time_scale : float
-        Multiplies all service times of the targets.
+        Factor for all service times of the targets.
     has_system : bool
-        False starts the stand-ins alone.
+        False starts only the stand-ins.
 
     Yields
     ------
@@ -54,14 +54,14 @@
     Raises
     ------
     DeploymentError
-        If a process does not come up.
+        If a process exits early or is not ready in time.
     """
     layout = make_layout(description)
-    change = overrides or Overrides()
+    active_overrides = overrides or Overrides()
     with tempfile.TemporaryDirectory(prefix="trefoilpaddle-") as name:
         folder = Path(name)
         stand_ins = list(_stand_ins(description, layout, folder, time_scale))
-        system = list(_system(description, layout, folder, change))
+        system = list(_system_processes(description, layout, folder, active_overrides))
         children = [*stand_ins, *(system if has_system else [])]
         async with aiohttp.ClientSession() as session:
             running = Running(
@@ -78,7 +78,7 @@
                     await _start(running, system)
                 yield running
             finally:
-                await _end(children)
+                await _kill_all(children)
 
 
 async def _start(running: Running, children: list[Child]) -> None:
@@ -93,12 +93,12 @@
     await running.publish_hosts()
 
 
-async def _end(children: list[Child]) -> None:
-    """Kill what still runs; who wants a planned stop has asked for it before."""
+async def _kill_all(children: list[Child]) -> None:
+    """Kill the processes that still run; a planned stop must be requested before."""
     for child in children:
         child.send(signal.SIGKILL)
     started = [child for child in children if child.pid]
-    await asyncio.gather(*(child.wait(timeout_s=_END_S) for child in started))
+    await asyncio.gather(*(child.wait(timeout_s=_EXIT_TIMEOUT_S) for child in started))
 
 
 def _stand_ins(
@@ -120,22 +120,22 @@
     }
     for name in _PLATFORM:
         yield _stand_in(name, [name, *arguments[name]], folder)
-    for number, place in enumerate(layout.targets):
-        options = _target_arguments(place, time_scale=time_scale, seed=number)
-        yield _stand_in(place.name, options, folder)
+    for index, target in enumerate(layout.targets):
+        options = _target_arguments(target, time_scale=time_scale, seed=index)
+        yield _stand_in(target.name, options, folder)
 
 
 def _target_arguments(
-    place: TargetLayout, *, time_scale: float, seed: int
+    target: TargetLayout, *, time_scale: float, seed: int
 ) -> list[str]:
-    service = place.service
+    service = target.service
     parameters = {"time_scale": time_scale, "seed": seed, **service.stand_in}
     if service.kind is ServiceKind.ENGINE:
         parameters["fencing"] = service.fencing.value
     return [
         service.kind.value,
-        f"--listen={place.address}",
-        f"--name={place.name}",
+        f"--listen={target.address}",
+        f"--name={target.name}",
         *(f"--{key}={value}" for key, value in parameters.items()),
     ]
 
@@ -148,18 +148,18 @@
     )
 
 
-def _system(
-    description: Description, layout: Layout, folder: Path, change: Overrides
+def _system_processes(
+    description: Description, layout: Layout, folder: Path, overrides: Overrides
 ) -> Iterator[Child]:
     for gateway in layout.gateways:
-        text = gateway_settings(gateway, description, layout, change)
-        yield _role("gateway", gateway.process_id, text, folder)
+        text = gateway_settings(gateway, description, layout, overrides)
+        yield _system_process("gateway", gateway.process_id, text, folder)
     for target in layout.targets:
-        text = sidecar_settings(target, description, layout, change)
-        yield _role("sidecar", target.sidecar, text, folder)
+        text = sidecar_settings(target, description, layout, overrides)
+        yield _system_process("sidecar", target.sidecar, text, folder)
 
 
-def _role(role: str, process_id: str, settings: str, folder: Path) -> Child:
+def _system_process(role: str, process_id: str, settings: str, folder: Path) -> Child:
     path = folder / f"{process_id}.toml"
     path.write_text(settings)
     return Child(
--- a/src/trefoilpaddle/standins/layout.py
+++ b/src/trefoilpaddle/standins/layout.py
@@ -1,4 +1,4 @@
-"""Which process of a deployment stands where, on free loopback ports."""
+"""Hosts, failure domains and loopback addresses of a deployment's processes."""
 
 import contextlib
 import random
@@ -9,28 +9,28 @@
 
 from .description import Description, ServiceDescription
 
-_N_TRIES: Final = 20
-_COMMON_IP: Final = "127.0.0.1"
+_MAX_TRIES: Final = 20
+_DEFAULT_IP: Final = "127.0.0.1"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetLayout:
-    """A target, its stand-in and the sidecar beside it.
+    """Addresses of a target's stand-in and of its sidecar.
 
     Parameters
     ----------
     name : str
         Name of the target and of its host.
     service : ServiceDescription
-        What it belongs to.
+        Service of the target.
     failure_domain : str
-        Where its host stands.
+        Failure domain of the host.
     address : str
         ``ip:port`` of the stand-in.
     peer_address, operators_address : str
-        ``ip:port`` of the sidecar's ports.
+        ``ip:port`` at which the sidecar listens.
     lock_port : int
-        Port that the sidecar holds.
+        Port that the sidecar binds as a lock.
     """
 
     name: str
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayLayout:
-    """A gateway on its entry host.
+    """Addresses of a gateway.
 
     Parameters
     ----------
     host, failure_domain : str
-        Where it stands.
+        Entry host of the gateway and its failure domain.
     callers_address, peer_address, operators_address : str
-        ``ip:port`` of its ports.
+        ``ip:port`` at which the gateway listens.
     """
 
     host: str
@@ -73,16 +73,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Layout:
-    """Every process of a deployment and its addresses.
+    """Addresses of all processes of a deployment.
 
     Parameters
     ----------
     config_address, hosts_address, weights_address : str
         ``ip:port`` of the platform's stand-ins.
     gateways : tuple of GatewayLayout
-        Entry hosts.
+        One for each entry host.
     targets : tuple of TargetLayout
-        Target hosts.
+        One for each target host.
     """
 
     config_address: str
@@ -97,11 +97,11 @@
         Raises
         ------
         KeyError
-            If there is none.
+            If there is no such target.
         """
-        for place in self.targets:
-            if place.name == name:
-                return place
+        for target in self.targets:
+            if target.name == name:
+                return target
         raise KeyError(name)
 
     def seeds(self) -> list[str]:
@@ -114,31 +114,31 @@
         return list(seen.values())
 
     def published_hosts(self, *, leaving: frozenset[str], region: str) -> list[object]:
-        """Return the host list, with the named processes as leaving."""
+        """Return the host list, in which the processes in `leaving` are leaving."""
         return [
             *(
                 {
-                    "name": place.host,
-                    "failure_domain": place.failure_domain,
+                    "name": gateway.host,
+                    "failure_domain": gateway.failure_domain,
                     "region": region,
                     "role": "gateway",
-                    "peer_address": place.peer_address,
-                    "state": _state(place.process_id, leaving),
+                    "peer_address": gateway.peer_address,
+                    "state": _state(gateway.process_id, leaving),
                 }
-                for place in self.gateways
+                for gateway in self.gateways
             ),
             *(
                 {
-                    "name": place.name,
-                    "failure_domain": place.failure_domain,
+                    "name": target.name,
+                    "failure_domain": target.failure_domain,
                     "region": region,
                     "role": "sidecar",
-                    "peer_address": place.peer_address,
-                    "service": place.service.name,
-                    "target": place.name,
-                    "state": _state(place.sidecar, leaving),
+                    "peer_address": target.peer_address,
+                    "service": target.service.name,
+                    "target": target.name,
+                    "state": _state(target.sidecar, leaving),
                 }
-                for place in self.targets
+                for target in self.targets
             ),
         ]
 
@@ -148,51 +148,51 @@
 
 
 class Ports:
-    """Free ports of one loopback address that no other run is likely to use.
+    """Reserves free ports of a loopback address that other runs are unlikely to use.
 
     Parameters
     ----------
     ip : str
-        The address.
+        Loopback address.
     """
 
-    __slots__ = ("_held", "ip")
+    __slots__ = ("_bound", "ip")
 
     def __init__(self, *, ip: str) -> None:
         self.ip = ip
-        self._held: list[socket.socket] = []
+        self._bound: list[socket.socket] = []
 
     def take(self) -> int:
-        """Return a port that is free until the context closes."""
-        held = socket.socket()
-        held.bind((self.ip, 0))
-        self._held.append(held)
-        return int(held.getsockname()[1])
+        """Return a free port, which stays bound until `release`."""
+        bound = socket.socket()
+        bound.bind((self.ip, 0))
+        self._bound.append(bound)
+        return int(bound.getsockname()[1])
 
     def address(self) -> str:
         """Return ``ip:port`` of a free port."""
         return f"{self.ip}:{self.take()}"
 
     def release(self) -> None:
-        """Let the processes bind what was taken."""
-        for held in self._held:
-            held.close()
+        """Close the sockets, so that the processes can bind the ports."""
+        for bound in self._bound:
+            bound.close()
 
 
 def _loopback_ip() -> str:
-    """Return a loopback address of this run's own where the system has them.
+    """Return a loopback address for this run alone, if the system has them.
 
-    Ports are taken first and bound by the processes later. On an address that
-    others use too, one could take a port in between; the run would then fail
-    with the address in use.
+    Ports are chosen first and bound by the processes later. On a shared address,
+    another process could bind a port in between, and the run would fail with
+    "address already in use".
     """
     source = random.SystemRandom()
-    for _ in range(_N_TRIES):
+    for _ in range(_MAX_TRIES):
         ip = f"127.{source.randint(1, 254)}.{source.randint(1, 254)}.1"
         with contextlib.suppress(OSError), socket.socket() as probe:
             probe.bind((ip, 0))
             return ip
-    return _COMMON_IP
+    return _DEFAULT_IP
 
 
 @contextlib.contextmanager
@@ -205,7 +205,7 @@
 
 
 def make_layout(description: Description) -> Layout:
-    """Return where every process of `description` stands."""
+    """Return a layout of `description` with free ports."""
     with _ports() as ports:
         return Layout(
             config_address=ports.address(),
@@ -221,21 +221,21 @@
                 )
                 for i in range(description.n_gateways)
             ),
-            targets=tuple(_target_places(description, ports)),
+            targets=tuple(_target_layouts(description, ports)),
         )
 
 
-def _target_places(description: Description, ports: Ports) -> Iterator[TargetLayout]:
-    place = description.n_gateways
+def _target_layouts(description: Description, ports: Ports) -> Iterator[TargetLayout]:
+    process_index = description.n_gateways
     for service in description.services:
         for name in service.targets():
             yield TargetLayout(
                 name=name,
                 service=service,
-                failure_domain=description.domain(place),
+                failure_domain=description.domain(process_index),
                 address=ports.address(),
                 peer_address=ports.address(),
                 operators_address=ports.address(),
                 lock_port=ports.take(),
             )
-            place += 1
+            process_index += 1
--- a/src/trefoilpaddle/standins/orders.py
+++ b/src/trefoilpaddle/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: models, adapters and role, fenced where it checks."""
+"""Orders to an engine to load or unload models and adapters or to change its role."""
 
 import asyncio
 from enum import StrEnum, unique
@@ -18,7 +18,7 @@
 
 @unique
 class OrderKind(StrEnum):
-    """What an engine is told to do."""
+    """Kinds of orders."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -40,22 +40,22 @@
 
 
 class Orders:
-    """What an engine has loaded, and the highest fencing number it has seen.
+    """Loaded models and adapters, role and highest fencing number of an engine.
 
     Parameters
     ----------
     models : tuple of str
-        Models loaded from the start.
+        Models that are loaded at the start.
     is_fenced : bool
         Whether an order with an older fencing number is refused.
     load_s : float
-        Nominal time that loading a model takes.
+        Nominal time to load a model.
     weights_url : str
-        Weight store to load from; empty loads from nowhere.
+        Base URL of the weight store; empty loads models without one.
     pace : Pace
         Scales `load_s`.
     record : Record
-        Keeps each order.
+        Receives each order.
     """
 
     __slots__ = (
@@ -97,11 +97,11 @@
         except ValidationError as error:
             return json_answer({"detail": str(error)}, status=400)
         is_accepted = not self._is_fenced or order.fence >= self.highest_fence
-        self._note(order, is_accepted=is_accepted)
+        self._record_order(order, is_accepted=is_accepted)
         if not is_accepted:
             return json_answer({"fence": self.highest_fence}, status=409)
         self.highest_fence = max(self.highest_fence, order.fence)
-        return await self._obey(order)
+        return await self._execute(order)
 
     async def get_loaded(self, _: web.Request) -> web.Response:
         """Answer ``GET /v1/models``."""
@@ -109,7 +109,7 @@
             {"models": self.models, "adapters": self.adapters, "role": self.role}
         )
 
-    async def _obey(self, order: Order) -> web.Response:
+    async def _execute(self, order: Order) -> web.Response:
         match order.order:
             case OrderKind.LOAD_MODEL:
                 return await self._load(order, self.models)
@@ -127,15 +127,15 @@
             if refusal is not None:
                 return refusal
         await asyncio.sleep(self._pace.seconds(self._load_s))
-        # A newer order may have come while this one loaded; an engine that
-        # checks must not let the older one take effect after it.
+        # A newer order may have arrived during the load. A fenced engine must not
+        # let the older one take effect after it.
         if self._is_fenced and order.fence < self.highest_fence:
             return json_answer({"fence": self.highest_fence}, status=409)
         loaded[order.name] = order.version
         return json_answer({})
 
     async def _fetch(self, name: str) -> web.Response | None:
-        """Read the weights; return the refusal if the store gives none."""
+        """Read the weights; return a refusal if the store does not send them."""
         url = f"{self._weights_url}/v1/weights/{name}"
         async with aiohttp.ClientSession() as session, session.get(url) as answer:
             if answer.ok:
@@ -147,7 +147,7 @@
             status = 503 if answer.status == _HTTP_TOO_MANY else 502
             return json_answer({"detail": detail}, status=status, headers=headers)
 
-    def _note(self, order: Order, *, is_accepted: bool) -> None:
+    def _record_order(self, order: Order, *, is_accepted: bool) -> None:
         self._record.orders.append(
             OrderRecord(
                 fence=order.fence,
--- a/src/trefoilpaddle/standins/outputs.py
+++ b/src/trefoilpaddle/standins/outputs.py
@@ -1,4 +1,4 @@
-"""Answers as a pure function of the input, so that a crossed one is noticed."""
+"""Outputs that depend on the input alone, which reveals mixed-up answers."""
 
 import re
 from typing import Final
@@ -7,7 +7,7 @@
 import xxhash
 
 N_BLOCK_WORDS: Final = 32
-"""Words of one block of the prefix cache."""
+"""Number of words in a block of the prefix cache."""
 
 _MARK: Final = re.compile(r"mark:[0-9a-zA-Z-]{1,64}")
 _ITEM_COUNT: Final = 3
@@ -20,15 +20,15 @@
 
 
 def digest(data: bytes) -> str:
-    """Return the hexadecimal digest by which inputs are told apart."""
+    """Return the hexadecimal digest that identifies an input."""
     return xxhash.xxh3_64_hexdigest(data)
 
 
 def marks(text: str) -> list[str]:
     """Return the distinct ``mark:…`` words of `text`, sorted.
 
-    They pass through every stage, so that a test can follow its own input from
-    one end to the other.
+    Marks pass through every stage, so that a test can trace its input through
+    the pipeline.
     """
     return sorted(set(_MARK.findall(text)))
 
@@ -59,16 +59,16 @@
 
 
 def n_output_tokens(prompt: str, max_tokens: int) -> int:
-    """Return how many tokens an engine answers `prompt` with."""
+    """Return the number of tokens of an engine's answer to `prompt`."""
     most = max(1, max_tokens)
     least = (most + 1) // 2
     return least + xxhash.xxh3_64_intdigest(prompt.encode()) % (most - least + 1)
 
 
 def engine_output(prompt: str, max_tokens: int) -> list[str]:
-    """Return the tokens with which an engine answers `prompt`.
+    """Return the tokens of an engine's answer to `prompt`.
 
-    The first one carries the prompt's digest and marks.
+    The first token contains the prompt's digest and marks.
     """
     key = digest(prompt.encode())
     first = "/".join([f"d:{key}", *marks(prompt)])
@@ -76,7 +76,7 @@
 
 
 def prefix_hashes(prompt: str) -> list[int]:
-    """Return the chained signed hash of each whole block of `prompt`."""
+    """Return the chained signed hash of each complete block of `prompt`."""
     words = prompt.split()
     hashes: list[int] = []
     state = xxhash.xxh3_64()
--- a/src/trefoilpaddle/standins/pace.py
+++ b/src/trefoilpaddle/standins/pace.py
@@ -6,18 +6,19 @@
 
 
 class Pace:
-    """Turns nominal service times into the ones that are waited for.
+    """Converts nominal service times into the actual ones.
 
     Parameters
     ----------
     time_scale : float
         Multiplies every service time.
     jitter : float
-        Each time is drawn evenly from ``1 - jitter`` to ``1 + jitter`` of it.
+        Each time is multiplied by a factor that is drawn uniformly between
+        ``1 - jitter`` and ``1 + jitter``.
     seed : int
-        Of those draws.
+        Seed of these draws.
     faults : Faults
-        May slow down.
+        Faults that are set; ``slow`` multiplies the times further.
     """
 
     __slots__ = ("_faults", "_jitter", "_random", "_time_scale")
@@ -31,7 +32,7 @@
         self._faults = faults
 
     def seconds(self, nominal_s: float) -> float:
-        """Return how long work of `nominal_s` takes now."""
+        """Return the actual duration of work that nominally takes `nominal_s`."""
         scaled_s = nominal_s * self._time_scale * self._faults.slow_factor
         if not self._jitter:
             return scaled_s
--- a/src/trefoilpaddle/standins/platform/crashing.py
+++ b/src/trefoilpaddle/standins/platform/crashing.py
@@ -1,4 +1,4 @@
-"""Workers that a request can end, with all that runs there, and that come back."""
+"""Servers of workers that a marked request crashes and that restart later."""
 
 import asyncio
 import contextlib
@@ -11,28 +11,29 @@
 from .worker import PlatformWorker
 
 CRASH_DELAY_S: Final = 0.1
-"""Time from the beginning of such a request to the worker's end."""
+"""Time from the start of a marked request to the crash of the worker."""
 
 RESTART_DELAY_S: Final = 1.5
-"""Time from a worker's end to its next start, at the same address."""
+"""Time from the crash of a worker to its restart at the same address."""
 
 
 class CrashingServer:
-    """Serves a worker that some requests end.
+    """Serves a worker that crashes when it runs a marked request.
 
     Parameters
     ----------
     worker : PlatformWorker
-        Ended by requests whose body, or one of whose pieces' keys, holds its marker.
+        Worker that crashes at requests whose body contains its marker, or whose
+        pieces have a key that contains it.
     ip : str
-        Where it listens.
+        Address to listen on.
     on_start : callable
-        Called at each new start, to list it.
+        Called after each restart, to list the worker again.
 
     Attributes
     ----------
     crashed_s : list of float
-        Monotonic times of its ends.
+        Monotonic times of the crashes.
     """
 
     __slots__ = (
@@ -58,7 +59,7 @@
         self._site: web.TCPSite | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.crashed_s: list[float] = []
-        worker.on_marked = self._crash_soon
+        worker.on_marked = self._schedule_crash
         self._runner = web.AppRunner(
             worker.application(),
             handler_cancellation=True,
@@ -68,7 +69,7 @@
 
     @contextlib.asynccontextmanager
     async def serving(self) -> AsyncIterator[None]:
-        """Serve it while the context is open, through its crashes."""
+        """Serve the worker while the context is open and restart it after crashes."""
         await self._runner.setup()
         try:
             await self._listen()
@@ -80,17 +81,17 @@
             await self._runner.cleanup()
 
     def crash(self) -> None:
-        """End it now, whatever it does; it comes back by itself."""
+        """Crash the worker now, with all running requests; it restarts by itself."""
         if self._is_up:
             self._is_up = False
-            task = asyncio.create_task(self._go_down())
+            task = asyncio.create_task(self._crash_and_restart())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _crash_soon(self) -> None:
+    def _schedule_crash(self) -> None:
         asyncio.get_running_loop().call_later(CRASH_DELAY_S, self.crash)
 
-    async def _go_down(self) -> None:
+    async def _crash_and_restart(self) -> None:
         self.crashed_s.append(time.monotonic())
         if self._site is not None:
             await self._site.stop()
--- a/src/trefoilpaddle/standins/platform/demo.py
+++ b/src/trefoilpaddle/standins/platform/demo.py
@@ -1,4 +1,4 @@
-"""Plays the path on the platform: two gateways, a site, a kill and a planned stop."""
+"""Demo on the stand-in platform: two gateways, of which one is killed, one stopped."""
 
 import asyncio
 import signal
@@ -13,14 +13,14 @@
 from .site import N_EVENTS, Site, small_site
 
 N_REQUESTS: Final = 40
-"""Requests of each round; enough that stages of several share calls."""
+"""Requests in each round; enough for stages of several requests to share calls."""
 
 POLL_S: Final = 0.05
 OK_STATUS: Final = 200
 
 
 async def demo_platform() -> int:
-    """Run the demo; return 0 if every answer was whole."""
+    """Run the demo; return 0 if every answer was complete and the stop succeeded."""
     console = Console(highlight=False)
     with tempfile.TemporaryDirectory() as folder:
         async with (
@@ -30,45 +30,45 @@
         ):
             await _wait_for_workers(site, (first, second))
             console.print(f"2 gateways and {len(site.workers)} workers are ready")
-            n_faulty = await _round(console, site, client, first, "calm")
+            n_faulty = await _run_round(console, site, client, first, "calm")
             second.signal(signal.SIGKILL)
             await second.wait_exit()
-            n_faulty += await _round(console, site, client, first, "one killed")
+            n_faulty += await _run_round(console, site, client, first, "one killed")
             second.start()
             await second.wait_ready(client)
             await _wait_for_workers(site, (second,))
             first.signal(signal.SIGTERM)
-            n_faulty += await _round(console, site, client, second, "one stops")
+            n_faulty += await _run_round(console, site, client, second, "one stops")
             code = await first.wait_exit()
-            console.print(f"the stopped one ended with code {code}")
+            console.print(f"the stopped gateway exited with code {code}")
     return 1 if n_faulty or code else 0
 
 
-async def _round(
+async def _run_round(
     console: Console,
     site: Site,
     client: aiohttp.ClientSession,
     gateway: GatewayProcess,
     name: str,
 ) -> int:
-    """Send a round of streams; return how many were not whole."""
+    """Send a round of streams; return how many were incomplete."""
     stages = [site.workers[worker_id] for worker_id in ("encode1", "retrieve1")]
     n_before = sum(worker.n_calls for worker in stages)
-    whole = await asyncio.gather(
-        *(_stream(client, gateway, f"{name}-{number}") for number in range(N_REQUESTS))
+    are_complete = await asyncio.gather(
+        *(_stream(client, gateway, f"{name}-{index}") for index in range(N_REQUESTS))
     )
     n_calls = sum(worker.n_calls for worker in stages) - n_before
     console.print(
-        f"{name}: {sum(whole)} of {N_REQUESTS} streams whole; their "
+        f"{name}: {sum(are_complete)} of {N_REQUESTS} streams complete; their "
         f"{2 * N_REQUESTS} stages took {n_calls} calls"
     )
-    return N_REQUESTS - sum(whole)
+    return N_REQUESTS - sum(are_complete)
 
 
 async def _stream(
     client: aiohttp.ClientSession, gateway: GatewayProcess, request_id: str
 ) -> bool:
-    """Return True if a stream came whole; one that is refused comes back once."""
+    """Return True if the stream is complete; a refused one is sent once more."""
     for attempt in ("", "-again"):
         sent = headers(request_id + attempt) | DRAFT
         async with client.post(f"{gateway.url}/draft/1", headers=sent) as answer:
@@ -80,13 +80,13 @@
 
 
 async def _wait_for_workers(site: Site, started: tuple[GatewayProcess, ...]) -> None:
-    """Wait until each gateway has seen all workers."""
+    """Wait until each gateway has listed all workers in its log."""
     for gateway in started:
-        while not _has_seen(gateway, site):  # noqa: ASYNC110 - its log tells of it
+        while not _has_seen(gateway, site):  # noqa: ASYNC110 - only its log shows it
             await asyncio.sleep(POLL_S)
 
 
 def _has_seen(gateway: GatewayProcess, site: Site) -> bool:
-    """Return True if a gateway's log names all workers."""
+    """Return True if the log of a gateway names all workers."""
     log = gateway.log()
     return all(worker_id in log for worker_id in site.workers)
--- a/src/trefoilpaddle/standins/platform/gateway_process.py
+++ b/src/trefoilpaddle/standins/platform/gateway_process.py
@@ -1,4 +1,4 @@
-"""Gateways of the platform as processes of their own, beside a stand-in site."""
+"""Gateways of the platform as separate processes, next to a stand-in site."""
 
 import asyncio
 import contextlib
@@ -17,10 +17,10 @@
 from .site import GRACE_S, HOST, IP, KEY, Site, settings
 
 ROOT: Final = Path(__file__).resolve().parents[4]
-"""Of the repository, where the platform starts its programs."""
+"""Root of the repository, the working directory of the platform's programs."""
 
 PROCESS_TIMEOUT_S: Final = 30.0
-"""Longest wait for a process to be ready, or to end."""
+"""Longest wait until a process is ready or has exited."""
 
 POLL_S: Final = 0.02
 N_PORTS: Final = 4
@@ -28,20 +28,20 @@
 
 
 class GatewayProcess:
-    """One gateway.
+    """A gateway process, which can be started several times.
 
     Parameters
     ----------
     host, domain : str
-        Its machine and where that stands.
+        Host of the gateway and its failure domain.
     folder : Path
-        Takes its settings file and its log.
+        Folder for its settings file and logs.
     store : str
-        Address of the store.
+        ``ip:port`` of the store.
     seeds : list of str
-        Peers that it asks first.
+        Addresses of the peers that it contacts first.
     grace_s : float
-        Time from the order to stop to the kill.
+        Time from the stop signal to the kill.
     """
 
     __slots__ = (
@@ -78,21 +78,21 @@
 
     @property
     def url(self) -> str:
-        """Where it listens for callers."""
+        """Base URL for callers."""
         return f"http://{IP}:{self.ports[0]}"
 
     @property
     def peers_address(self) -> str:
-        """Where it listens for other gateways."""
+        """Address for other gateways, ``ip:port``."""
         return f"{IP}:{self.ports[2]}"
 
     @property
     def operators_url(self) -> str:
-        """Where it answers operators."""
+        """Base URL for operators."""
         return f"http://{IP}:{self.ports[3]}"
 
     def start(self) -> None:
-        """Start it, with a log of its own for each start."""
+        """Start the process with a new log file."""
         path = self.folder / f"{self.host}.json"
         fields = settings(
             host=self.host,
@@ -104,7 +104,7 @@
         )
         path.write_bytes(orjson.dumps(fields))
         self.logs.append(self.folder / f"{self.host}-{len(self.logs)}.log")
-        own = {
+        variables = {
             "TREFOILPADDLE_NODE_FILE": str(path),
             "TREFOILPADDLE_METRICS": f"{self.ports[3]}/metrics",
         }
@@ -112,44 +112,44 @@
             self.run = subprocess.Popen(
                 [sys.executable, "platform"],
                 cwd=ROOT,
-                env=os.environ | own,
+                env=os.environ | variables,
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
 
-    def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+    def signal(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process."""
         if self.run is not None:
-            self.run.send_signal(number)
+            self.run.send_signal(signal_number)
 
     async def wait_exit(self) -> int:
-        """Return its exit code once it has ended.
+        """Wait until the process has exited and return its exit code.
 
         Raises
         ------
         TimeoutError
-            If it still runs after ``PROCESS_TIMEOUT_S``.
+            If it is still running after ``PROCESS_TIMEOUT_S``.
         """
         run = self.run
         if run is None:
             return 0
         async with asyncio.timeout(PROCESS_TIMEOUT_S):
-            while run.poll() is None:  # noqa: ASYNC110 - no event tells of it
+            while run.poll() is None:  # noqa: ASYNC110 - no event signals it
                 await asyncio.sleep(POLL_S)
         return run.returncode
 
     def kill(self) -> None:
-        """Kill it if it still runs."""
+        """Kill the process if it is still running."""
         if self.run is not None and self.run.poll() is None:
             self.run.kill()
             self.run.wait()
 
     def log(self) -> str:
-        """Return all that it has written."""
+        """Return the logs of all starts."""
         return "".join(path.read_text() for path in self.logs)
 
     async def is_ready(self, client: aiohttp.ClientSession) -> bool:
-        """Return True if it says that it takes requests."""
+        """Return True if the gateway reports that it accepts requests."""
         url = f"http://{IP}:{self.ports[1]}/trefoilpaddle/readiness"
         try:
             async with client.get(url) as answer:
@@ -158,12 +158,12 @@
             return False
 
     async def wait_ready(self, client: aiohttp.ClientSession) -> None:
-        """Wait until it says that it takes requests.
+        """Wait until the gateway reports that it accepts requests.
 
         Raises
         ------
         ChildProcessError
-            If it ends before, with the last line of its log.
+            If it exits before, with the last line of its log.
         TimeoutError
             If it is not ready after ``PROCESS_TIMEOUT_S``.
         """
@@ -171,13 +171,13 @@
             while not await self.is_ready(client):
                 if self.run is not None and self.run.poll() is not None:
                     raise ChildProcessError(
-                        f"{self.host} ended with {self.run.returncode} before it was"
-                        f" ready: {self._last_words()}"
+                        f"{self.host} exited with {self.run.returncode} before it was"
+                        f" ready: {self._last_error()}"
                     )
                 await asyncio.sleep(POLL_S)
 
-    def _last_words(self) -> str:
-        """Return the last line of its log that names an error, or else the last."""
+    def _last_error(self) -> str:
+        """Return the last log line that names an error, otherwise the last line."""
         lines = self.logs[-1].read_text().splitlines()
         errors = [line.strip(" |") for line in lines if "Error" in line]
         return (errors or lines or [""])[-1]
@@ -187,27 +187,27 @@
 async def gateways(
     site: Site, folder: Path, *domains: str
 ) -> AsyncIterator[list[GatewayProcess]]:
-    """Start one gateway in each of `domains`; yield when all are ready."""
-    made: list[GatewayProcess] = []
-    for number, domain in enumerate(domains):
-        made.append(
+    """Start one gateway for each of `domains` and yield them once all are ready."""
+    processes: list[GatewayProcess] = []
+    for index, domain in enumerate(domains):
+        processes.append(
             GatewayProcess(
-                host=f"g{number}",
+                host=f"g{index}",
                 domain=domain,
                 folder=folder,
                 store=site.store_address,
-                seeds=[each.peers_address for each in made],
+                seeds=[each.peers_address for each in processes],
             )
         )
     async with aiohttp.ClientSession() as client:
         try:
-            for gateway in made:
+            for gateway in processes:
                 gateway.start()
-            for gateway in made:
+            for gateway in processes:
                 await gateway.wait_ready(client)
-            yield made
+            yield processes
         finally:
-            for gateway in made:
+            for gateway in processes:
                 gateway.kill()
 
 
@@ -229,10 +229,10 @@
     "Trefoilpaddle-Pieces": "2,3",
     "Trefoilpaddle-Piece-Key": "k1",
 }
-"""Headers of a request for the route with stages."""
+"""Headers of a request to the route with stages."""
 
 
 def event_numbers(body: bytes) -> list[int]:
-    """Return the numbers of the events in a stream's bytes."""
+    """Return the ids of the events in the body of a stream."""
     lines = body.decode().splitlines()
     return [int(line.removeprefix("id: ")) for line in lines if line[:3] == "id:"]
--- a/src/trefoilpaddle/standins/platform/site.py
+++ b/src/trefoilpaddle/standins/platform/site.py
@@ -1,4 +1,4 @@
-"""A small site on the stand-in platform: its configuration and settings files."""
+"""A small site on the stand-in platform, its configuration and settings files."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -97,9 +97,9 @@
     Parameters
     ----------
     ports : list of int
-        For callers, readiness, peers and metrics.
+        Ports for callers, readiness, peers and metrics.
     grace_s : float
-        Time from the order to stop to the kill.
+        Time from the stop signal to the kill.
     """
     callers, ready, peers, metrics = ports
     return {
@@ -125,7 +125,7 @@
 
 
 def entry(service: str, address: str, **fields: Any) -> dict[str, Any]:
-    """Return what a worker says of itself in the store."""
+    """Return the entry that a worker writes to the store."""
     known = {
         "service": service,
         "address": address,
@@ -140,14 +140,14 @@
 
 
 class Site:
-    """A store and its workers, served.
+    """A store and its workers, served on loopback.
 
     Attributes
     ----------
     store : PlatformStore
         Holds the configuration and the workers' entries.
     workers : dict of str to PlatformWorker
-        By id.
+        Workers by id.
     store_address : str
         ``ip:port`` of the store.
     """
@@ -161,7 +161,7 @@
         self.workers: dict[str, PlatformWorker] = {}
 
     async def add_worker(self, worker_id: str, service: str, **fields: Any) -> None:
-        """Start a worker and list it."""
+        """Start a worker and list it in the store."""
         domain = fields.pop("domain", "a")
         worker = PlatformWorker(worker_id=worker_id, **fields)
         url = await self._stack.enter_async_context(serving(worker.application()))
@@ -172,7 +172,7 @@
     async def add_crashing_worker(
         self, worker_id: str, service: str, *, marker: bytes, **fields: Any
     ) -> CrashingServer:
-        """Start and list a worker that requests with a marker end."""
+        """Start and list a worker that requests with `marker` crash."""
         worker = PlatformWorker(worker_id=worker_id, **fields)
         worker.marker = marker
         self.workers[worker_id] = worker
@@ -192,7 +192,7 @@
         domain: str = "a",
         address: str = "",
     ) -> None:
-        """Write a worker's entry."""
+        """Write the entry of a worker to the store."""
         self.store.put(
             f"servers/{worker_id}",
             entry(
@@ -207,7 +207,7 @@
 
 @contextlib.asynccontextmanager
 async def small_site() -> AsyncIterator[Site]:
-    """Serve a store and one or two workers of each service."""
+    """Serve a site with one or two workers of each service."""
     async with contextlib.AsyncExitStack() as stack:
         site = Site(stack=stack)
         url = await stack.enter_async_context(serving(site.store.application()))
--- a/src/trefoilpaddle/standins/platform/store.py
+++ b/src/trefoilpaddle/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: items with revisions, ranges, watches, lost history, eras."""
+"""Stand-in for the platform's store: items with revisions, ranges and watches."""
 
 import base64
 from dataclasses import dataclass
@@ -13,22 +13,22 @@
 
 TABLE_KEY: Final = "op/config"
 ERA_HEADER: Final = "Store-Era"
-HISTORY: Final = 1000
-"""Events kept for watches that lag."""
+MAX_EVENTS: Final = 1000
+"""Number of recent events that are kept for watches that lag behind."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreBackup:
-    """What the store held at some moment.
+    """Backup of the content of the store.
 
     Parameters
     ----------
     revision : int
-        At that moment.
+        Revision at the time of the backup.
     items : dict
-        By key.
+        Items by key.
     events : list
-        The history, oldest first.
+        Events in the history, oldest first.
     """
 
     revision: int
@@ -37,23 +37,24 @@
 
 
 class PlatformStore:
-    """Holds what operators and workers publish; a test writes it directly.
+    """Holds the items of operators and workers; tests write them directly.
 
     Attributes
     ----------
     era : int
-        Rises each time it comes back from a copy; 0 for a store that tells none.
+        Counter that rises each time the store is restored from a backup; 0 is not
+        reported.
     faults : Faults
-        Set over HTTP or by the test.
+        Faults, set over HTTP or by the test.
     is_refusing : bool
-        True turns readers away.
+        True refuses all readers.
     n_reads : int
-        Calls answered.
+        Number of reads and watches, including refused ones.
     """
 
     __slots__ = (
+        "_discarded_revision",
         "_events",
-        "_forgotten",
         "_items",
         "era",
         "faults",
@@ -72,10 +73,10 @@
         self.is_refusing = False
         self._items: dict[str, dict[str, Any]] = {}
         self._events: list[dict[str, Any]] = []
-        self._forgotten = 0
+        self._discarded_revision = 0
 
     def put(self, key: str, value: object) -> int:
-        """Write an item; return its revision."""
+        """Write an item and return its revision."""
         self.revision += 1
         item = {
             "key": key,
@@ -86,7 +87,7 @@
         }
         self._items[key] = item
         self._events.append(item)
-        del self._events[:-HISTORY]
+        del self._events[:-MAX_EVENTS]
         return self.revision
 
     def remove(self, key: str) -> None:
@@ -101,26 +102,26 @@
         return list(self._items)
 
     def discard_history(self) -> None:
-        """Lose all that watches could still ask for."""
-        self._forgotten = self.revision
+        """Discard the history, so that watches of earlier revisions fail."""
+        self._discarded_revision = self.revision
         self._events.clear()
 
     def take_backup(self) -> StoreBackup:
-        """Return what it holds now."""
+        """Return a backup of the current content."""
         return StoreBackup(
             revision=self.revision, items=dict(self._items), events=list(self._events)
         )
 
-    def restore_from(self, copy: StoreBackup) -> None:
-        """Come back with what a copy holds; all that was written since is gone."""
+    def restore_from(self, backup: StoreBackup) -> None:
+        """Restore the content of a backup; all later writes are lost."""
         self.era += 1
-        self.revision = copy.revision
-        self._items = dict(copy.items)
-        self._events = list(copy.events)
-        self._forgotten = min(self._forgotten, copy.revision)
+        self.revision = backup.revision
+        self._items = dict(backup.items)
+        self._events = list(backup.events)
+        self._discarded_revision = min(self._discarded_revision, backup.revision)
 
     def application(self) -> web.Application:
-        """Return the application that answers for the store."""
+        """Return the HTTP application of the store."""
         app = faulty_application(faults=self.faults, record=self.record)
         app.router.add_get("/trefoilpaddle/kv-range", self._range)
         app.router.add_get("/trefoilpaddle/kv-watch", self._watch)
@@ -145,7 +146,7 @@
         if self.is_refusing:
             return self._answer({}, status=503)
         after = int(request.query["after"])
-        if not self._forgotten <= after <= self.revision:
+        if not self._discarded_revision <= after <= self.revision:
             return self._answer({}, status=410)
         prefix = request.query["prefix"]
         events = [
--- a/src/trefoilpaddle/standins/platform/worker.py
+++ b/src/trefoilpaddle/standins/platform/worker.py
@@ -1,4 +1,4 @@
-"""A worker of the platform: plain requests, streams, or pieces of stages."""
+"""Stand-in for a worker of the platform: requests, streams, or pieces of stages."""
 
 import asyncio
 import itertools
@@ -20,54 +20,56 @@
 INPUTS: Final = "Trefoilpaddle-Inputs"
 
 FREE_MB: Final = 10.0
-"""Memory for results of a worker that holds none, as the stand-in site publishes."""
+"""Free memory of a worker that holds no results, as published by the site."""
 
 RESULT_MB: Final = 0.001
-"""Size of a result, as the stand-in site publishes for its first stage."""
+"""Size of a result, as published by the site for its first stage."""
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
 class PlatformWorker:
-    """One worker; records what it ran.
+    """A worker that records what it ran.
 
     Parameters
     ----------
     worker_id : str
-        Its id in the store.
+        Id of the worker in the store.
     n_events : int
-        Events of each stream; 0 answers whole.
+        Number of events in each stream; 0 sends complete answers instead.
     work_s : float
-        Time of a request, of an event, or of a call of pieces.
+        Time for a request, an event, or a call of pieces.
 
     Attributes
     ----------
     born_ms : int
-        Unix time of its present start, in milliseconds.
+        Unix time of the current start, in milliseconds.
     held : set of str
-        Handles of the results that it holds.
+        Handles of the results that the worker holds.
     interrupts_answers : bool
-        Breaks connections instead of answering, after it has run the request.
+        True aborts the connection of each request after running it, or at the
+        first event of a stream.
     ran : list of str
-        Ids of the requests that it ran, one for each time.
+        Ids of the requests that were run, once for each run.
     ran_s : list of float
-        Monotonic times at which they came.
+        Monotonic times at which these requests arrived.
     headers : list of dict
-        Headers of those requests.
+        Headers of these requests.
     marker : bytes
-        Requests whose body, and pieces whose key, holds it are marked; empty for none.
+        Requests whose body contains the marker, and pieces whose key contains it,
+        are marked; empty marks none.
     marked_s : list of float
-        Monotonic times at which marked requests or pieces began to run.
+        Monotonic times at which marked requests or pieces started.
     on_marked : callable
-        Called at each of them.
+        Called at each start of a marked request or piece.
     pieces : list of tuple
-        Request, stage, piece and inputs of each piece that it made.
+        Request, stage, piece and inputs of each piece that was completed.
     """
 
     __slots__ = (
-        "_numbers",
+        "_handle_numbers",
         "address",
         "born_ms",
         "faults",
@@ -101,7 +103,7 @@
         self.interrupts_answers = False
         self.marker = b""
         self.marked_s: list[float] = []
-        self.on_marked: Callable[[], None] = _nothing
+        self.on_marked: Callable[[], None] = _do_nothing
         self.faults = Faults()
         self.record = Record()
         self.ran: list[str] = []
@@ -111,35 +113,35 @@
         self.freed: list[str] = []
         self.n_calls = 0
         self.n_busy = 0
-        self._numbers = itertools.count()
+        self._handle_numbers = itertools.count()
 
     def restart(self) -> None:
-        """Begin a new lifetime under the same id: what it held is gone."""
+        """Simulate a restart under the same id; all held results are lost."""
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
         self.held.clear()
 
     def application(self) -> web.Application:
-        """Return the application that answers for the worker."""
+        """Return the HTTP application of the worker."""
         app = faulty_application(faults=self.faults, record=self.record)
-        app.router.add_post("/trefoilpaddle/stage-run", self._make)
+        app.router.add_post("/trefoilpaddle/stage-run", self._run_pieces)
         app.router.add_post("/trefoilpaddle/stage-free", self._free)
         app.router.add_get("/trefoilpaddle/report", self._report)
         app.router.add_route("*", "/{path:.*}", self._run)
         return app
 
-    def _is_another(self, request: web.Request) -> bool:
+    def _is_for_another_worker(self, request: web.Request) -> bool:
         expected = request.headers.get(EXPECTED)
         return expected is not None and expected != self.worker_id
 
     async def _crash_if_marked(self, body: bytes) -> None:
-        """Begin to end with a marked request, which gets no answer."""
+        """Call `on_marked` for a marked request, which then never gets an answer."""
         if self.marker and self.marker in body:
             self.marked_s.append(time.monotonic())
             self.on_marked()
             await asyncio.Event().wait()
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
-        if self._is_another(request):
+        if self._is_for_another_worker(request):
             return json_answer({}, status=421)
         request_id = request.headers[ATTEMPT]
         body = await request.read()
@@ -157,17 +159,17 @@
         answer = web.StreamResponse(headers=headers)
         await answer.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        for number in range(first, self.n_events + 1):
+        for event_id in range(first, self.n_events + 1):
             await asyncio.sleep(self.work_s)
             if self.interrupts_answers:
                 abort_connection(request)
                 return answer
-            await answer.write(f"id: {number}\ndata: {request_id}\n\n".encode())
+            await answer.write(f"id: {event_id}\ndata: {request_id}\n\n".encode())
         await answer.write_eof()
         return answer
 
-    async def _make(self, request: web.Request) -> web.Response:
-        if self._is_another(request):
+    async def _run_pieces(self, request: web.Request) -> web.Response:
+        if self._is_for_another_worker(request):
             return json_answer({}, status=421)
         body = await request.read()
         await self._crash_if_marked(body)
@@ -175,17 +177,17 @@
         self.n_calls += 1
         self.n_busy += 1
         await asyncio.sleep(self.work_s)
-        made = []
+        results = []
         for item in items:
             inputs = tuple(item.get("inputs", ()))
             self.pieces.append(
                 (item["identifier"], item["stage"], item["piece"], inputs)
             )
-            handle = f"{self.address}/{next(self._numbers)}"
+            handle = f"{self.address}/{next(self._handle_numbers)}"
             self.held.add(handle)
-            made.append({"handle": handle})
+            results.append({"handle": handle})
         self.n_busy -= 1
-        return json_answer({"items": made})
+        return json_answer({"items": results})
 
     async def _free(self, request: web.Request) -> web.Response:
         handles = orjson.loads(await request.read())["handles"]
--- a/src/trefoilpaddle/standins/prefix_cache.py
+++ b/src/trefoilpaddle/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's prefix cache: hashed blocks in limited memory, least recently used."""
+"""Prefix cache of an engine: hashed blocks with least-recently-used eviction."""
 
 import random
 import time
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CacheEvent:
-    """One block stored or evicted.
+    """A block was stored or evicted.
 
     Parameters
     ----------
     seq : int
-        Rises by one with each event; a number that is missing was lost.
+        Sequence number, one higher for each event; a gap means a lost event.
     kind : str
         ``"stored"`` or ``"evicted"``.
     prefix_hash : int
-        Signed hash of the block and all before it.
+        Signed hash of the block and all preceding blocks.
     time_s : float
-        Monotonic clock of the engine.
+        Time of the event on the monotonic clock of the engine.
     """
 
     seq: int
@@ -38,11 +38,11 @@
     Parameters
     ----------
     n_blocks : int
-        Most blocks kept.
+        Largest number of cached blocks.
     gap_share : float
         Share of the events that are lost.
     seed : int
-        Of the draws that `gap_share` asks for.
+        Seed of the random draws for `gap_share`.
     """
 
     __slots__ = ("_blocks", "_events", "_gap_share", "_n_blocks", "_random", "_seq")
@@ -56,7 +56,7 @@
         self._seq = 0
 
     def n_cached(self, hashes: Sequence[int]) -> int:
-        """Return how many leading blocks of `hashes` are kept, and use them."""
+        """Return the number of leading cached blocks of `hashes`; mark them as used."""
         n_found = 0
         for block in hashes:
             if block not in self._blocks:
@@ -66,25 +66,25 @@
         return n_found
 
     def store(self, hashes: Sequence[int]) -> None:
-        """Keep the blocks of a prompt, its first ones the longest."""
+        """Cache the blocks of a prompt; its first blocks are evicted last."""
         for block in reversed(hashes[: self._n_blocks]):
             if block not in self._blocks:
                 self._blocks[block] = None
-                self._note("stored", block)
+                self._record_event("stored", block)
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._n_blocks:
             block, _ = self._blocks.popitem(last=False)
-            self._note("evicted", block)
+            self._record_event("evicted", block)
 
     def events(self, *, after: int, until_s: float) -> list[CacheEvent]:
-        """Return the events after number `after` that happened by `until_s`."""
+        """Return the events numbered above `after` that happened until `until_s`."""
         return [
             event
             for event in self._events
             if event.seq > after and event.time_s <= until_s
         ]
 
-    def _note(self, kind: str, block: int) -> None:
+    def _record_event(self, kind: str, block: int) -> None:
         self._seq += 1
         if self._random.random() < self._gap_share:
             return
--- a/src/trefoilpaddle/standins/record.py
+++ b/src/trefoilpaddle/standins/record.py
@@ -1,4 +1,4 @@
-"""What a stand-in ran, so that any outside script can audit it."""
+"""Record of what a stand-in ran, which tests and scripts can read."""
 
 import time
 from collections import Counter, deque
@@ -11,7 +11,7 @@
 
 @unique
 class Outcome(StrEnum):
-    """How a run ended."""
+    """State or outcome of a run."""
 
     RUNNING = "running"
     DONE = "done"
@@ -26,15 +26,15 @@
     Parameters
     ----------
     request_id, attempt_id : str
-        Ids of the call's headers.
+        Ids in the headers of the call.
     path : str
-        Path called.
+        Path of the call.
     input_digest : str
         Digest of the input.
     begin_s, end_s : float
-        Monotonic clock of the stand-in; `end_s` is 0 while it runs.
+        Times on the monotonic clock of the stand-in; `end_s` is 0 during the run.
     outcome : Outcome
-        How it ended.
+        State or outcome of the run.
     cost_s : float
         Target-seconds used so far.
     """
@@ -49,14 +49,14 @@
     cost_s: float = 0.0
 
     def end(self, outcome: Outcome) -> None:
-        """Note that the run ended now."""
+        """Record that the run ends now."""
         self.end_s = time.monotonic()
         self.outcome = outcome
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderRecord:
-    """One order that an engine was given."""
+    """One order that an engine received."""
 
     fence: int
     order: str
@@ -79,7 +79,7 @@
     def begin(
         self, *, request_id: str, attempt_id: str, path: str, input_digest: str
     ) -> Run:
-        """Note that a call starts now."""
+        """Record that a call starts now."""
         run = Run(
             request_id=request_id,
             attempt_id=attempt_id,
@@ -95,7 +95,7 @@
         self.effects[request_id, path] += 1
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all entries."""
         self.runs.clear()
         self.effects.clear()
         self.orders.clear()
--- a/src/trefoilpaddle/standins/revisions.py
+++ b/src/trefoilpaddle/standins/revisions.py
@@ -1,4 +1,4 @@
-"""Published values with rising revisions, and what changed after one of them."""
+"""History of published values, from which readers get changes by revision."""
 
 import time
 from bisect import bisect_right
@@ -18,13 +18,13 @@
     Parameters
     ----------
     key : str
-        The key.
+        Key that changed.
     revision : int
-        Revision that the change made.
+        Revision of the change.
     value : bytes
         JSON of the value; empty when the key was deleted.
     time_s : float
-        Monotonic clock when it was published.
+        Time of publication on the monotonic clock.
     """
 
     key: str
@@ -35,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Page:
-    """Changes after a revision, in order.
+    """Changes after a revision, in order of their revisions.
 
     Parameters
     ----------
     revision : int
-        Revision up to which the changes reach.
+        Revision up to which changes are included.
     changes : list of Change
-        The last change of each key that changed.
-    is_cut : bool
-        True if more changes follow.
+        Last change of each key that changed.
+    is_truncated : bool
+        True if the page was truncated and more changes follow.
     """
 
     revision: int
     changes: list[Change]
-    is_cut: bool
+    is_truncated: bool
 
     def as_json(self) -> bytes:
-        """Return the body of an answer."""
+        """Return the JSON body of the answer."""
         items = [
             {
                 "key": change.key,
@@ -62,7 +62,7 @@
             for change in self.changes
         ]
         body: dict[str, object] = {"revision": self.revision, "items": items}
-        if self.is_cut:
+        if self.is_truncated:
             body["more"] = True
         return orjson.dumps(body)
 
@@ -88,7 +88,7 @@
         return self._changes[-1].revision if self._changes else self._start
 
     def publish(self, key: str, value: bytes) -> int:
-        """Note a change now and return its revision; empty deletes the key."""
+        """Record a change and return its revision; an empty value deletes the key."""
         change = Change(
             key=key, revision=self.latest + 1, value=value, time_s=time.monotonic()
         )
@@ -103,12 +103,12 @@
         return False
 
     def visible(self, moment_s: float) -> int:
-        """Return the revision that was the latest at `moment_s`."""
+        """Return the latest revision at the monotonic time `moment_s`."""
         n_seen = bisect_right(self._changes, moment_s, key=lambda each: each.time_s)
         return self._changes[n_seen - 1].revision if n_seen else self._start
 
     def page(self, *, after: int, until: int) -> Page:
-        """Return what changed after revision `after`, up to `until`."""
+        """Return the changes after revision `after` up to revision `until`."""
         first = bisect_right(self._changes, after, key=lambda each: each.revision)
         last = bisect_right(self._changes, until, key=lambda each: each.revision)
         newest = {change.key: change for change in self._changes[first:last]}
@@ -117,6 +117,8 @@
         for change in sorted(newest.values(), key=lambda each: each.revision):
             n_bytes += len(change.value) + len(change.key)
             if taken and n_bytes > MAX_PAGE_BYTES:
-                return Page(revision=taken[-1].revision, changes=taken, is_cut=True)
+                return Page(
+                    revision=taken[-1].revision, changes=taken, is_truncated=True
+                )
             taken.append(change)
-        return Page(revision=until, changes=taken, is_cut=False)
+        return Page(revision=until, changes=taken, is_truncated=False)
--- a/src/trefoilpaddle/standins/running.py
+++ b/src/trefoilpaddle/standins/running.py
@@ -1,4 +1,4 @@
-"""A deployment that runs: its addresses, its processes, what can be done to them."""
+"""A running deployment: its addresses and the control of its processes."""
 
 import asyncio
 import itertools
@@ -17,17 +17,17 @@
 
 START_TIMEOUT_S: Final = 90.0
 STOP_TIMEOUT_S: Final = 60.0
-_LOOK_S: Final = 0.05
-_CUT_OFF: Final = re.compile(r'n_cut_off["=: ]+(\d+)')
+_POLL_S: Final = 0.05
+_N_INTERRUPTED: Final = re.compile(r'n_cut_off["=: ]+(\d+)')
 
 
 class DeploymentError(Exception):
-    """A process of the deployment did not come up or ended too early."""
+    """A process did not become ready, exited early or did not log its stop."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Published:
-    """One change of a catalogue value; None deleted it."""
+    """One change of a catalogue value; None means that it was deleted."""
 
     key: str
     value: dict[str, object] | None
@@ -36,21 +36,21 @@
 class Running:
     """A running deployment.
 
-    Names are those of the targets (their stand-ins), the process ids of
-    gateways and sidecars, and ``config``, ``hosts`` and ``weights``.
+    Processes are addressed by name: the name of a target for its stand-in, the
+    process id of a gateway or sidecar, or ``config``, ``hosts`` or ``weights``.
 
     Parameters
     ----------
     description : Description
-        What runs.
+        Description of the deployment.
     layout : Layout
-        Where it listens.
+        Addresses of its processes.
     children : dict of str to Child
-        Its processes.
+        Processes by name.
     folder : Path
-        Settings and logs.
+        Folder of the settings files and logs.
     session : aiohttp.ClientSession
-        For the stand-ins' admin.
+        Session for calls to the stand-ins and health checks.
     """
 
     __slots__ = (
@@ -84,7 +84,7 @@
 
     @property
     def gateways(self) -> tuple[str, ...]:
-        """Return the base URLs of the callers' ports."""
+        """Return the base URLs of the gateways for callers."""
         return tuple(f"http://{each.callers_address}" for each in self.layout.gateways)
 
     @property
@@ -112,11 +112,11 @@
     def targets_of(self, service: str) -> list[str]:
         """Return the names of a service's targets."""
         return [
-            place.name for place in self.layout.targets if place.service.name == service
+            each.name for each in self.layout.targets if each.service.name == service
         ]
 
     def sidecar_of(self, target: str) -> str:
-        """Return the process id of the sidecar beside `target`."""
+        """Return the process id of the sidecar of `target`."""
         return self.layout.target(target).sidecar
 
     def processes_in(self, failure_domain: str) -> list[str]:
@@ -128,7 +128,7 @@
         ]
 
     def system_processes(self) -> list[str]:
-        """Return the process ids of all gateways and sidecars that were started."""
+        """Return the process ids of all gateways and sidecars in the run."""
         return [name for name, _ in self._domains() if name in self.children]
 
     def _domains(self) -> Iterator[tuple[str, str]]:
@@ -138,28 +138,28 @@
             yield target.sidecar, target.failure_domain
 
     def kill(self, name: str) -> None:
-        """End a process at once, with SIGKILL."""
+        """Kill a process with SIGKILL."""
         self.children[name].send(signal.SIGKILL)
 
     def freeze(self, name: str) -> None:
-        """Keep a process from running, with SIGSTOP."""
+        """Suspend a process with SIGSTOP."""
         self.children[name].send(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with SIGCONT."""
         self.children[name].send(signal.SIGCONT)
 
     async def stop(self, name: str) -> int:
-        """End a process with SIGTERM and return its exit code."""
+        """Stop a process with SIGTERM and return its exit code."""
         child = self.children[name]
         child.send(signal.SIGTERM)
         return await child.wait(timeout_s=STOP_TIMEOUT_S)
 
     async def start(self, name: str) -> None:
-        """Start a process that has ended; return when it answers.
+        """Start a process again after its exit and wait until it is ready.
 
-        The platform's services come back with what was published and with the
-        revisions that it had; so would those with a disk.
+        The configuration service and the host list get all earlier changes again
+        and so the same revisions, like services that keep their data on disk.
         """
         child = self.children[name]
         await child.wait(timeout_s=STOP_TIMEOUT_S)
@@ -174,12 +174,12 @@
                     await self._put_hosts(hosts)
 
     async def drain(self) -> int:
-        """Stop all gateways, then all sidecars; return how many were cut off.
+        """Stop all gateways, then all sidecars; count the interrupted requests.
 
         Raises
         ------
         DeploymentError
-            If a process does not say how many it cut off.
+            If a process did not log how many requests it interrupted.
         """
         gateways = [gateway.process_id for gateway in self.layout.gateways]
         names = self.system_processes()
@@ -190,11 +190,11 @@
         return sum(self.n_cut_off(name) for name in names)
 
     def n_cut_off(self, name: str) -> int:
-        """Return how many requests a stopped process said it cut off."""
-        found = _CUT_OFF.findall(self.children[name].log.read_text())
+        """Return how many requests a process interrupted at its stop, from its log."""
+        found = _N_INTERRUPTED.findall(self.children[name].log.read_text())
         if not found:
             raise DeploymentError(
-                f"{name} does not say how many requests its stop cut off:\n"
+                f"{name} did not log how many requests its stop interrupted:\n"
                 f"{self.children[name].tail()}"
             )
         return int(found[-1])
@@ -206,21 +206,21 @@
             answer.raise_for_status()
 
     async def record(self, target: str) -> dict[str, Any]:
-        """Return what a target's stand-in has run."""
+        """Return the record of a target's stand-in."""
         async with self._session.get(f"{self.target_url(target)}/record") as answer:
             answer.raise_for_status()
             body: dict[str, Any] = await answer.json()
             return body
 
     async def publish(self, key: str, value: Mapping[str, object] | None) -> int:
-        """Publish a catalogue value, or delete it; return the revision."""
+        """Publish or delete (None) a catalogue value and return the revision."""
         change = _Published(key=key, value=None if value is None else dict(value))
         revision = await self._put(change)
         self._published.append(change)
         return revision
 
     async def publish_hosts(self, *, leaving: frozenset[str] | None = None) -> None:
-        """Publish the host list, with the named processes as leaving from now on."""
+        """Publish the host list; `leaving` replaces the set of leaving processes."""
         if leaving is not None:
             self._leaving = leaving
         hosts = self.layout.published_hosts(
@@ -247,12 +247,12 @@
     async def wait_ready(
         self, names: list[str], *, timeout_s: float = START_TIMEOUT_S
     ) -> None:
-        """Return when all named processes answer that they are ready.
+        """Wait until all named processes report that they are ready.
 
         Raises
         ------
         DeploymentError
-            If one ends, or is not ready in time; with the end of its log.
+            If one exits or is not ready in time, with the end of its log.
         """
         await asyncio.gather(*(self._wait_ready(name, timeout_s) for name in names))
 
@@ -263,7 +263,7 @@
         for _ in itertools.count():
             if not child.is_running:
                 raise DeploymentError(
-                    f"{name} ended with {child.exit_code}:\n{child.tail()}"
+                    f"{name} exited with {child.exit_code}:\n{child.tail()}"
                 )
             if await self._answers(url):
                 return
@@ -271,7 +271,7 @@
                 raise DeploymentError(
                     f"{name} is not ready after {timeout_s:g} s:\n{child.tail()}"
                 )
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
 
     async def _answers(self, url: str) -> bool:
         timeout = aiohttp.ClientTimeout(total=2.0)
--- a/src/trefoilpaddle/standins/sample_call.py
+++ b/src/trefoilpaddle/standins/sample_call.py
@@ -1,4 +1,4 @@
-"""Sends one sample to a gateway as a caller would and checks that it is whole."""
+"""Sends a sample to a gateway as a caller does and checks the answer."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Reply:
-    """What came back for a sample.
+    """Answer to a sample.
 
     Parameters
     ----------
     status : int
         HTTP status.
     request_id, entry, revision, reason : str
-        As the answer's headers tell them.
+        Values of the answer's headers.
     text : str
-        The answer.
+        Text of the answer.
     fault : str
-        Why it is not whole; empty when it is.
+        Why the answer is faulty; empty if it is complete.
     """
 
     status: int
@@ -60,7 +60,7 @@
 async def call_sample(
     session: aiohttp.ClientSession, gateway: str, sample: Sample, *, on_text: OnText
 ) -> Reply:
-    """Send `sample` to `gateway`, hand on its text as it comes, and check it.
+    """Send `sample`, pass on the text of the answer as it arrives, and check it.
 
     Raises
     ------
@@ -70,7 +70,7 @@
     url = f"{gateway}/v1/pipelines/{sample.pipeline}"
     headers = headers_of(sample)
     if sample.has_minted_id:
-        headers["X-Request-Id"] = await _mint(session, gateway, headers)
+        headers["X-Request-Id"] = await _generate_request_id(session, gateway, headers)
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with session.post(
         url, data=body_of(sample), headers=headers, timeout=timeout
@@ -86,15 +86,15 @@
             reply.fault = await _read_stream(answer, reply, on_text)
         else:
             reply.text = (await answer.read()).decode()
-            reply.fault = _fault_of_whole(reply)
+            reply.fault = _fault_of_answer(reply)
             on_text(reply.text)
     return reply
 
 
-async def _mint(
+async def _generate_request_id(
     session: aiohttp.ClientSession, gateway: str, headers: dict[str, str]
 ) -> str:
-    """Return an id under which a request runs at most once."""
+    """Request an id with which a request runs at most once."""
     async with session.post(f"{gateway}/v1/requests", headers=headers) as answer:
         answer.raise_for_status()
         return str((await answer.json())["request_id"])
@@ -103,10 +103,10 @@
 async def _read_stream(
     answer: aiohttp.ClientResponse, reply: Reply, on_text: OnText
 ) -> str:
-    """Read events into `reply`; return what is wrong with them."""
+    """Read events into `reply` and return their fault, or an empty string."""
     event = ""
-    async for raw in answer.content:
-        name, _, value = raw.decode().rstrip("\r\n").partition(": ")
+    async for line in answer.content:
+        name, _, value = line.decode().rstrip("\r\n").partition(": ")
         if name == "event":
             event = value
         if name != "data":
@@ -123,18 +123,18 @@
     return "the stream ended without its end event"
 
 
-def _fault_of_whole(reply: Reply) -> str:
+def _fault_of_answer(reply: Reply) -> str:
     if reply.status != 200:
         return f"status {reply.status}: {reply.text}"
     output = orjson.loads(reply.text)
     if "text_checksum" in output:
         return _fault_of_text(str(output["text"]), output)
-    return "" if "digest" in output else "the answer is not a target's"
+    return "" if "digest" in output else "the answer does not come from a target"
 
 
 def _fault_of_text(text: str, end: dict[str, Any]) -> str:
     if len(text.split()) != end["n_tokens"]:
-        return f"{len(text.split())} tokens came of {end['n_tokens']}"
+        return f"{len(text.split())} tokens received of {end['n_tokens']}"
     if digest(text.encode()) != end["text_checksum"]:
         return "the text does not match its checksum"
     return ""
--- a/src/trefoilpaddle/standins/web.py
+++ b/src/trefoilpaddle/standins/web.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share over HTTP: faults, record, serving."""
+"""HTTP functions that all stand-ins share: faults, record, serving."""
 
 import asyncio
 import contextlib
@@ -16,8 +16,8 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
-_UNFAULTED: Final = frozenset({"/fault", "/record"})
-_ADMIN: Final = "/admin/"
+_EXEMPT_PATHS: Final = frozenset({"/fault", "/record"})
+_ADMIN_PREFIX: Final = "/admin/"
 _FAULT: Final = TypeAdapter(Fault)
 
 
@@ -25,7 +25,7 @@
     """A stand-in that can be served."""
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the stand-in."""
         ...
 
 
@@ -42,7 +42,7 @@
 
 
 def not_run(detail: str, *, status: int = 503) -> web.Response:
-    """Return the refusal of a call that was not started."""
+    """Return the answer that refuses a call that was not run."""
     return json_answer({"detail": detail}, status=status, headers={"X-Not-Run": "1"})
 
 
@@ -50,8 +50,10 @@
     """Return an application with ``/fault``, ``/record`` and ``/health``."""
 
     @web.middleware
-    async def guard(request: web.Request, handler: Handler) -> web.StreamResponse:
-        if request.path in _UNFAULTED or request.path.startswith(_ADMIN):
+    async def apply_faults(
+        request: web.Request, handler: Handler
+    ) -> web.StreamResponse:
+        if request.path in _EXEMPT_PATHS or request.path.startswith(_ADMIN_PREFIX):
             return await handler(request)
         await faults.wait_unpaused()
         if faults.is_down:
@@ -75,7 +77,7 @@
     async def get_health(_: web.Request) -> web.Response:
         return json_answer({"status": "ok"})
 
-    app = web.Application(middlewares=[guard], client_max_size=MAX_BODY_BYTES)
+    app = web.Application(middlewares=[apply_faults], client_max_size=MAX_BODY_BYTES)
     app.router.add_post("/fault", post_fault)
     app.router.add_get("/record", get_record)
     app.router.add_delete("/record", delete_record)
@@ -84,7 +86,7 @@
 
 
 def abort_connection(request: web.Request) -> None:
-    """Break the connection of `request` without a closing handshake."""
+    """Abort the connection of `request` without a closing handshake."""
     if request.transport is not None:
         request.transport.abort()
 
@@ -98,11 +100,11 @@
     Parameters
     ----------
     app : web.Application
-        What is served.
+        Application to serve.
     ip : str
         Address to listen on.
     port : int
-        Port to listen on; 0 takes a free one.
+        Port to listen on; 0 selects a free one.
     """
     runner = web.AppRunner(
         app, handler_cancellation=True, access_log=None, shutdown_timeout=0.5
@@ -117,11 +119,11 @@
 
 
 async def serve_process(app: web.Application, *, listen: str) -> None:
-    """Serve `app` on ``ip:port`` until SIGTERM; print where it listens."""
+    """Serve `app` at ``ip:port`` until SIGTERM or SIGINT; print the address."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     ip, _, port = listen.rpartition(":")
     async with serving(app, ip=ip, port=int(port)) as base_url:
         print(f"listening {base_url.removeprefix('http://')}", flush=True)
--- a/src/trefoilpaddle/standins/weights.py
+++ b/src/trefoilpaddle/standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the weight store: octets at a limited rate."""
+"""Stand-in for the weight store: sends bytes at a limited rate."""
 
 import asyncio
 import math
@@ -20,19 +20,19 @@
     Parameters
     ----------
     size_bytes : int
-        Size of every model's weights.
+        Size of the weights of each model.
     bytes_per_s : float
-        Rate of one reading.
+        Rate of one download.
     max_readings : int
-        Readings at once; more are told to come back.
+        Largest number of concurrent downloads; others are refused with 429.
     time_scale : float
-        Multiplies the time that a reading takes.
+        Factor for the duration of a download.
     """
 
     __slots__ = (
         "_bytes_per_s",
-        "_max_readings",
-        "_n_readings",
+        "_max_downloads",
+        "_n_downloads",
         "_pace",
         "_size_bytes",
         "faults",
@@ -51,18 +51,18 @@
         self.record = Record()
         self._size_bytes = size_bytes
         self._bytes_per_s = bytes_per_s
-        self._max_readings = max_readings
-        self._n_readings = 0
+        self._max_downloads = max_readings
+        self._n_downloads = 0
         self._pace = Pace(time_scale=time_scale, jitter=0.0, seed=0, faults=self.faults)
 
     def application(self) -> web.Application:
-        """Return the application that answers for it."""
+        """Return the HTTP application of the weight store."""
         app = faulty_application(faults=self.faults, record=self.record)
         app.router.add_get("/v1/weights/{name}", self._get_weights)
         return app
 
     async def _get_weights(self, request: web.Request) -> web.StreamResponse:
-        if self._n_readings >= self._max_readings:
+        if self._n_downloads >= self._max_downloads:
             wait_s = math.ceil(self._pace.seconds(self._size_bytes / self._bytes_per_s))
             headers = {"Retry-After": str(max(1, wait_s))}
             return json_answer({"detail": "too many"}, status=429, headers=headers)
@@ -72,12 +72,12 @@
             path=request.path,
             input_digest="",
         )
-        self._n_readings += 1
+        self._n_downloads += 1
         try:
             response = await self._send(request)
             run.end(Outcome.DONE)
         finally:
-            self._n_readings -= 1
+            self._n_downloads -= 1
             if run.outcome is Outcome.RUNNING:
                 run.end(Outcome.CANCELLED)
         return response
@@ -87,11 +87,11 @@
         response.content_type = "application/octet-stream"
         response.content_length = self._size_bytes
         await response.prepare(request)
-        left = self._size_bytes
-        while left > 0:
-            n_bytes = min(left, _CHUNK_BYTES)
+        n_bytes_left = self._size_bytes
+        while n_bytes_left > 0:
+            n_bytes = min(n_bytes_left, _CHUNK_BYTES)
             await asyncio.sleep(self._pace.seconds(n_bytes / self._bytes_per_s))
             await response.write(bytes(n_bytes))
-            left -= n_bytes
+            n_bytes_left -= n_bytes
         await response.write_eof()
         return response
--- a/src/trefoilpaddle/standins/written_settings.py
+++ b/src/trefoilpaddle/standins/written_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of gateways and sidecars, written for one run."""
+"""Generates the settings files of gateways and sidecars for a run."""
 
 import json
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
     Parameters
     ----------
     policy, retention, stop, log, callers, platform : dict
-        Keys of the tables of these names; `callers` is for gateways alone.
+        Keys of the tables with these names; `callers` applies to gateways only.
     """
 
     policy: Table = field(default_factory=dict)
@@ -31,62 +31,68 @@
 
 
 def gateway_settings(
-    place: GatewayLayout, description: Description, layout: Layout, change: Overrides
+    gateway: GatewayLayout,
+    description: Description,
+    layout: Layout,
+    overrides: Overrides,
 ) -> str:
     """Return the TOML text of a gateway's settings."""
     process: Table = {
-        "host": place.host,
-        "failure_domain": place.failure_domain,
+        "host": gateway.host,
+        "failure_domain": gateway.failure_domain,
         "region": description.region,
-        "listen": place.peer_address,
-        "operators_listen": place.operators_address,
+        "listen": gateway.peer_address,
+        "operators_listen": gateway.operators_address,
     }
-    callers = {"listen": place.callers_address, **change.callers}
-    return _toml({"process": process, "callers": callers, **_common(layout, change)})
+    callers = {"listen": gateway.callers_address, **overrides.callers}
+    return _toml({"process": process, "callers": callers, **_common(layout, overrides)})
 
 
 def sidecar_settings(
-    place: TargetLayout, description: Description, layout: Layout, change: Overrides
+    target_layout: TargetLayout,
+    description: Description,
+    layout: Layout,
+    overrides: Overrides,
 ) -> str:
     """Return the TOML text of the settings of a target's sidecar."""
     process: Table = {
-        "host": place.name,
-        "failure_domain": place.failure_domain,
+        "host": target_layout.name,
+        "failure_domain": target_layout.failure_domain,
         "region": description.region,
-        "listen": place.peer_address,
-        "operators_listen": place.operators_address,
+        "listen": target_layout.peer_address,
+        "operators_listen": target_layout.operators_address,
     }
     target: Table = {
-        "name": place.name,
-        "service": place.service.name,
-        "kind": place.service.kind.value,
-        "url": f"http://{place.address}",
-        "fencing": place.service.fencing.value,
-        "lock_port": place.lock_port,
+        "name": target_layout.name,
+        "service": target_layout.service.name,
+        "kind": target_layout.service.kind.value,
+        "url": f"http://{target_layout.address}",
+        "fencing": target_layout.service.fencing.value,
+        "lock_port": target_layout.lock_port,
     }
-    return _toml({"process": process, "target": target, **_common(layout, change)})
+    return _toml({"process": process, "target": target, **_common(layout, overrides)})
 
 
-def _common(layout: Layout, change: Overrides) -> Tables:
+def _common(layout: Layout, overrides: Overrides) -> Tables:
     platform: Table = {
         "config_url": f"http://{layout.config_address}",
         "hosts_url": f"http://{layout.hosts_address}",
         "weight_store_url": f"http://{layout.weights_address}",
-        **change.platform,
+        **overrides.platform,
     }
     tables: Tables = {
         "platform": platform,
         "peers": {"seeds": layout.seeds()},
-        "policy": change.policy,
-        "retention": change.retention,
-        "stop": change.stop,
-        "log": change.log,
+        "policy": overrides.policy,
+        "retention": overrides.retention,
+        "stop": overrides.stop,
+        "log": overrides.log,
     }
     return {name: table for name, table in tables.items() if table}
 
 
 def _toml(tables: Tables) -> str:
-    """Return TOML; strings, numbers, flags and lists are spelled as in JSON."""
+    """Return TOML text; strings, numbers, flags and lists are written as in JSON."""
     lines: list[str] = []
     for name, table in tables.items():
         lines.append(f"[{name}]")
--- a/tests/test_standins_engine.py
+++ b/tests/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: batching, prefix cache, streams, orders."""
+"""Tests of the stand-in for an engine: batching, prefix cache, streams, orders."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,13 +22,13 @@
 FAST = BatchModel(
     max_batch=4, step_base_s=0.0005, step_per_prompt_s=0.0, prefill_per_token_s=0.0
 )
-STUCK = BatchModel(max_batch=1, step_base_s=60.0)
-LONG = " ".join(f"word{i}" for i in range(200))
+STALLED = BatchModel(max_batch=1, step_base_s=60.0)
+LONG_PROMPT = " ".join(f"word{i}" for i in range(200))
 
 
 @dataclass(slots=True, kw_only=True)
 class Stream:
-    """What an engine streamed."""
+    """Content of a stream that an engine sent."""
 
     text: str = ""
     finish_reason: str = ""
@@ -44,30 +44,30 @@
     async def complete(self, attempt: str, **body: object) -> Stream:
         headers = {"X-Attempt-Id": attempt, "X-Request-Id": f"r-{attempt}"}
         url = f"{self.url}/v1/completions"
-        async with self.session.post(url, json=body, headers=headers) as got:
-            got.raise_for_status()
-            return await read(got)
+        async with self.session.post(url, json=body, headers=headers) as response:
+            response.raise_for_status()
+            return await read(response)
 
     async def resume(self, attempt: str, n_seen: int) -> Stream:
         url = f"{self.url}/v1/resume/{attempt}?from_token={n_seen}"
-        async with self.session.get(url) as got:
-            got.raise_for_status()
-            return await read(got)
+        async with self.session.get(url) as response:
+            response.raise_for_status()
+            return await read(response)
 
     async def post(self, path: str, **body: object) -> tuple[int, Any]:
-        async with self.session.post(f"{self.url}{path}", json=body) as got:
-            return got.status, await got.json()
+        async with self.session.post(f"{self.url}{path}", json=body) as response:
+            return response.status, await response.json()
 
     async def get(self, path: str) -> Any:
-        async with self.session.get(f"{self.url}{path}") as got:
-            got.raise_for_status()
-            return await got.json()
+        async with self.session.get(f"{self.url}{path}") as response:
+            response.raise_for_status()
+            return await response.json()
 
 
-async def read(got: aiohttp.ClientResponse) -> Stream:
+async def read(response: aiohttp.ClientResponse) -> Stream:
     stream = Stream()
     try:
-        async for line in got.content:
+        async for line in response.content:
             if line.startswith(b"data: [DONE]"):
                 stream.is_done = True
             elif line.startswith(b"data: "):
@@ -87,7 +87,9 @@
 
 
 class TestAnswers:
-    async def test_are_the_prompts_own(self, session: aiohttp.ClientSession) -> None:
+    async def test_each_prompt_gets_its_own_answer(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         prompts = [f"prompt {i} mark:m{i}" for i in range(12)]
         engine = Engine(model=EngineModel(batch=FAST))
         async with serving(engine.application()) as url:
@@ -105,15 +107,15 @@
             assert stream.usage["completion_tokens"] == len(tokens)
             assert stream.is_done
 
-    async def test_model_that_is_not_loaded_is_not_run(
+    async def test_call_for_a_model_that_is_not_loaded_is_not_run(
         self, session: aiohttp.ClientSession
     ) -> None:
         engine = Engine(model=EngineModel(batch=FAST))
         async with serving(engine.application()) as url:
             body = {"prompt": "x", "model": "other"}
-            async with session.post(f"{url}/v1/completions", json=body) as got:
-                assert got.status == 404
-                assert got.headers["X-Not-Run"] == "1"
+            async with session.post(f"{url}/v1/completions", json=body) as response:
+                assert response.status == 404
+                assert response.headers["X-Not-Run"] == "1"
         assert not engine.record.runs
 
 
@@ -130,13 +132,13 @@
         engine = Engine(model=EngineModel(batch=model))
         async with serving(engine.application()) as url:
             one = await Client(session, url).complete("a", prompt="a b", max_tokens=1)
-        # One step works the prompt in, one decodes the only token.
+        # One step prefills the prompt, one decodes the only token.
         assert one.usage["cost_s"] == pytest.approx(0.003 + 0.002)
 
     async def test_waiting_prompts_start_by_priority_then_arrival(
         self, session: aiohttp.ClientSession
     ) -> None:
-        engine = Engine(model=EngineModel(batch=STUCK))
+        engine = Engine(model=EngineModel(batch=STALLED))
         async with serving(engine.application()) as url:
             client = Client(session, url)
             calls = []
@@ -149,10 +151,10 @@
                 call_task.cancel()
         assert order == ["a", "b", "c"]
 
-    async def test_more_prompts_than_the_batch_wait(
+    async def test_prompts_beyond_the_batch_size_wait(
         self, session: aiohttp.ClientSession
     ) -> None:
-        engine = Engine(model=EngineModel(batch=STUCK, load_lag_s=0.0))
+        engine = Engine(model=EngineModel(batch=STALLED, load_lag_s=0.0))
         async with serving(engine.application()) as url:
             client = Client(session, url)
             calls = [
@@ -167,21 +169,23 @@
 
 
 class TestPrefixCache:
-    def test_hashes_are_those_that_gateways_make(self) -> None:
-        assert tuple(prefix_hashes(LONG)) == prefix.prefix_hashes(LONG)
+    def test_hashes_equal_those_of_gateways(self) -> None:
+        assert tuple(prefix_hashes(LONG_PROMPT)) == prefix.prefix_hashes(LONG_PROMPT)
 
-    async def test_shared_prefix_is_not_worked_in_again(
+    async def test_shared_prefix_is_not_prefilled_again(
         self, session: aiohttp.ClientSession
     ) -> None:
         engine = Engine(model=EngineModel(batch=FAST, cache_event_gap_share=0.0))
         async with serving(engine.application()) as url:
             client = Client(session, url)
-            first = await client.complete("a", prompt=LONG, max_tokens=2)
-            second = await client.complete("b", prompt=f"{LONG} more", max_tokens=2)
+            first = await client.complete("a", prompt=LONG_PROMPT, max_tokens=2)
+            second = await client.complete(
+                "b", prompt=f"{LONG_PROMPT} more", max_tokens=2
+            )
         assert first.usage["prompt_tokens_details"]["cached_tokens"] == 0
         assert second.usage["prompt_tokens_details"]["cached_tokens"] == 192
 
-    async def test_least_recently_used_is_evicted_and_told(
+    async def test_least_recently_used_blocks_are_evicted_and_reported(
         self, session: aiohttp.ClientSession
     ) -> None:
         model = EngineModel(
@@ -194,13 +198,13 @@
         other = " ".join(f"other{i}" for i in range(64))
         async with serving(engine.application()) as url:
             client = Client(session, url)
-            await client.complete("a", prompt=LONG, max_tokens=1)
+            await client.complete("a", prompt=LONG_PROMPT, max_tokens=1)
             await client.complete("b", prompt=other, max_tokens=1)
-            again = await client.complete("c", prompt=LONG, max_tokens=1)
+            again = await client.complete("c", prompt=LONG_PROMPT, max_tokens=1)
             events = (await client.get("/cache-events?after=0"))["events"]
         assert again.usage["prompt_tokens_details"]["cached_tokens"] == 128
         evicted = [each["prefix_hash"] for each in events if each["kind"] == "evicted"]
-        assert evicted[:2] == list(reversed(prefix_hashes(LONG)))[:2]
+        assert evicted[:2] == list(reversed(prefix_hashes(LONG_PROMPT)))[:2]
 
     async def test_exported_cache_can_be_imported(
         self, session: aiohttp.ClientSession
@@ -211,24 +215,28 @@
             serving(old.application()) as old_url,
             serving(new.application()) as new_url,
         ):
-            await Client(session, old_url).complete("a", prompt=LONG, max_tokens=1)
-            async with session.get(f"{old_url}/v1/kv/a") as got:
-                exported = await got.read()
-            async with session.put(f"{new_url}/v1/kv/a", data=exported) as got:
-                assert got.status == 200
-            stream = await Client(session, new_url).complete("a", prompt=LONG)
+            await Client(session, old_url).complete(
+                "a", prompt=LONG_PROMPT, max_tokens=1
+            )
+            async with session.get(f"{old_url}/v1/kv/a") as response:
+                exported = await response.read()
+            async with session.put(f"{new_url}/v1/kv/a", data=exported) as response:
+                assert response.status == 200
+            stream = await Client(session, new_url).complete("a", prompt=LONG_PROMPT)
         assert stream.usage["prompt_tokens_details"]["cached_tokens"] == 192
 
-    async def test_events_come_late(self, session: aiohttp.ClientSession) -> None:
+    async def test_events_are_published_late(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         engine = Engine(model=EngineModel(batch=FAST, cache_event_lag_s=50.0))
         async with serving(engine.application()) as url:
             client = Client(session, url)
-            await client.complete("a", prompt=LONG, max_tokens=1)
+            await client.complete("a", prompt=LONG_PROMPT, max_tokens=1)
             assert await client.get("/cache-events?after=0") == {"seq": 0, "events": []}
 
 
-class TestBrokenStream:
-    async def test_goes_on_where_it_was_cut(
+class TestInterruptedStream:
+    async def test_resumes_where_it_was_interrupted(
         self, session: aiohttp.ClientSession
     ) -> None:
         engine = Engine(model=EngineModel(batch=FAST))
@@ -242,21 +250,23 @@
         assert head.text + rest.text == " ".join(engine_output("x y", 30))
         assert len(engine.record.runs) == 1
 
-    async def test_is_cancelled_when_nobody_resumes(
+    async def test_is_cancelled_without_a_reader(
         self, session: aiohttp.ClientSession
     ) -> None:
-        engine = Engine(model=EngineModel(batch=STUCK, resume_s=0.02))
+        engine = Engine(model=EngineModel(batch=STALLED, resume_s=0.02))
         async with serving(engine.application()) as url:
             client = Client(session, url)
             call = asyncio.ensure_future(client.complete("a", prompt="x"))
             await until(lambda: bool(engine.record.runs))
             call.cancel()
             await until(lambda: engine.record.runs[0].outcome is Outcome.CANCELLED)
-            async with session.get(f"{url}/v1/resume/a") as got:
-                assert got.status == 404
+            async with session.get(f"{url}/v1/resume/a") as response:
+                assert response.status == 404
 
-    async def test_cancel_ends_it(self, session: aiohttp.ClientSession) -> None:
-        engine = Engine(model=EngineModel(batch=STUCK))
+    async def test_cancel_ends_the_generation(
+        self, session: aiohttp.ClientSession
+    ) -> None:
+        engine = Engine(model=EngineModel(batch=STALLED))
         async with serving(engine.application()) as url:
             client = Client(session, url)
             call = asyncio.ensure_future(client.complete("a", prompt="x"))
@@ -297,7 +307,7 @@
             slow = await client.complete("b", prompt="x", max_tokens=1)
         assert slow.usage["cost_s"] == pytest.approx(7 * fresh.usage["cost_s"])
 
-    async def test_fail_runs_nothing_further(
+    async def test_fail_fault_records_a_failed_run(
         self, session: aiohttp.ClientSession
     ) -> None:
         engine = Engine(model=EngineModel(batch=FAST))
@@ -315,7 +325,7 @@
 
 class TestOrders:
     @pytest.mark.parametrize(("is_fenced", "status"), [(True, 409), (False, 200)])
-    async def test_old_fence(
+    async def test_order_with_an_old_fencing_number(
         self, session: aiohttp.ClientSession, is_fenced: bool, status: int
     ) -> None:
         model = EngineModel(batch=FAST, is_fenced=is_fenced, load_s=0.0)
@@ -343,9 +353,9 @@
     ) -> None:
         """An older order must not take effect after a newer one.
 
-        A user sees an unloaded model come back: a sidecar orders a load, is
-        paused while the weights come, its successor orders other things with
-        a newer fencing number, then the load ends.
+        Otherwise an unloaded model is loaded again: a sidecar orders a load and
+        is paused during the load, its successor sends other orders with a newer
+        fencing number, and then the load completes.
         """
         engine = Engine(model=EngineModel(batch=FAST, load_s=0.05))
         async with serving(engine.application()) as url:
--- a/tests/test_standins_launcher.py
+++ b/tests/test_standins_launcher.py
@@ -1,4 +1,4 @@
-"""The launcher: processes up, frozen, killed, stopped, started, all ended."""
+"""Tests of the launcher: start, suspension, kill, stop and restart of processes."""
 
 import contextlib
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 class TestExamples:
     @pytest.mark.parametrize("name", DEPLOYMENTS)
-    def test_catalogue_has_no_fault_and_no_warning(self, name: str) -> None:
+    def test_catalogue_has_no_problem_and_no_warning(self, name: str) -> None:
         checked = check_path(EXAMPLES / name / "catalogue")
         assert [str(each) for each in checked.problems + checked.warnings] == []
 
@@ -37,13 +37,13 @@
     def test_written_settings_are_accepted(self, name: str, tmp_path: Path) -> None:
         description = load_description(EXAMPLES / name)
         layout = make_layout(description)
-        change = Overrides(policy={"choice": "round_robin", "hedge": False})
+        overrides = Overrides(policy={"choice": "round_robin", "hedge": False})
         path = tmp_path / "settings.toml"
         for gateway in layout.gateways:
-            path.write_text(gateway_settings(gateway, description, layout, change))
+            path.write_text(gateway_settings(gateway, description, layout, overrides))
             assert not load_gateway(path).ok().policy.hedge  # type: ignore[union-attr]
         for target in layout.targets:
-            path.write_text(sidecar_settings(target, description, layout, change))
+            path.write_text(sidecar_settings(target, description, layout, overrides))
             assert load_sidecar(path).is_ok()
 
     @pytest.mark.parametrize("name", DEPLOYMENTS)
@@ -61,7 +61,7 @@
 
 
 class TestDeployment:
-    async def test_stand_ins_live_through_faults_and_end(self) -> None:
+    async def test_stand_ins_restart_after_faults_and_exit_at_the_end(self) -> None:
         folder = EXAMPLES / "small"
         description = load_description(folder)
         async with deployment(
@@ -81,22 +81,22 @@
             await running.start("encode-1")
             await running.set_fault("encode-1", {"kind": "down"})
             url = f"{running.target_url('encode-1')}/encode"
-            async with aiohttp.request("POST", url, json={}) as got:
-                assert got.status == 503
+            async with aiohttp.request("POST", url, json={}) as response:
+                assert response.status == 503
             assert (await running.record("encode-1"))["runs"] == []
             published = await running.publish("account/new", {"token_sha256": ""})
             assert await running.publish("account/new", None) == published + 1
             values = f"{running.config_url}/v1/values"
-            async with aiohttp.request("GET", values) as got:
-                before = await got.json()
+            async with aiohttp.request("GET", values) as response:
+                before = await response.json()
             running.kill("config")
             await running.start("config")
-            async with aiohttp.request("GET", values) as got:
-                assert await got.json() == before
+            async with aiohttp.request("GET", values) as response:
+                assert await response.json() == before
             pids = [each.pid for each in running.children.values()]
         assert not [pid for pid in pids if psutil.pid_exists(pid)]
 
-    async def test_all_processes_end_when_the_test_fails(self) -> None:
+    async def test_all_processes_exit_when_the_test_fails(self) -> None:
         folder = EXAMPLES / "small"
         pids: list[int] = []
         with contextlib.suppress(ZeroDivisionError):
@@ -108,12 +108,14 @@
         assert pids
         assert not [pid for pid in pids if psutil.pid_exists(pid)]
 
-    async def test_tells_the_log_of_a_process_that_does_not_come_up(self) -> None:
+    async def test_error_contains_the_log_of_a_process_that_does_not_start(
+        self,
+    ) -> None:
         folder = EXAMPLES / "small"
         description = load_description(folder)
-        change = Overrides(policy={"choice": "nearest"})
+        overrides = Overrides(policy={"choice": "nearest"})
         with pytest.raises(DeploymentError, match="nearest"):
             async with deployment(
-                description, load_catalogue(folder), overrides=change
+                description, load_catalogue(folder), overrides=overrides
             ):
                 pass
--- a/tests/test_standins_platform.py
+++ b/tests/test_standins_platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform: configuration service, host list, weight store."""
+"""Tests of the stand-ins for configuration service, host list and weight store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,19 +21,21 @@
 
 
 class TestConfig:
-    async def test_revisions_rise_and_differences_are_read(
+    async def test_revisions_rise_and_changes_are_read(
         self, session: aiohttp.ClientSession
     ) -> None:
         async with serving(Config(start_revision=40).application()) as url:
             for key in ("entry/a", "entry/b", "entry/a"):
-                async with session.put(f"{url}/admin/values/{key}", json={}) as got:
-                    assert got.status == 200
-            async with session.delete(f"{url}/admin/values/entry/b") as got:
-                assert await got.json() == {"revision": 44}
-            async with session.get(f"{url}/v1/values?after=41") as got:
-                page = await got.json()
-            async with session.get(f"{url}/admin/reads") as got:
-                reads = await got.json()
+                async with session.put(
+                    f"{url}/admin/values/{key}", json={}
+                ) as response:
+                    assert response.status == 200
+            async with session.delete(f"{url}/admin/values/entry/b") as response:
+                assert await response.json() == {"revision": 44}
+            async with session.get(f"{url}/v1/values?after=41") as response:
+                page = await response.json()
+            async with session.get(f"{url}/admin/reads") as response:
+                reads = await response.json()
         assert page["revision"] == 44
         assert page["items"] == [
             {"key": "entry/a", "revision": 43, "value": {}},
@@ -41,7 +43,9 @@
         ]
         assert reads["n_reads"] == 1
 
-    async def test_pages_hold_a_megabyte(self, session: aiohttp.ClientSession) -> None:
+    async def test_pages_are_limited_to_a_megabyte(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         config = Config()
         for i in range(5):
             config.publish(f"entry/{i}", {"text": "x" * 400_000})
@@ -49,8 +53,8 @@
         after = 0
         async with serving(config.application()) as url:
             while True:
-                async with session.get(f"{url}/v1/values?after={after}") as got:
-                    page = await got.json()
+                async with session.get(f"{url}/v1/values?after={after}") as response:
+                    page = await response.json()
                 seen += [item["key"] for item in page["items"]]
                 after = page["revision"]
                 if not page.get("more"):
@@ -58,7 +62,7 @@
                 assert len(page["items"]) == 2
         assert seen == [f"entry/{i}" for i in range(5)]
 
-    async def test_watch_answers_on_a_change(
+    async def test_watch_returns_at_a_change(
         self, session: aiohttp.ClientSession
     ) -> None:
         config = Config()
@@ -70,19 +74,23 @@
             config.publish("entry/a", {"x": 1})
             body = await (await watch).json()
             assert body["items"][0]["value"] == {"x": 1}
-            async with session.get(f"{url}/v1/watch?after=1&timeout_s=0.01") as got:
-                assert (await got.json())["items"] == []
+            async with session.get(
+                f"{url}/v1/watch?after=1&timeout_s=0.01"
+            ) as response:
+                assert (await response.json())["items"] == []
 
-    async def test_refuses_over_its_rate(self, session: aiohttp.ClientSession) -> None:
+    async def test_reads_over_the_rate_are_refused(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         async with serving(Config(reads_per_s=2.0).application()) as url:
             statuses = []
             for _ in range(4):
-                async with session.get(f"{url}/v1/values") as got:
-                    statuses.append(got.status)
+                async with session.get(f"{url}/v1/values") as response:
+                    statuses.append(response.status)
         assert statuses[:2] == [200, 200]
         assert 429 in statuses
 
-    async def test_stale_hides_changes_until_healed(
+    async def test_stale_fault_hides_changes_until_healed(
         self, session: aiohttp.ClientSession
     ) -> None:
         config = Config()
@@ -90,13 +98,13 @@
         async with serving(config.application()) as url:
             config.faults.set(Fault(kind=FaultKind.STALE))
             config.publish("entry/a", {"v": 2})
-            async with session.get(f"{url}/v1/values") as got:
-                assert (await got.json())["items"][0]["value"] == {"v": 1}
+            async with session.get(f"{url}/v1/values") as response:
+                assert (await response.json())["items"][0]["value"] == {"v": 1}
             config.faults.set(Fault(kind=FaultKind.HEAL))
-            async with session.get(f"{url}/v1/values") as got:
-                assert (await got.json())["items"][0]["value"] == {"v": 2}
+            async with session.get(f"{url}/v1/values") as response:
+                assert (await response.json())["items"][0]["value"] == {"v": 2}
 
-    async def test_down_refuses_waiting_watches(
+    async def test_down_fault_refuses_waiting_watches(
         self, session: aiohttp.ClientSession
     ) -> None:
         config = Config()
@@ -105,55 +113,61 @@
             await until(lambda: config.reads.n_watches > 0)
             config.faults.set(Fault(kind=FaultKind.DOWN))
             assert (await watch).status == 503
-            async with session.get(f"{url}/v1/values") as got:
-                assert got.status == 503
+            async with session.get(f"{url}/v1/values") as response:
+                assert response.status == 503
 
-    async def test_refuses_a_value_over_a_megabyte(
+    async def test_value_over_a_megabyte_is_refused(
         self, session: aiohttp.ClientSession
     ) -> None:
         async with serving(Config().application()) as url:
             body = {"text": "x" * 1_100_000}
-            async with session.put(f"{url}/admin/values/entry/a", json=body) as got:
-                assert got.status == 413
+            async with session.put(
+                f"{url}/admin/values/entry/a", json=body
+            ) as response:
+                assert response.status == 413
 
 
 class TestHosts:
-    async def test_lags(self, session: aiohttp.ClientSession) -> None:
+    async def test_changes_are_published_late(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         hosts = Hosts(lag_s=30.0)
         async with serving(hosts.application()) as url:
             body = {"hosts": [{"name": "h1"}]}
-            async with session.put(f"{url}/admin/hosts", json=body) as got:
-                assert await got.json() == {"revision": 1}
-            async with session.get(f"{url}/v1/hosts") as got:
-                assert await got.json() == {"revision": 0, "hosts": []}
+            async with session.put(f"{url}/admin/hosts", json=body) as response:
+                assert await response.json() == {"revision": 1}
+            async with session.get(f"{url}/v1/hosts") as response:
+                assert await response.json() == {"revision": 0, "hosts": []}
 
-    async def test_publishes(self, session: aiohttp.ClientSession) -> None:
+    async def test_published_hosts_are_read(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         hosts = Hosts()
         hosts.publish([{"name": "h1"}])
         async with (
             serving(hosts.application()) as url,
-            session.get(f"{url}/v1/hosts") as got,
+            session.get(f"{url}/v1/hosts") as response,
         ):
-            assert await got.json() == {"revision": 1, "hosts": [{"name": "h1"}]}
+            assert await response.json() == {"revision": 1, "hosts": [{"name": "h1"}]}
 
 
 class TestWeights:
-    async def test_tells_a_reader_over_the_rate_to_come_back(
+    async def test_download_over_the_limit_gets_retry_after(
         self, session: aiohttp.ClientSession
     ) -> None:
         weights = Weights(size_bytes=10_000, bytes_per_s=1_000.0, max_readings=1)
         async with serving(weights.application()) as url:
             first = asyncio.ensure_future(session.get(f"{url}/v1/weights/base"))
             await until(lambda: bool(weights.record.runs))
-            async with session.get(f"{url}/v1/weights/base") as got:
-                assert got.status == 429
-                assert got.headers["Retry-After"] == "10"
+            async with session.get(f"{url}/v1/weights/base") as response:
+                assert response.status == 429
+                assert response.headers["Retry-After"] == "10"
             first.cancel()
 
-    async def test_gives_the_octets(self, session: aiohttp.ClientSession) -> None:
+    async def test_all_bytes_are_sent(self, session: aiohttp.ClientSession) -> None:
         weights = Weights(size_bytes=100_000, bytes_per_s=1e9)
         async with (
             serving(weights.application()) as url,
-            session.get(f"{url}/v1/weights/base") as got,
+            session.get(f"{url}/v1/weights/base") as response,
         ):
-            assert len(await got.read()) == 100_000
+            assert len(await response.read()) == 100_000
--- a/tests/test_standins_targets.py
+++ b/tests/test_standins_targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of pool and plain service: slots, record, faults, answers."""
+"""Tests of the stand-in for pools and plain services: slots, record, faults."""
 
 import asyncio
 import itertools
@@ -20,20 +20,24 @@
         yield session
 
 
-def ids(n: int) -> dict[str, str]:
+def id_headers(n: int) -> dict[str, str]:
     return {"X-Request-Id": f"r{n}", "X-Attempt-Id": f"{n:032x}"}
 
 
 class TestCallService:
-    async def test_answers_by_input_alone(self, session: aiohttp.ClientSession) -> None:
+    async def test_answer_depends_on_the_input_alone(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         service = CallService(model=CallModel(base_s=0.001))
         body = b'{"previous": null, "input": "a mark:x1 b"}'
         async with serving(service.application()) as url:
-            async with session.post(f"{url}/encode", data=body, headers=ids(1)) as got:
-                answer = await got.json()
-                cost_s = float(got.headers["X-Cost-S"])
-            async with session.get(f"{url}/record") as got:
-                record = await got.json()
+            async with session.post(
+                f"{url}/encode", data=body, headers=id_headers(1)
+            ) as response:
+                answer = await response.json()
+                cost_s = float(response.headers["X-Cost-S"])
+            async with session.get(f"{url}/record") as response:
+                record = await response.json()
         spaced = b'{"input":"a mark:x1 b","previous":null}'
         assert answer == call_output("/encode", spaced)
         assert answer["marks"] == ["mark:x1"]
@@ -49,8 +53,10 @@
         async with serving(service.application()) as url:
 
             async def call(n: int) -> None:
-                async with session.post(f"{url}/x", data=b"{}", headers=ids(n)) as got:
-                    await got.read()
+                async with session.post(
+                    f"{url}/x", data=b"{}", headers=id_headers(n)
+                ) as response:
+                    await response.read()
 
             await asyncio.gather(*(call(n) for n in range(20)))
         runs = list(service.record.runs)
@@ -58,33 +64,35 @@
         for earlier, later in itertools.pairwise(runs):
             assert later.begin_s >= earlier.end_s
 
-    async def test_says_not_run_when_full(self, session: aiohttp.ClientSession) -> None:
+    async def test_call_is_refused_as_not_run_when_full(
+        self, session: aiohttp.ClientSession
+    ) -> None:
         model = CallModel(n_slots=1, base_s=30.0, max_waiting=0)
         service = CallService(model=model)
         async with serving(service.application()) as url:
             first = asyncio.ensure_future(session.post(f"{url}/x", data=b"{}"))
             await until(lambda: bool(service.record.runs))
-            async with session.post(f"{url}/x", data=b"{}") as got:
-                assert got.status == 503
-                assert got.headers["X-Not-Run"] == "1"
+            async with session.post(f"{url}/x", data=b"{}") as response:
+                assert response.status == 503
+                assert response.headers["X-Not-Run"] == "1"
             first.cancel()
         assert len(service.record.runs) == 1
 
-    async def test_counts_an_effect_even_when_the_caller_leaves(
+    async def test_effect_is_counted_when_the_caller_disconnects(
         self, session: aiohttp.ClientSession
     ) -> None:
         model = CallModel(base_s=0.05, once_paths=("/hold",))
         service = CallService(model=model)
         async with serving(service.application()) as url:
             call = asyncio.ensure_future(
-                session.post(f"{url}/hold", data=b"{}", headers=ids(7))
+                session.post(f"{url}/hold", data=b"{}", headers=id_headers(7))
             )
             await until(lambda: bool(service.record.runs))
             call.cancel()
             await until(lambda: service.record.runs[0].outcome != "running")
         assert service.record.effects == {("r7", "/hold"): 1}
 
-    async def test_cancels_when_the_caller_leaves(
+    async def test_call_is_cancelled_when_the_caller_disconnects(
         self, session: aiohttp.ClientSession
     ) -> None:
         service = CallService(model=CallModel(base_s=30.0))
@@ -96,19 +104,21 @@
         assert service.record.runs[0].outcome == "cancelled"
 
     @pytest.mark.parametrize("path", ["/x", "/hold"])
-    async def test_faults(self, session: aiohttp.ClientSession, path: str) -> None:
+    async def test_faults_take_effect_and_are_healed(
+        self, session: aiohttp.ClientSession, path: str
+    ) -> None:
         model = CallModel(base_s=0.001, once_paths=("/hold",))
         service = CallService(model=model)
         async with serving(service.application()) as url:
 
             async def fault(**body: object) -> None:
-                async with session.post(f"{url}/fault", json=body) as got:
-                    assert got.status == 200
+                async with session.post(f"{url}/fault", json=body) as response:
+                    assert response.status == 200
 
             async def call() -> int:
-                async with session.post(f"{url}{path}", data=b"{}") as got:
-                    await got.read()
-                    return got.status
+                async with session.post(f"{url}{path}", data=b"{}") as response:
+                    await response.read()
+                    return response.status
 
             await fault(kind="fail", share=1.0)
             assert await call() == 500
@@ -126,8 +136,8 @@
             assert not waiting.done()
             await fault(kind="heal")
             assert await waiting == 200
-            async with session.post(f"{url}/fault", json={"kind": "no"}) as got:
-                assert got.status == 400
+            async with session.post(f"{url}/fault", json={"kind": "no"}) as response:
+                assert response.status == 400
         outcomes = [run.outcome for run in service.record.runs]
         assert outcomes == ["failed", "done", "done"]
 
@@ -137,18 +147,18 @@
         service = CallService(model=CallModel(base_s=0.001, s_per_kb=0.0))
         async with serving(service.application()) as url:
             body = {"kind": "slow", "factor": 7.0}
-            async with session.post(f"{url}/fault", json=body) as got:
-                assert got.status == 200
-            async with session.post(f"{url}/x", data=b"{}") as got:
-                assert float(got.headers["X-Cost-S"]) == pytest.approx(0.007)
+            async with session.post(f"{url}/fault", json=body) as response:
+                assert response.status == 200
+            async with session.post(f"{url}/x", data=b"{}") as response:
+                assert float(response.headers["X-Cost-S"]) == pytest.approx(0.007)
 
-    async def test_load_lags(self, session: aiohttp.ClientSession) -> None:
+    async def test_load_is_reported_late(self, session: aiohttp.ClientSession) -> None:
         service = CallService(model=CallModel(base_s=30.0, load_lag_s=20.0))
         async with serving(service.application()) as url:
             call = asyncio.ensure_future(session.post(f"{url}/x", data=b"{}"))
             await until(lambda: bool(service.record.runs))
-            async with session.get(f"{url}/load") as got:
-                load = await got.json()
+            async with session.get(f"{url}/load") as response:
+                load = await response.json()
             call.cancel()
         assert load["n_running"] == 0
         assert load["age_s"] >= 20.0
