--- a/src/trefoilpaddle/standins/batching.py
+++ b/src/trefoilpaddle/standins/batching.py
@@ -142,7 +142,7 @@
             self._finish_step(step_s, prefills)
 
     def _admit(self) -> None:
-        """Fill the batch by priority, then arrival; drop ended ones."""
+        """Fill the batch by priority, then arrival; drop ended generations."""
         self._running = [each for each in self._running if not each.has_ended]
         while self._waiting and len(self._running) < self._model.max_batch:
             _, _, generation = heapq.heappop(self._waiting)
--- a/src/trefoilpaddle/standins/calls.py
+++ b/src/trefoilpaddle/standins/calls.py
@@ -141,7 +141,7 @@
                 path=request.path,
                 input_digest=digest(body),
             )
-            if self.faults.has_failure():
+            if self.faults.draw_failure():
                 run.end(Outcome.FAILED)
                 return json_answer({"detail": "fault: fail"}, status=500)
             model = self.model
@@ -160,7 +160,7 @@
             run.end(Outcome.DONE)
         headers = {"X-Cost-S": f"{cost_s:.6f}", "X-Target": self.name}
         answer = json_answer(call_output(request.path, body), headers=headers)
-        if self.faults.has_cut():
+        if self.faults.draw_cut():
             return await _send_half(request, answer)
         return answer
 
--- a/src/trefoilpaddle/standins/demo.py
+++ b/src/trefoilpaddle/standins/demo.py
@@ -39,7 +39,7 @@
     console = Console(highlight=False)
     folder = EXAMPLES / name
     if not (folder / "deployment.toml").is_file():
-        console.print(f"no deployment {name!r}; give one of {', '.join(_names())}")
+        console.print(f"no deployment {name!r}; choose one of {', '.join(_names())}")
         return 2
     description = load_description(folder)
     _print_plan(console, description)
@@ -75,7 +75,7 @@
 
 
 async def _send_samples(console: Console, running: Running) -> int:
-    """Send each sample in turn; return the signal_number of faulty answers."""
+    """Send each sample in turn; return the number of faulty answers."""
     n_faulty = 0
     async with aiohttp.ClientSession() as session:
         for index, sample in enumerate(running.description.samples):
@@ -141,10 +141,10 @@
             console.print(Text(line), soft_wrap=True)
     first = running.layout.gateways[0].process_id
     url = running.operators_url(first)
-    console.print("\n# Why was it served as it was, and how is the fleet?")
+    console.print("\n# Explain a request, and show the status of the fleet")
     console.print(f"python -m trefoilpaddle explain REQUEST_ID --at={url}")
     console.print(f"python -m trefoilpaddle status --at={url}")
-    console.print("\n# Publish a change, as the platform's own tool would")
+    console.print("\n# Publish a change, as the tool of the platform does")
     console.print(
         f"curl -X PUT {running.config_url}/admin/values/entry/NAME -d @FILE.json"
     )
--- a/src/trefoilpaddle/standins/engine.py
+++ b/src/trefoilpaddle/standins/engine.py
@@ -181,7 +181,7 @@
         if self.batch.is_full:
             return not_run(f"{self.name} has no room to wait")
         generation = self._begin(request, completion)
-        if self.faults.has_failure():
+        if self.faults.draw_failure():
             generation.end(Outcome.FAILED)
             return json_answer({"detail": "fault: fail"}, status=500)
         self.batch.add(generation)
@@ -192,7 +192,7 @@
             generation,
             faults=self.faults,
             n_sent=0,
-            has_cut=self.faults.has_cut(),
+            is_cut=self.faults.draw_cut(),
         )
 
     def _begin(self, request: web.Request, completion: Completion) -> Generation:
@@ -223,7 +223,7 @@
             generation,
             faults=self.faults,
             n_sent=_query_int(request, "from_token"),
-            has_cut=False,
+            is_cut=False,
         )
 
     async def _post_cancel(self, request: web.Request) -> web.Response:
--- a/src/trefoilpaddle/standins/engine_stream.py
+++ b/src/trefoilpaddle/standins/engine_stream.py
@@ -36,7 +36,7 @@
     *,
     faults: Faults,
     n_sent: int,
-    has_cut: bool,
+    is_cut: bool,
 ) -> web.StreamResponse:
     """Send the tokens after the first `n_sent` as they are decoded.
 
@@ -50,11 +50,11 @@
         Faults that are set; a pause stops the stream.
     n_sent : int
         Number of tokens that the reader already has.
-    has_cut : bool
+    is_cut : bool
         True aborts the connection halfway; the generation continues.
     """
     response = web.StreamResponse(headers=_HEADERS)
-    n_before_cut = len(generation.tokens) // 2 if has_cut else None
+    n_before_cut = len(generation.tokens) // 2 if is_cut else None
     with _reader(generation):
         await response.prepare(request)
         while n_sent < generation.n_decoded or not generation.has_ended:
--- a/src/trefoilpaddle/standins/faults.py
+++ b/src/trefoilpaddle/standins/faults.py
@@ -102,12 +102,12 @@
         """Return True while every call is refused."""
         return self._get(FaultKind.DOWN) is not None
 
-    def has_failure(self) -> bool:
-        """Draw whether the current call fails."""
+    def draw_failure(self) -> bool:
+        """Return True if the current call fails, drawn by `share`."""
         return self._draw(FaultKind.FAIL)
 
-    def has_cut(self) -> bool:
-        """Draw whether the answer to the current call is interrupted."""
+    def draw_cut(self) -> bool:
+        """Return True if the current answer is interrupted, drawn by `share`."""
         return self._draw(FaultKind.CUT)
 
     def visible_s(self, lag_s: float) -> float:
--- a/src/trefoilpaddle/standins/platform/demo.py
+++ b/src/trefoilpaddle/standins/platform/demo.py
@@ -1,4 +1,4 @@
-"""Demo on the stand-in platform: two gateways, of which one is killed, one stopped."""
+"""Demo on the stand-in platform: one of two gateways is killed, the other stopped."""
 
 import asyncio
 import signal
