--- a/tests/soak/soak_restores.py
+++ b/tests/soak/soak_restores.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from trefoilpaddle.standins.platform.site import Site
-from trefoilpaddle.standins.platform.store import StoreCopy
+from trefoilpaddle.standins.platform.store import StoreBackup
 
 BACKUP_PERIOD_S: Final = 0.25
 N_BACKUPS: Final = 40
@@ -38,7 +38,7 @@
     def __init__(self, *, site: Site, rng: random.Random) -> None:
         self._store = site.store
         self._rng = rng
-        self._backups: list[StoreCopy] = []
+        self._backups: list[StoreBackup] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.written: dict[str, object] = {}
 
@@ -67,15 +67,15 @@
         n_back = min(len(self._backups), 1 + int(age_s / BACKUP_PERIOD_S))
         if not n_back:
             return
-        self._store.return_from(self._backups[-n_back])
-        self._backups = [self._store.copy()]
+        self._store.restore_from(self._backups[-n_back])
+        self._backups = [self._store.take_backup()]
         task = asyncio.create_task(self._rewrite(self._store.era))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _take_backups(self) -> None:
         while True:
-            self._backups.append(self._store.copy())
+            self._backups.append(self._store.take_backup())
             del self._backups[:-N_BACKUPS]
             await asyncio.sleep(BACKUP_PERIOD_S)
 
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -149,7 +149,7 @@
     async def restart_worker(self, service: str) -> None:
         """Crash the newest worker of a service and start it under the same id."""
         worker_id = self.by_service[service][-1]
-        self.site.workers[worker_id].start_again()
+        self.site.workers[worker_id].restart()
         self.relays[worker_id].disconnect()
         await asyncio.sleep(RESTART_S)
         self.write_listing(worker_id, service)
@@ -251,9 +251,9 @@
                 return None
             case InterruptAnswers(service=service, for_s=for_s):
                 worker = site.site.workers[site.by_service[service][-1]]
-                worker.break_off = True
+                worker.interrupts_answers = True
                 await asyncio.sleep(for_s)
-                worker.break_off = False
+                worker.interrupts_answers = False
                 return None
             case ReplaceWorker(service=service, is_drained=is_drained):
                 await site.replace_worker(service, is_drained=is_drained)
@@ -279,7 +279,7 @@
                 site.site.store.is_refusing = False
                 return None
             case ForgetHistory():
-                site.site.store.forget_history()
+                site.site.store.discard_history()
                 return None
             case RestoreStore(for_s=for_s, age_s=age_s):
                 site.site.store.is_refusing = True
@@ -308,10 +308,10 @@
         gateway.signal(signal.SIGTERM)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(GRACE_S):
-                await gateway.ended()
+                await gateway.wait_exit()
         # Has no effect if the gateway exited while this process did not poll it.
         gateway.kill()
-        code = await gateway.ended()
+        code = await gateway.wait_exit()
         if code == -signal.SIGKILL:
             record.problems.append(
                 f"g{gateway_index} did not exit within its grace period"
