--- a/src/trefoilpaddle/state/replicas.py
+++ b/src/trefoilpaddle/state/replicas.py
@@ -48,7 +48,8 @@
         if not self.replicas:
             return ()
         scored = [
-            (rendezvous_score(key, replica.process_id), replica) for replica in self.replicas
+            (rendezvous_score(key, replica.process_id), replica)
+            for replica in self.replicas
         ]
         primary = _highest(scored)
         rest = [item for item in scored if item[1] is not primary]
