--- a/src/trefoilpaddle/roles/caller_server.py
+++ b/src/trefoilpaddle/roles/caller_server.py
@@ -100,14 +100,10 @@
         await runner.setup()
         http = runner.server
         assert http is not None
-        max_connections = settings.max_connections
+        max_open = settings.max_connections
 
         def protocol() -> asyncio.Protocol:
-            return (
-                http()
-                if len(http.connections) < max_connections
-                else _RejectingProtocol()
-            )
+            return http() if len(http.connections) < max_open else _RejectingProtocol()
 
         server = await asyncio.get_running_loop().create_server(
             protocol, self.address.ip, self.address.port, ssl=self._tls
--- a/src/trefoilpaddle/roles/callers.py
+++ b/src/trefoilpaddle/roles/callers.py
@@ -161,7 +161,7 @@
         A request is open until its last stage has finished and its answer is written
         to the caller's connection. Requests that are still open at the timeout get a
         final answer, including those whose body is not yet read: their callers would
-        otherwise see a refusal_error connection without an outcome.
+        otherwise see a closed connection without an outcome.
 
         Parameters
         ----------
@@ -222,7 +222,7 @@
     async def _read(self, http: web.Request) -> Result[Request, NotRun]:
         """Return the validated request, or why it is refused.
 
-        `finish` outcomes the read when the stop runs out of time.
+        `finish` ends the read when the time of a stop is over.
         """
         reading = asyncio.timeout(None)
         self._body_reads.add(reading)
--- a/src/trefoilpaddle/transport/link.py
+++ b/src/trefoilpaddle/transport/link.py
@@ -173,11 +173,11 @@
         connection = await self._connected(deadline_s)
         if connection is None or connection.is_closing():
             return self._error("connect", "no connection", is_sent=False)
-        call = next(self._call_numbers) % MAX_CALL + 1
+        call_number = next(self._call_numbers) % MAX_CALL + 1
         reply: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._calls[call] = reply
+        self._calls[call_number] = reply
         try:
-            if not connection.write(message, call=call):
+            if not connection.write(message, call=call_number):
                 return self._error("send", "connection closed", is_sent=True)
             async with asyncio.timeout_at(deadline_s):
                 return Ok(await reply)
@@ -186,7 +186,7 @@
         except ConnectionError as error:
             return self._error("wait", str(error), is_sent=True)
         finally:
-            self._calls.pop(call, None)
+            self._calls.pop(call_number, None)
 
     async def _connected(self, deadline_s: float) -> Connection | None:
         if self.connection is None:
--- a/tests/operators_rig.py
+++ b/tests/operators_harness.py
@@ -1,4 +1,4 @@
-"""Processes without a role, with operators' ports, that know each other."""
+"""Harness of processes without a role that have operators' ports and are peers."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -20,14 +20,14 @@
 
 
 @dataclass
-class Place:
-    """One process and where its operators' port is."""
+class Running:
+    """A running process and the URL of its operators' port."""
 
     process: Process
     view: OperatorsView
     url: str
 
-    def mint(self) -> str:
+    def generate_id(self) -> str:
         identity = self.process.identity
         return str(
             RequestId.generate(
@@ -63,10 +63,10 @@
 
 
 @contextlib.asynccontextmanager
-async def place(
+async def running(
     host: Host, hosts: HostList, catalogue: Catalogue, *, n_records: int = 100
-) -> AsyncIterator[Place]:
-    """Run a process on `host` that knows `hosts` and `catalogue`."""
+) -> AsyncIterator[Running]:
+    """Run a process on `host` with the published `hosts` and `catalogue`."""
     identity = Identity(
         process_id=host.process_id,
         incarnation=new_incarnation(),
@@ -92,4 +92,4 @@
         ) as view,
         process.running(),
     ):
-        yield Place(process=process, view=view, url=f"http://{listen}")
+        yield Running(process=process, view=view, url=f"http://{listen}")
--- a/tests/test_callers_bounds.py
+++ b/tests/test_callers_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what callers send: each oversized or malformed input is refused."""
+"""Bounds on callers' requests: oversized and malformed input is refused."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -65,7 +65,7 @@
                 assert next_answer.status == 200
             assert len(sidecar.calls) == 1
 
-    async def test_a_chunked_body_is_bounded_as_it_comes(self) -> None:
+    async def test_a_chunked_body_is_bounded_while_it_is_received(self) -> None:
         async def endless() -> AsyncIterator[bytes]:
             for _ in range(1000):
                 yield b"x" * 1000
@@ -82,7 +82,7 @@
             async with b.client.get(url) as answer:
                 assert answer.status == 400
 
-    async def test_connections_over_the_bound_are_told_to_come_back(self) -> None:
+    async def test_connections_over_the_bound_are_answered_with_503(self) -> None:
         bound: dict[str, object] = {"max_connections": 2}
         async with bench(published=catalogue(plain_stage()), callers=bound) as b:
             address = b.gateway.server.address
@@ -115,10 +115,10 @@
 
 
 class TestSlowCaller:
-    async def test_it_holds_back_its_own_answer_alone(self) -> None:
-        """A caller asks for a stream and stops reading. The target has far more
-        to say than any buffer should hold: the sidecar's credit must run dry,
-        while another caller of the same target is answered in full.
+    async def test_it_delays_only_its_own_answer(self) -> None:
+        """A caller requests a stream and stops reading. The target sends far more than
+        any buffer should hold: the sidecar's credit must be used up, while another
+        caller of the same target gets its complete answer.
         """
         piece = b"word " * 2000
         sent: dict[bytes, int] = {}
@@ -147,17 +147,19 @@
             )
             await until(lambda: bool(sidecar.calls))
             slow = sidecar.calls[0]
-            # Credit comes back as long as buffers on the way still take some.
-            n_still = 0
+            # Credit is returned as long as buffers on the path have space.
+            n_checks_without_credit = 0
             async with asyncio.timeout(20):
-                while n_still < 50:
-                    n_still = n_still + 1 if slow.credit_bytes <= 0 else 0
+                while n_checks_without_credit < 50:
+                    n_checks_without_credit = (
+                        n_checks_without_credit + 1 if slow.credit_bytes <= 0 else 0
+                    )
                     await asyncio.sleep(0.005)
             async with b.post(data="x", Accept="text/event-stream") as quick:
                 assert "event: end" in await quick.text()
-            # Socket buffers of both ends, plus credit and one high-water mark.
-            n_held_most = 12 * 1024 * 1024 + 4 * CHUNK_BYTES
-            assert sent[slow.start.attempt_id] < n_held_most
+            # Socket buffers of both sides, plus credit and one high-water mark.
+            max_held_bytes = 12 * 1024 * 1024 + 4 * CHUNK_BYTES
+            assert sent[slow.start.attempt_id] < max_held_bytes
             assert not slow.is_acked.is_set()
             writer.close()
             await until(slow.is_cancelled.is_set)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: whole settings or nothing, and what a person reads."""
+"""The ``version`` command of the command line."""
 
 from pathlib import Path
 
@@ -11,6 +11,8 @@
 
 
 class TestVersion:
-    def test_it_is_the_packages(self, capsys: pytest.CaptureFixture[str]) -> None:
+    def test_it_is_the_version_of_the_package(
+        self, capsys: pytest.CaptureFixture[str]
+    ) -> None:
         Commands().version()
         assert capsys.readouterr().out.strip() == __version__
--- a/tests/test_cli_check.py
+++ b/tests/test_cli_check.py
@@ -1,4 +1,4 @@
-"""``check``: what it finds in files, and the difference to what is in force."""
+"""``check``: faults found in files, and differences to the active catalogue."""
 
 from pathlib import Path
 
@@ -34,13 +34,13 @@
         assert check(path, against="", as_json=False) == EXIT_FAULTS
         assert "broken.toml: cannot be read" in capsys.readouterr().out
 
-    def test_a_path_that_is_not_there_is_a_fault(
+    def test_a_missing_path_is_a_fault(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         assert check(str(DATA / "none"), against="", as_json=False) == EXIT_FAULTS
         assert "does not exist" in capsys.readouterr().out
 
-    def test_no_answer_to_compare_with_is_told(
+    def test_a_missing_answer_to_compare_with_is_reported(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         code = check(str(DATA / "whole"), against="http://127.0.0.1:1", as_json=False)
@@ -52,11 +52,11 @@
     def test_each_changed_field_is_named_and_no_token_shown(self) -> None:
         published = check_path(DATA / "whole").catalogue
         assert published is not None
-        in_force = check_path(DATA / "whole").catalogue
-        assert in_force is not None
-        entry = in_force.entries["bank-a-drafts"]
-        in_force.entries["old"] = in_force.entries.pop("bank-a-more")
-        in_force.entries["bank-a-drafts"] = type(entry)(
+        active = check_path(DATA / "whole").catalogue
+        assert active is not None
+        entry = active.entries["bank-a-drafts"]
+        active.entries["old"] = active.entries.pop("bank-a-more")
+        active.entries["bank-a-drafts"] = type(entry)(
             owner=entry.owner,
             class_of_work=entry.class_of_work,
             pipelines=entry.pipelines,
@@ -65,9 +65,9 @@
             floor_share=entry.floor_share,
             deadline_s=entry.deadline_s,
         )
-        account = in_force.accounts["bank-a"]
-        in_force.accounts["bank-a"] = type(account)(token_sha256="2" * 64)
-        found = differences(in_force=in_force, published=published)
+        account = active.accounts["bank-a"]
+        active.accounts["bank-a"] = type(account)(token_sha256="2" * 64)
+        found = differences(in_force=active, published=published)
         assert [str(difference) for difference in found] == [
             "change account/bank-a.token_sha256: … -> another",
             "change entry/bank-a-drafts.limits.rate_per_s: 9.0 -> 0.5",
--- a/tests/test_cli_operators.py
+++ b/tests/test_cli_operators.py
@@ -1,4 +1,4 @@
-"""``explain`` and ``status``: what a person reads."""
+"""``explain`` and ``status``: the printed text."""
 
 import io
 from pathlib import Path
@@ -17,7 +17,7 @@
 from trefoilpaddle.state.timeline import TIMELINE
 
 DATA = Path(__file__).parent / "data" / "operators"
-NOBODY = "http://127.0.0.1:1"
+NO_LISTENER = "http://127.0.0.1:1"
 
 
 class TestTimelineText:
@@ -46,12 +46,14 @@
 
 
 class TestNoAnswer:
-    def test_explain_says_where_to_ask(
+    def test_explain_names_the_option_for_the_address(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        assert explain.explain("g.1.a", at=NOBODY, as_json=False) == 2
+        assert explain.explain("g.1.a", at=NO_LISTENER, as_json=False) == 2
         assert "--at" in capsys.readouterr().err
 
-    def test_status_says_where_to_ask(self, capsys: pytest.CaptureFixture[str]) -> None:
-        assert status.status(at=NOBODY, watch=False, as_json=False) == 2
+    def test_status_names_the_option_for_the_address(
+        self, capsys: pytest.CaptureFixture[str]
+    ) -> None:
+        assert status.status(at=NO_LISTENER, watch=False, as_json=False) == 2
         assert "--at" in capsys.readouterr().err
--- a/tests/test_cli_processes.py
+++ b/tests/test_cli_processes.py
@@ -1,4 +1,4 @@
-"""Gateway and sidecar as operators start them: real processes and signals."""
+"""Gateway and sidecar started as real processes, with signals."""
 
 import asyncio
 import os
@@ -16,14 +16,14 @@
 
 
 class TestPlannedStop:
-    async def test_sigterm_lets_the_open_request_end(
+    async def test_sigterm_lets_the_open_request_finish(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Hosts are replaced while a price call runs.
 
-        Both processes are told to stop while the target still works on it. A
-        stop that did not drain would cut the call off: the secretary would see
-        an error, and not know whether the stock was held.
+        Both processes receive the stop signal while the target still processes the
+        call. A stop without a drain would interrupt it, and the caller would get an
+        error without knowing whether the call took effect.
         """
         monkeypatch.setitem(os.environ, "PYTHONPATH", str(SRC))
         async with pair(PROGRAM, tmp_path) as both:
@@ -34,12 +34,12 @@
             for started in (both.gateway, both.sidecar):
                 assert "n_cut_off=0" in started.log.read_text()
 
-    async def test_nor_does_a_hangup_cut_it_off(
+    async def test_a_hangup_lets_the_open_request_finish(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The terminal in which both were started closes, or a script that knows
-        other servers asks them to read their settings again, while a price call
-        runs. Both processes ended at that moment, with all that they held.
+        """A price call runs when the terminal of both processes closes, or when a
+        script sends SIGHUP to make them reload their settings, as other servers do.
+        Both processes exited immediately and interrupted all open requests.
         """
         monkeypatch.setitem(os.environ, "PYTHONPATH", str(SRC))
         async with pair(PROGRAM, tmp_path) as both:
@@ -52,17 +52,17 @@
         self, both: Pair, order: signal.Signals = signal.SIGTERM
     ) -> None:
         both.target.gate.clear()
-        asked = asyncio.create_task(both.price())
+        pending_request = asyncio.create_task(both.price())
         await both.held_at_target()
         both.stop(order)
         await both.until_not_ready()
         assert both.gateway.n_children() == both.sidecar.n_children() == 0
         both.target.gate.set()
-        assert await asked == 200
+        assert await pending_request == 200
 
 
 class TestExplainCommand:
-    async def test_any_process_tells_the_timeline(
+    async def test_any_process_returns_the_timeline(
         self,
         tmp_path: Path,
         monkeypatch: pytest.MonkeyPatch,
@@ -85,7 +85,7 @@
                 as_json=False,
             )
         assert code == 0
-        told = capsys.readouterr().out
-        assert "governed by entry prices of owner teamwear" in told
-        assert "answered in full" in told
-        assert told.index("sent stage price") < told.index("started stage price")
+        printed = capsys.readouterr().out
+        assert "governed by entry prices of owner teamwear" in printed
+        assert "answered in full" in printed
+        assert printed.index("sent stage price") < printed.index("started stage price")
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: what is written is read back, and bad bytes are refused."""
+"""Frames: encoded frames are decoded again, and invalid bytes are refused."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Hostile bytes on the peer port: no crash, no growth, nobody else disturbed."""
+"""Hostile bytes on the peer port: no crash, no memory growth, no effect on others."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 def values(ttype: int, args: Any) -> st.SearchStrategy[Any]:
-    """Return absurd values of one thrift type."""
+    """Return extreme values of one thrift type."""
     match ttype:
         case TType.BOOL:
             return st.booleans()
@@ -53,7 +53,7 @@
 
 
 def messages(cls: type) -> st.SearchStrategy[Message]:
-    """Return messages of one kind whose fields are absurd, each on its own."""
+    """Return messages of one kind; each field has an independent extreme value."""
     spec: Any = cls.thrift_spec  # type: ignore[attr-defined]
     fields = {field[2]: values(field[1], field[3]) for field in spec if field}
     return st.builds(cls, **fields)
@@ -63,7 +63,7 @@
 
 
 class Attack:
-    """A live server with one well-behaved peer and room for hostile ones."""
+    """A live server with one well-behaved peer; hostile peers can connect."""
 
     def __init__(self, runner: asyncio.Runner, server: PeerServer, link: Link) -> None:
         self._runner = runner
@@ -71,7 +71,7 @@
         self._link = link
 
     def send(self, data: bytes, *, is_greeted: bool) -> None:
-        """Send `data` on a connection of its own; the good peer must not notice."""
+        """Send `data` on a new connection; the other peer must not be affected."""
         self._runner.run(self._send(data, is_greeted))
 
     async def _send(self, data: bytes, is_greeted: bool) -> None:
@@ -89,12 +89,12 @@
         assert self._link.connection is connection
 
 
-async def answer_bar(question: Bar, peer: Hello) -> BarAnswer:
-    return BarAnswer(attempt_id=question.attempt_id)
+async def answer_bar(request: Bar, peer: Hello) -> BarAnswer:
+    return BarAnswer(attempt_id=request.attempt_id)
 
 
-def careless(connection: Connection, message: Message) -> None:
-    """Use a message as a careless handler would, and raise on absurd fields."""
+def unvalidated(connection: Connection, message: Message) -> None:
+    """Use a message without validation, so that extreme fields raise."""
     if isinstance(message, Start):
         _ = 1 / len(message.request_id) + message.predicted_s
 
@@ -105,7 +105,7 @@
         stack = contextlib.AsyncExitStack()
 
         async def enter() -> Attack:
-            server = server_of(on_message=careless)
+            server = server_of(on_message=unvalidated)
             server.add_handler(Bar, answer_bar)
             await stack.enter_async_context(server.listening())
             link = await stack.enter_async_context(link_to(server.address))
@@ -153,15 +153,15 @@
 
         check()
 
-    def test_many_questions_that_no_one_answers(self, attack: Attack) -> None:
-        question = encode(Start(), call=7)
-        attack.send(question * 5000, is_greeted=True)
+    def test_many_requests_without_a_handler(self, attack: Attack) -> None:
+        request = encode(Start(), call=7)
+        attack.send(request * 5000, is_greeted=True)
 
 
 class TestFrameReader:
-    def test_a_small_frame_cannot_fill_the_memory(self) -> None:
-        # Two megabytes of empty list items became 1.2 GB of objects and held
-        # up the process for 10 s; each item takes one byte on the wire.
+    def test_a_small_frame_cannot_exhaust_the_memory(self) -> None:
+        # Two megabytes of empty list items became 1.2 GB of objects and blocked the
+        # process for 10 s. Each item takes one byte on the wire.
         n_items = 2_000_000
         count = bytearray()
         rest = n_items
@@ -175,8 +175,8 @@
         assert FrameReader().feed(frame).is_err()
 
     def test_deep_nesting_is_refused(self) -> None:
-        # Each byte opens another struct; a decoder that recursed on it would
-        # overflow the stack and end the process.
+        # Each byte opens another struct. A decoder that recursed into it would
+        # overflow the stack and crash the process.
         body = b"\xfc" * 1_000_000
         frame = struct.pack(">IBI", 5 + len(body), KIND_OF[Gossip], 0) + body
         assert FrameReader().feed(frame).is_err()
--- a/tests/test_gateway_readiness.py
+++ b/tests/test_gateway_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a gateway takes requests, and what it tells callers if it does not."""
+"""Whether a gateway accepts requests, and how it refuses them."""
 
 import asyncio
 
@@ -11,9 +11,9 @@
 
 
 class TestPlannedStop:
-    async def test_what_is_held_is_finished_and_none_is_cut_off(self) -> None:
-        """The gateway is told to stop while a request is at its target. It says
-        "not ready", answers the request in full, then closes.
+    async def test_open_requests_finish_and_none_is_interrupted(self) -> None:
+        """A stop is requested while a request is at its target. The gateway reports
+        that it is not ready, answers the request completely, and then closes.
         """
         release = asyncio.Event()
 
@@ -22,7 +22,7 @@
             call.answer(b'"in full"')
 
         async with bench(sidecar(script), published=catalogue(plain_stage())) as b:
-            asking = asyncio.create_task(b.post(json={}).__aenter__())
+            pending_request = asyncio.create_task(b.post(json={}).__aenter__())
             await until(lambda: bool(b.sidecars[0].calls))
             b.gateway.process.stopping.set()
             async with b.client.get(f"{b.url}/readyz") as ready:
@@ -34,15 +34,15 @@
             await until(lambda: Event.PROCESS_STOPPING in b.events())
             release.set()
             await stopping
-            assert await (await asking).json() == "in full"
+            assert await (await pending_request).json() == "in full"
             assert b.gateway.process.n_interrupted == 0
 
 
-class TestWokenGateway:
-    async def test_it_says_that_it_asks_its_peers(self) -> None:
-        """A gateway is paused and wakes while the balancer still sends to it.
-        Callers were told that it stops, which sent operators looking for a stop
-        that never was; it only asks its peers what is in force.
+class TestResumedGateway:
+    async def test_it_does_not_report_a_stop_while_it_queries_its_peers(self) -> None:
+        """A gateway resumes after a pause while the load balancer still sends to it.
+        It only queries its peers for the active catalogue, but its answers to callers
+        reported a stop, so operators searched for a stop that had not happened.
         """
         async with bench(sidecar(), published=catalogue(plain_stage())) as b:
             b.gateway._is_known = lambda: False
@@ -58,10 +58,10 @@
 
 
 class TestRejectedCatalogue:
-    async def test_a_gateway_with_nothing_in_force_is_not_ready(self) -> None:
-        """The first catalogue is published with a fault and rejected as a whole.
-        The gateway had read it, said ready, and told callers that no entry
-        governs them (403), which looks like a matter of their account.
+    async def test_a_gateway_without_an_active_catalogue_is_not_ready(self) -> None:
+        """The first published catalogue is faulty and is rejected entirely. The gateway
+        had read it, reported that it was ready, and answered that no entry governs the
+        request (403), which looks like a problem of the caller's account.
         """
         async with bench(published=Catalogue()) as b:
             b.gateway._is_known = lambda: True
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' port: explain from anywhere, status of all, metrics, readiness."""
+"""Operators' port: explain from any process, status of all, metrics, readiness."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -6,7 +6,7 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from tests.operators_rig import Place, host_of, place
+from tests.operators_harness import Running, host_of, running
 from trefoilpaddle.protocol.reasons import Reason
 from trefoilpaddle.state.catalogue import Catalogue
 from trefoilpaddle.state.check_files import check_path
@@ -41,8 +41,8 @@
     )
 
 
-def serve(gateway: Place, sidecar: Place, request_id: str) -> None:
-    """Record a request's decisions as the two roles do."""
+def serve(gateway: Running, sidecar: Running, request_id: str) -> None:
+    """Record the decisions of a request as the two roles do."""
     gateway.process.journal.record(decision(Event.REQUEST_ACCEPTED, request_id))
     gateway.process.journal.record(
         decision(
@@ -67,18 +67,18 @@
     gateway.process.journal.record(decision(Event.REQUEST_ANSWERED, request_id))
 
 
-async def explained(asked: Place, request_id: str) -> Timeline:
-    _, body = await asked.get(f"/v1/explain/{request_id}")
+async def explained(queried: Running, request_id: str) -> Timeline:
+    _, body = await queried.get(f"/v1/explain/{request_id}")
     return TIMELINE.validate_json(body)
 
 
-async def status_of(asked: Place) -> FleetStatus:
-    _, body = await asked.get("/v1/status")
+async def status_of(queried: Running) -> FleetStatus:
+    _, body = await queried.get("/v1/status")
     return FLEET.validate_json(body)
 
 
 class Fleet:
-    """A gateway, the sidecar that it calls, and a bystander."""
+    """A gateway, the sidecar that it calls, and a gateway that is not involved."""
 
     def __init__(self) -> None:
         self.gateway_host = host_of("g1", role="gateway")
@@ -89,27 +89,27 @@
             hosts=(self.gateway_host, self.sidecar_host, self.other_host),
         )
 
-    def place(self, host: Host) -> contextlib.AbstractAsyncContextManager[Place]:
-        return place(host, self.hosts, catalogue())
+    def running(self, host: Host) -> contextlib.AbstractAsyncContextManager[Running]:
+        return running(host, self.hosts, catalogue())
 
     @contextlib.asynccontextmanager
-    async def all(self) -> AsyncIterator[tuple[Place, Place, Place]]:
+    async def all(self) -> AsyncIterator[tuple[Running, Running, Running]]:
         async with (
-            self.place(self.gateway_host) as gateway,
-            self.place(self.sidecar_host) as sidecar,
-            self.place(self.other_host) as other,
+            self.running(self.gateway_host) as gateway,
+            self.running(self.sidecar_host) as sidecar,
+            self.running(self.other_host) as other,
         ):
             yield gateway, sidecar, other
 
 
 class TestExplain:
-    async def test_the_timeline_is_whole_from_any_process(self) -> None:
-        async with Fleet().all() as places:
-            gateway, sidecar, _ = places
-            request_id = gateway.mint()
+    async def test_the_timeline_is_complete_from_any_process(self) -> None:
+        async with Fleet().all() as processes:
+            gateway, sidecar, _ = processes
+            request_id = gateway.generate_id()
             serve(gateway, sidecar, request_id)
-            for asked in places:
-                timeline = await explained(asked, request_id)
+            for queried in processes:
+                timeline = await explained(queried, request_id)
                 assert [step.event for step in timeline.steps] == [
                     Event.REQUEST_ACCEPTED,
                     Event.ROUTED,
@@ -120,23 +120,25 @@
                 ]
                 assert not timeline.absences
 
-    async def test_no_link_stays_open_for_a_question(self) -> None:
+    async def test_no_link_stays_open_after_a_query(self) -> None:
         async with Fleet().all() as (gateway, sidecar, other):
-            request_id = gateway.mint()
+            request_id = gateway.generate_id()
             serve(gateway, sidecar, request_id)
             await explained(other, request_id)
             assert not other.process.peers.links
 
-    async def test_a_gone_place_is_told_and_the_rest_still_known(self) -> None:
-        """A gateway dies after it answered; the officer asks why it took long.
+    async def test_a_crashed_process_is_reported_and_the_other_steps_are_shown(
+        self,
+    ) -> None:
+        """A gateway crashes after it has answered a request that took long.
 
-        The id names the dead gateway. Its own decisions are lost with it; what
-        the sidecar decided is not, and the answer says which part lacks.
+        Its decisions are lost. The decisions of the sidecar are still shown, and the
+        answer reports that those of the gateway are missing.
         """
         fleet = Fleet()
-        async with fleet.place(fleet.sidecar_host) as sidecar:
-            async with fleet.place(fleet.gateway_host) as gateway:
-                request_id = gateway.mint()
+        async with fleet.running(fleet.sidecar_host) as sidecar:
+            async with fleet.running(fleet.gateway_host) as gateway:
+                request_id = gateway.generate_id()
                 serve(gateway, sidecar, request_id)
             timeline = await explained(sidecar, request_id)
         assert [step.event for step in timeline.steps] == [
@@ -147,49 +149,50 @@
             a.process_id for a in timeline.absences
         }
 
-    async def test_a_restarted_place_is_told(self) -> None:
-        """A gateway restarts; its id stays, its memory does not.
+    async def test_a_restarted_process_is_reported(self) -> None:
+        """A gateway restarts with the same process id and without its records.
 
-        Without a word on it "nothing known" would read as "never came here".
+        If the restart were not reported, "nothing known" would look like a request
+        that the gateway never received.
         """
         fleet = Fleet()
-        async with fleet.place(fleet.other_host) as other:
-            async with fleet.place(fleet.gateway_host) as gateway:
-                request_id = gateway.mint()
-            async with fleet.place(fleet.gateway_host) as again:
-                for asked in (other, again):
-                    timeline = await explained(asked, request_id)
+        async with fleet.running(fleet.other_host) as other:
+            async with fleet.running(fleet.gateway_host) as gateway:
+                request_id = gateway.generate_id()
+            async with fleet.running(fleet.gateway_host) as again:
+                for queried in (other, again):
+                    timeline = await explained(queried, request_id)
                     assert not timeline.steps
                     assert any("restarted" in a.detail for a in timeline.absences)
 
-    async def test_what_is_forgotten_is_not_found(self) -> None:
+    async def test_a_request_without_records_is_not_found(self) -> None:
         async with Fleet().all() as (gateway, _, _):
             status, body = await gateway.get(
-                f"/v1/explain/{gateway.mint()}?format=text"
+                f"/v1/explain/{gateway.generate_id()}?format=text"
             )
         assert status == 404
         assert b"forgotten" in body
 
-    async def test_an_id_that_is_none_is_told(self) -> None:
+    async def test_an_invalid_request_id_is_reported(self) -> None:
         async with Fleet().all() as (gateway, _, _):
             timeline = await explained(gateway, "no-id")
         assert "PROCESS.INCARNATION.TOKEN" in timeline.absences[0].detail
 
 
 class TestStatus:
-    async def test_all_processes_are_asked_and_silent_ones_named(self) -> None:
+    async def test_all_processes_are_queried_and_unresponsive_ones_listed(self) -> None:
         fleet = Fleet()
         async with (
-            fleet.place(fleet.gateway_host) as gateway,
-            fleet.place(fleet.sidecar_host) as sidecar,
+            fleet.running(fleet.gateway_host) as gateway,
+            fleet.running(fleet.sidecar_host) as sidecar,
         ):
-            serve(gateway, sidecar, gateway.mint())
+            serve(gateway, sidecar, gateway.generate_id())
             status = await status_of(gateway)
-        told = {one.process_id: one for one in status.processes}
-        assert told.keys() == {"g1-gateway", "s1-sidecar"}
+        statuses = {one.process_id: one for one in status.processes}
+        assert statuses.keys() == {"g1-gateway", "s1-sidecar"}
         assert [a.process_id for a in status.silent] == ["g2-gateway"]
-        assert told["g1-gateway"].owners[0].n_answered == 1
-        assert told["s1-sidecar"].stages[0].cost_s == 0.4
+        assert statuses["g1-gateway"].owners[0].n_answered == 1
+        assert statuses["s1-sidecar"].stages[0].cost_s == 0.4
         assert {entry.name for entry in status.entries} == catalogue().entries.keys()
 
     async def test_a_stopping_process_is_leaving_and_not_ready(self) -> None:
@@ -202,9 +205,9 @@
 
 
 class TestMetrics:
-    async def test_a_scrape_reads_what_decisions_counted(self) -> None:
+    async def test_a_scrape_returns_the_counters_of_decisions(self) -> None:
         async with Fleet().all() as (gateway, sidecar, _):
-            serve(gateway, sidecar, gateway.mint())
+            serve(gateway, sidecar, gateway.generate_id())
             text = (await sidecar.get("/metrics"))[1].decode()
         samples = {
             (sample.name, *sorted(sample.labels.values())): sample.value
@@ -230,7 +233,7 @@
 
 
 class TestTally:
-    def test_the_last_minute_counts_and_no_more(self) -> None:
+    def test_only_the_last_minute_is_counted(self) -> None:
         now_s = 0.0
         tally = Tally(clock=lambda: now_s)
         refused = Decision(
--- a/tests/test_peer_server.py
+++ b/tests/test_peer_server.py
@@ -1,4 +1,4 @@
-"""The listening side of peers under failure: bounds, greetings, closing."""
+"""The peer server under failure: bounds, exchange of hellos, close."""
 
 import asyncio
 
@@ -32,8 +32,8 @@
 class TestPeerServer:
     @pytest.mark.usefixtures("fast")
     async def test_a_peer_that_vanished_gives_its_place_back(self) -> None:
-        # A gateway's host loses power: no FIN comes. Its connection stayed
-        # open for ever, until all places were taken by dead gateways.
+        # The host of a gateway loses power and sends no FIN. The connection stayed
+        # open forever, until dead gateways had used up all connections.
         server = server_of()
         async with server.listening(), raw_peer(server.address) as peer:
             peer.send(hello_of("vanished")())
@@ -57,7 +57,7 @@
 
     async def test_an_open_listener_that_raises_leaks_no_connection(self) -> None:
         def on_open(connection: Connection) -> None:
-            raise RuntimeError("fault in a listener")
+            raise RuntimeError("error in a listener")
 
         server = server_of(on_open=on_open)
         async with server.listening(), raw_peer(server.address) as peer:
@@ -67,34 +67,38 @@
             await until(lambda: not server.connections)
 
     async def test_closing_answers_the_open_calls_first(self) -> None:
-        # A sidecar stops as planned while a gateway asks whether an attempt
-        # ran. Dropping the question would turn a known answer into "unknown".
+        # A planned stop of a sidecar begins while a gateway requests whether an
+        # attempt ran. Dropping the request would turn a known outcome into "unknown".
         begun = asyncio.Event()
-        may_end = asyncio.Event()
+        may_finish = asyncio.Event()
 
-        async def answer(question: Bar, peer: Hello) -> BarAnswer:
+        async def answer(request: Bar, peer: Hello) -> BarAnswer:
             begun.set()
-            await may_end.wait()
-            return BarAnswer(attempt_id=question.attempt_id)
+            await may_finish.wait()
+            return BarAnswer(attempt_id=request.attempt_id)
 
         server = server_of()
         server.add_handler(Bar, answer)
         context = server.listening()
         await context.__aenter__()
         async with link_to(server.address) as link:
-            asked = asyncio.create_task(link.ask(Bar(attempt_id=b"x"), timeout_s=30))
+            pending_request = asyncio.create_task(
+                link.ask(Bar(attempt_id=b"x"), timeout_s=30)
+            )
             await begun.wait()
             closing = asyncio.create_task(context.__aexit__(None, None, None))
             await asyncio.sleep(0)
-            may_end.set()
-            assert await asked == Ok(BarAnswer(attempt_id=b"x"))
+            may_finish.set()
+            assert await pending_request == Ok(BarAnswer(attempt_id=b"x"))
             await closing
 
-    async def test_closing_answers_what_crosses_it(self) -> None:
-        # A sidecar stops as planned and closes. A gateway that has not heard of it
-        # yet has just sent something; it arrives while the sidecar only waits for
-        # the other side to close. It was read, answered into a connection that took
-        # nothing more, and the gateway's caller waited until its deadline.
+    async def test_a_request_sent_before_the_peer_learns_of_the_close_is_answered(
+        self,
+    ) -> None:
+        # A sidecar closes in a planned stop. A gateway that has not yet been notified
+        # sends a request, which arrives while the sidecar only waits for the other
+        # side to close. It was read, but its reply was written to a connection that
+        # sent nothing more, and the gateway's caller waited until its deadline.
         server = server_of()
         server.add_handler(Bar, echo)
         context = server.listening()
@@ -108,10 +112,12 @@
             assert await answer_to(peer, call=1) == BarAnswer(attempt_id=b"x")
         await closing
 
-    async def test_closing_answers_what_comes_with_a_hello(self) -> None:
-        # A gateway has just connected to a sidecar that stops. It has the sidecar's
-        # hello and sends its own with its first question behind; the sidecar dropped
-        # connections whose hello it had not read yet.
+    async def test_a_request_sent_directly_after_the_hello_is_answered_at_the_close(
+        self,
+    ) -> None:
+        # A gateway has just connected to a sidecar that stops. It has received the
+        # sidecar's hello and sends its own, followed by its first request. The sidecar
+        # dropped connections whose hello it had not yet read.
         server = server_of()
         server.add_handler(Bar, echo)
         context = server.listening()
@@ -125,21 +131,24 @@
             assert await answer_to(peer, call=1) == BarAnswer(attempt_id=b"x")
         await closing
 
-    async def test_a_closed_link_takes_nothing_and_says_so(self) -> None:
-        # A sidecar closes while a gateway's answer from it is on its way. What the
-        # gateway would send now must go elsewhere at once: it is not sent.
-        may_end = asyncio.Event()
+    async def test_a_closing_link_reports_new_messages_as_not_sent(self) -> None:
+        # A sidecar closes while a gateway waits for a reply from it. New messages
+        # of the gateway are reported as not sent, so that it can use another sidecar
+        # immediately.
+        may_finish = asyncio.Event()
 
-        async def answer(question: Bar, peer: Hello) -> BarAnswer:
-            await may_end.wait()
-            return BarAnswer(attempt_id=question.attempt_id)
+        async def answer(request: Bar, peer: Hello) -> BarAnswer:
+            await may_finish.wait()
+            return BarAnswer(attempt_id=request.attempt_id)
 
         server = server_of()
         server.add_handler(Bar, answer)
         context = server.listening()
         await context.__aenter__()
         async with link_to(server.address) as link:
-            asked = asyncio.create_task(link.ask(Bar(attempt_id=b"x"), timeout_s=30))
+            pending_request = asyncio.create_task(
+                link.ask(Bar(attempt_id=b"x"), timeout_s=30)
+            )
             await until(lambda: bool(server._open_queries))
             closing = asyncio.create_task(context.__aexit__(None, None, None))
             await until(
@@ -151,16 +160,16 @@
                     assert not error.is_sent
                 case answered:
                     raise AssertionError(answered)
-            may_end.set()
-            assert await asked == Ok(BarAnswer(attempt_id=b"x"))
+            may_finish.set()
+            assert await pending_request == Ok(BarAnswer(attempt_id=b"x"))
             await closing
 
     @pytest.mark.usefixtures("fast")
-    async def test_closing_is_not_held_up_by_peers_that_never_read(
+    async def test_peers_that_never_read_do_not_delay_the_close(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # All of them must be there at the close, also where this process stands
-        # still for a moment: none may be dropped for its silence before.
+        # All peers must still be connected at the close, even if this process is
+        # paused for a moment: none may be disconnected as unresponsive before.
         monkeypatch.setattr(connection_module, "HELLO_TIMEOUT_S", 30.0)
         monkeypatch.setattr(connection_module, "DEAD_AFTER_S", 30.0)
         n_peers = 8
@@ -181,9 +190,11 @@
         for each in peers:
             await each.__aexit__(None, None, None)
 
-    async def test_a_hello_that_comes_after_closing_is_not_served(self) -> None:
-        # A peer connects, the server closes, then the hello arrives: it would
-        # be served by a process that believes that it has stopped.
+    async def test_a_connection_whose_hello_arrives_after_the_close_is_not_served(
+        self,
+    ) -> None:
+        # A peer connects, the server closes, and then the hello arrives. A process
+        # that has already stopped would serve the connection.
         opened: list[Connection] = []
         server = server_of(on_open=opened.append)
         async with raw_listener(RawPeer.wait_closed):
@@ -196,16 +207,16 @@
                 await peer.wait_closed()
         assert not opened
 
-    async def test_an_answerer_that_hangs_gives_its_place_back(
+    async def test_a_handler_that_hangs_times_out(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Answers wait on a third process that is gone. Past the bound of open
-        # questions the connection is not read any more, heartbeats included:
-        # without an end to each answer it would stay so for ever.
+        # Handlers wait for a third process that has exited. At the bound of open
+        # requests the connection is no longer read, including heartbeats. Without a
+        # timeout of each handler, this would last forever.
         monkeypatch.setattr(server_module, "MAX_OPEN_QUERIES", 2)
         monkeypatch.setattr(server_module, "ANSWER_TIMEOUT_S", 0.1, raising=False)
 
-        async def hang(question: Claim, peer: Hello) -> ClaimAnswer:
+        async def hang(request: Claim, peer: Hello) -> ClaimAnswer:
             await asyncio.Event().wait()
             return ClaimAnswer()
 
@@ -213,23 +224,23 @@
         server.add_handler(Claim, hang)
         server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
-            hung = [
+            hanging = [
                 asyncio.create_task(link.ask(Claim(), timeout_s=30)) for _ in range(5)
             ]
-            await until(lambda: len(link._calls) == len(hung))
+            await until(lambda: len(link._calls) == len(hanging))
             assert (await link.ask(Bar(), timeout_s=15)).is_ok()
-            for task in hung:
+            for task in hanging:
                 task.cancel()
 
     async def test_a_question_may_be_given_more_time_than_others(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The stages of a request with a deadline of 20 s take 11 s under load.
-        # Their scheduler ended them after 10 s without a word, and the gateway that
-        # had asked waited for the deadline.
+        # The stages of a request with a deadline of 20 s take 11 s under load. Their
+        # scheduler cancelled them after 10 s without a reply, and the gateway that had
+        # sent the request waited until the deadline.
         monkeypatch.setattr(server_module, "ANSWER_TIMEOUT_S", 0.05)
 
-        async def slow(question: Bar, peer: Hello) -> BarAnswer:
+        async def slow(request: Bar, peer: Hello) -> BarAnswer:
             await asyncio.sleep(0.2)
             return BarAnswer()
 
@@ -238,7 +249,7 @@
         async with server.listening(), link_to(server.address) as link:
             assert (await link.ask(Bar(), timeout_s=5.0)).is_ok()
 
-    async def test_a_peer_that_never_reads_is_cut_off_within_bounds(
+    async def test_a_peer_that_never_reads_is_disconnected_at_the_bound(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(connection_module, "MAX_UNSENT_BYTES", 1_000_000)
@@ -256,7 +267,7 @@
 
 class TestHello:
     @pytest.mark.parametrize("process_id", ["", "x" * 300])
-    async def test_a_peer_without_a_proper_name_is_refused(
+    async def test_a_peer_with_an_invalid_process_id_is_refused(
         self, process_id: str
     ) -> None:
         server = server_of()
@@ -272,7 +283,7 @@
             await peer.wait_closed()
 
     @pytest.mark.usefixtures("fast")
-    async def test_a_hello_that_never_comes_is_not_awaited_for_ever(self) -> None:
+    async def test_a_connection_whose_hello_never_completes_is_closed(self) -> None:
         server = server_of()
         async with server.listening(), raw_peer(server.address) as peer:
             peer.writer.write(encode(hello_of("p")())[:7])
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that tests give to the processes that they start."""
+"""Allocation of ports for the processes that tests start."""
 
 import contextlib
 import socket
@@ -12,51 +12,57 @@
 from trefoilpaddle.standins import ports
 from trefoilpaddle.standins.ports import IP, free_port
 
-N_DRAWN = 30
-DRAW = (
+N_ALLOCATED = 30
+ALLOCATE = (
     "import sys; from trefoilpaddle.standins import ports;"
     "ports.PORTS = range(20_000, 20_800);"
-    f"print(*[ports.free_port() for _ in range({N_DRAWN})], flush=True);"
+    f"print(*[ports.free_port() for _ in range({N_ALLOCATED})], flush=True);"
     "sys.stdin.read()"
 )
 
 
 @contextlib.contextmanager
-def drawing() -> Iterator[set[int]]:
-    """Yield the ports that a process of its own has drawn, while it lives."""
-    command = [sys.executable, "-c", DRAW]
+def allocating_process() -> Iterator[set[int]]:
+    """Yield the ports allocated by a separate process that runs in the context."""
+    command = [sys.executable, "-c", ALLOCATE]
     with subprocess.Popen(
         command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     ) as process:
         assert process.stdout is not None
-        drawn = {int(port) for port in process.stdout.readline().split()}
-        assert len(drawn) == N_DRAWN
-        yield drawn
+        allocated = {int(port) for port in process.stdout.readline().split()}
+        assert len(allocated) == N_ALLOCATED
+        yield allocated
 
 
 class TestFreePort:
     def test_no_outgoing_connection_can_take_it(self) -> None:
-        # A gateway of a soak ended at its start, its address in use: between the
-        # probe and the start another process had opened a connection from it.
+        # A gateway of a soak test failed to start because its address was in use:
+        # after the port was probed, another process had opened a connection from it.
         limits = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
         assert all(free_port() < int(limits[0]) for _ in range(20))
 
-    def test_none_is_given_twice(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        # A test drew the ports of six listeners before any of them was bound. One
-        # run of the whole suite in some ten drew one twice, and the second listener
-        # found its address in use.
+    def test_a_process_never_allocates_a_port_twice(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        # A test allocated the ports of six listeners before binding any of them. In
+        # about one of ten runs of the suite a port was allocated twice, and the second
+        # listener found its address in use.
         monkeypatch.setattr(ports, "PORTS", range(32_000, 32_400))
         monkeypatch.setattr(ports, "BLOCK", 8)
         monkeypatch.setattr(ports, "_LEFT", [])
-        drawn = [free_port() for _ in range(20)]
-        assert len(set(drawn)) == 20
-
-    def test_none_is_given_by_two_processes(self) -> None:
-        # Three soaks began side by side. One of them did not start: another had
-        # drawn the same port before either had bound it. A gateway that is stopped
-        # and started again leaves its ports free meanwhile, with the same end.
-        with drawing() as one, drawing() as other, drawing() as third:
-            assert len(one | other | third) == 3 * N_DRAWN
+        allocated = [free_port() for _ in range(20)]
+        assert len(set(allocated)) == 20
+
+    def test_two_processes_never_allocate_the_same_port(self) -> None:
+        # Three soak tests started at the same time. One of them failed: another had
+        # allocated the same port before either had bound it. The same can happen
+        # while a gateway restarts, as its ports are unbound in between.
+        with (
+            allocating_process() as one,
+            allocating_process() as other,
+            allocating_process() as third,
+        ):
+            assert len(one | other | third) == 3 * N_ALLOCATED
 
     def test_it_can_be_bound(self) -> None:
         with socket.socket() as listener:
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Transport between peers under failure: no call lost in silence, no leak."""
+"""Links between peers under failure: every call ends, no connection leaks."""
 
 import asyncio
 import time
@@ -34,15 +34,15 @@
 
 
 class TestAsk:
-    async def test_replies_that_cross_reach_their_own_askers(self) -> None:
-        # Two calls share a connection; the first is answered after the second.
-        # A caller would be handed the other's answer if order decided.
-        first_may_end = asyncio.Event()
+    async def test_out_of_order_replies_reach_their_own_calls(self) -> None:
+        # Two calls share a connection, and the first is answered after the second.
+        # If replies were matched by order, each call would get the other's reply.
+        first_may_finish = asyncio.Event()
 
-        async def answer(question: Bar, peer: Hello) -> BarAnswer:
-            if question.attempt_id == b"first":
-                await first_may_end.wait()
-            return BarAnswer(attempt_id=question.attempt_id)
+        async def answer(request: Bar, peer: Hello) -> BarAnswer:
+            if request.attempt_id == b"first":
+                await first_may_finish.wait()
+            return BarAnswer(attempt_id=request.attempt_id)
 
         server = server_of()
         server.add_handler(Bar, answer)
@@ -51,13 +51,13 @@
                 link.ask(Bar(attempt_id=b"first"), timeout_s=10)
             )
             second = await link.ask(Bar(attempt_id=b"second"), timeout_s=10)
-            first_may_end.set()
+            first_may_finish.set()
             assert second == Ok(BarAnswer(attempt_id=b"second"))
             assert await first == Ok(BarAnswer(attempt_id=b"first"))
 
     async def test_call_numbers_stay_within_the_frame_after_wrapping(self) -> None:
-        # A link open for weeks runs out of 32-bit call numbers; the number
-        # after the last one did not fit the frame and each further call raised.
+        # A link that is open for weeks uses up the 32-bit call numbers. The number
+        # after the last one did not fit the frame, and every further call raised.
         server = server_of()
         server.add_handler(Bar, echo)
         async with server.listening(), link_to(server.address) as link:
@@ -67,8 +67,8 @@
                 assert (await link.ask(Bar(attempt_id=b"a"), timeout_s=10)).is_ok()
 
     async def test_waiting_for_a_connection_counts_towards_the_timeout(self) -> None:
-        # A caller with 1 s left asks a peer that comes up after 0.9 s and then
-        # says nothing: the call must end after 1 s, not after nearly 2 s.
+        # A call has 0.8 s left. The peer connects after 0.4 s and then does not
+        # reply: the call must end after 0.8 s, not after 1.2 s.
         opened_s = []
 
         async def serve(peer: RawPeer) -> None:
@@ -86,8 +86,8 @@
         assert ended_s - began_s < opened_s[0] - began_s + 0.8
 
     async def test_a_closed_connection_says_that_nothing_was_sent(self) -> None:
-        # The peer's connection is already closing when a call begins. Nothing
-        # has left this process, so the caller may be told "not run".
+        # The connection is already closing when a call begins. Nothing has been
+        # sent, so "not run" may be reported to the caller.
         server = server_of()
         async with server.listening(), link_to(server.address) as link:
             await link.opened.wait()
@@ -117,9 +117,9 @@
     async def test_a_reply_that_is_too_large_is_logged_not_leaked(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        # An answerer returns more than a frame holds: writing raises. The
-        # exception must be seen in the log, and other calls go on.
-        async def too_large(question: Claim, peer: Hello) -> ClaimAnswer:
+        # A handler returns a reply that is too large for a frame, and writing it
+        # raises. The exception must be logged, and other calls must succeed.
+        async def too_large(request: Claim, peer: Hello) -> ClaimAnswer:
             return ClaimAnswer(result=bytes(3 * 1024 * 1024))
 
         server = server_of()
@@ -132,8 +132,8 @@
 
 
 class TestLink:
-    async def test_a_handler_that_raises_costs_one_message_only(self) -> None:
-        # A fault in the handling of one attempt's frame must not cut off the
+    async def test_a_handler_that_raises_loses_only_one_message(self) -> None:
+        # An error while handling the frame of one attempt must not disconnect the
         # other attempts that share the connection.
         seen: list[Message] = []
 
@@ -141,7 +141,7 @@
             if isinstance(message, Cancel):
                 seen.append(message)
                 if len(seen) == 1:
-                    raise RuntimeError("fault in a handler")
+                    raise RuntimeError("error in a handler")
 
         opened: list[Connection] = []
         server = server_of(on_open=opened.append)
@@ -158,7 +158,7 @@
 
     async def test_a_change_listener_that_raises_leaks_no_connection(self) -> None:
         def on_change(link: Link) -> None:
-            raise RuntimeError("fault in a listener")
+            raise RuntimeError("error in a listener")
 
         closed: list[Connection] = []
         server = server_of(on_close=closed.append)
@@ -168,12 +168,12 @@
             await until(lambda: not server.connections)
         assert closed
 
-    async def test_a_flapping_peer_is_not_dialled_ever_faster(
+    async def test_a_peer_that_closes_after_each_hello_is_dialled_with_back_off(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A peer says hello and closes, again and again (its start-up check
-        # fails, say). Each hello reset the wait, so it was dialled 20 times a
-        # second by every process of the fleet.
+        # A peer repeatedly sends its hello and closes, for example because its
+        # start-up check fails. Each hello reset the back-off, so every process of
+        # the fleet dialled the peer 20 times a second.
         monkeypatch.setattr(link_module, "BACKOFF_MIN_S", 0.001)
         monkeypatch.setattr(link_module, "BACKOFF_MAX_S", 0.1)
         n_dials = 0
@@ -190,8 +190,8 @@
         assert n_dials < 60
 
     async def test_messages_queued_before_a_stop_arrive(self) -> None:
-        # A gateway stops as planned right after it queued its last messages
-        # (an acknowledgement, a settled claim): they must not be dropped.
+        # A planned stop of a gateway begins right after it has queued its last
+        # messages (an acknowledgement, a settled claim). They must not be dropped.
         seen: list[Message] = []
         server = server_of(on_message=lambda connection, m: seen.append(m))
         body = bytes(500_000)
@@ -202,10 +202,10 @@
                     assert link.send(Cancel(attempt_id=body))
             await until(lambda: sum(isinstance(m, Cancel) for m in seen) == 8)
 
-    async def test_a_link_refuses_to_talk_to_itself(self) -> None:
-        # A sidecar dies on a port of the kernel's own range; its peer dials
-        # again and the kernel joins that socket to itself. The link would look
-        # alive and hold the port against the sidecar's restart.
+    async def test_a_link_refuses_a_connection_to_itself(self) -> None:
+        # A sidecar crashes that listened on a port of the kernel's ephemeral range.
+        # Its peer dials again, and the kernel connects the socket to itself. The
+        # link would look alive and occupy the port that the sidecar needs to restart.
         async def serve(peer: RawPeer) -> None:
             peer.send(hello_of("client", incarnation=20)())
             await peer.wait_closed()
@@ -215,7 +215,9 @@
             assert answer.is_err()
             assert not link.is_responsive()
 
-    async def test_a_restarted_peer_is_known_by_its_new_incarnation(self) -> None:
+    async def test_the_link_reports_the_new_incarnation_of_a_restarted_peer(
+        self,
+    ) -> None:
         server = server_of(own_hello=hello_of("server", incarnation=1))
         changes: list[int] = []
 
@@ -232,9 +234,9 @@
                 await until(lambda: changes == [1, 0, 2])
 
     @pytest.mark.usefixtures("fast")
-    async def test_a_paused_peer_is_not_heard_and_then_dropped(self) -> None:
-        # A peer is stopped by its host (SIGSTOP): its connection stays open
-        # and takes bytes, but no heartbeat comes.
+    async def test_a_paused_peer_is_unresponsive_and_then_disconnected(self) -> None:
+        # A peer is paused by its host (SIGSTOP): its connection stays open and
+        # accepts bytes, but no heartbeat arrives.
         async def serve(peer: RawPeer) -> None:
             peer.send(hello_of("paused")())
             await peer.wait_closed()
@@ -252,10 +254,12 @@
             await until(lambda: True in changes)
 
     @pytest.mark.usefixtures("fast")
-    async def test_a_peer_that_vanishes_as_it_closes_is_dialled_again(self) -> None:
-        # A sidecar says that it closes, and its host loses power before the end of
-        # its connection is sent. The link had nothing more to say, looked no longer
-        # whether its peer lived, and never dialled the sidecar that came after it.
+    async def test_a_peer_whose_host_fails_during_its_close_is_dialled_again(
+        self,
+    ) -> None:
+        # A sidecar announces its close, and its host loses power before the
+        # connection is closed. The link no longer checked whether the peer was alive,
+        # and never dialled the sidecar that replaced it.
         n_dialled = 0
 
         async def serve(peer: RawPeer) -> None:
@@ -269,10 +273,12 @@
             await until(lambda: n_dialled > 1, cap_s=5.0)
 
     @pytest.mark.usefixtures("fast")
-    async def test_own_pause_does_not_drop_a_live_peer(self) -> None:
-        # This process is paused past the time after which a silent peer counts
-        # as dead. On waking, the peer's heartbeats wait unread: dropping the
-        # connection would blame the peer for this process's own pause.
+    async def test_own_pause_does_not_drop_a_live_peer(
+        self,
+    ) -> None:
+        # This process is paused for longer than the time after which an unresponsive
+        # peer counts as dead. When it resumes, heartbeats of the peer are still
+        # unread, and the pause must not be attributed to the peer.
         changes: list[bool] = []
         server = server_of()
         async with (
@@ -291,16 +297,16 @@
     async def test_a_heartbeat_that_raises_does_not_end_the_heartbeats(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Reading the load fails once. If that ended the heartbeats, the peer
-        # would see silence and send this process no work ever again.
+        # Reading the load fails once. If this ended the heartbeats, the peer would
+        # consider this process unresponsive and never send it work again.
         monkeypatch.setattr(connection_module, "HEARTBEAT_S", 0.02, raising=False)
         monkeypatch.setattr(link_module, "HEARTBEAT_S", 0.02, raising=False)
-        n_made = 0
+        n_built = 0
 
         def flaky() -> Heartbeat:
-            nonlocal n_made
-            n_made += 1
-            if n_made == 2:
+            nonlocal n_built
+            n_built += 1
+            if n_built == 2:
                 raise RuntimeError("load cannot be read")
             return heartbeat()
 
@@ -309,4 +315,4 @@
             server.listening(),
             link_to(server.address, own_heartbeat=flaky),
         ):
-            await until(lambda: n_made > 4)
+            await until(lambda: n_built > 4)
