--- a/src/trefoilpaddle/cli/serve.py
+++ b/src/trefoilpaddle/cli/serve.py
@@ -66,7 +66,7 @@
 
     Tens of thousands of retained records are alive and contain no cycles. At the
     default thresholds, the collector traverses them repeatedly, which costs more
-    than creating them.
+    than recording them.
     """
     gc.collect()
     gc.freeze()
--- a/src/trefoilpaddle/cli/status_table.py
+++ b/src/trefoilpaddle/cli/status_table.py
@@ -9,7 +9,7 @@
 
 
 def render(status: FleetStatus) -> RenderableType:
-    """Return all tables in order, without empty tables of leases and faults."""
+    """Return all tables in order; omit empty ones of leases and inactive changes."""
     return Group(*_parts(status))
 
 
--- a/src/trefoilpaddle/roles/gateway.py
+++ b/src/trefoilpaddle/roles/gateway.py
@@ -64,7 +64,7 @@
     guard : KeyGuard
         Claims keys before requests run.
     generate_id : callable
-        Returns a new request id whose claim this gateway keeps.
+        Returns a new request id; this gateway decides about its claims.
     """
 
     guard: KeyGuard
--- a/src/trefoilpaddle/roles/process.py
+++ b/src/trefoilpaddle/roles/process.py
@@ -51,7 +51,7 @@
     process_id : str
         Host and role; stable across restarts.
     incarnation : int
-        Random positive number, new at each start.
+        Positive number, new at each start.
     role : str
         ``"gateway"`` or ``"sidecar"``.
     failure_domain, region : str
