--- a/tests/harness.py
+++ b/tests/harness.py
@@ -155,7 +155,7 @@
         return [view.host.name for view in views if view.n_outstanding]
 
     def is_connected(self, gateway: GatewaySlot, slot: SidecarSlot) -> bool:
-        """Return True if `gateway` has a connection to `slot`, even an unresponsive one."""
+        """Return True if `gateway` has a connection to `slot`, also a stalled one."""
         assert gateway.gateway is not None
         return any(
             view.host.name == slot.name and view.link.connection is not None
--- a/tests/soak/soak_actions.py
+++ b/tests/soak/soak_actions.py
@@ -46,9 +46,9 @@
     delay_s, delay_back_s : float
         Added to data to and from the worker; `delay_back_s` alone simulates a
         partition in one direction.
-    is_silent : bool
+    is_stalled : bool
         No data passes, and no connection is closed.
-    is_cut : bool
+    is_disconnected : bool
         All connections are reset, and new ones are refused.
     """
 
@@ -129,7 +129,7 @@
 
     Parameters
     ----------
-    is_own : bool
+    has_own_key : bool
         Use a separate key; otherwise the worker writes its own entry again later.
     """
 
--- a/tests/soak/soak_callers.py
+++ b/tests/soak/soak_callers.py
@@ -39,11 +39,11 @@
     ----------
     deadline_s : float
         Deadline that the caller set, in seconds from `sent_s`.
-    whole_s : float
+    fully_sent_s : float
         Monotonic time when the last byte was sent; 0 if sending was interrupted.
     status : int
         HTTP status of the answer; 0 without one.
-    is_whole : bool
+    is_complete : bool
         True if the answer was received to its end.
     error : str
         Name of the exception that interrupted the request; empty for none.
--- a/tests/soak/soak_restores.py
+++ b/tests/soak/soak_restores.py
@@ -31,7 +31,7 @@
 
     Attributes
     ----------
-    said : dict of str to object
+    written : dict of str to object
         Current value of each key with a live writer: a worker or the operator.
     """
 
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -323,7 +323,7 @@
         )
 
     def started(self) -> set[int]:
-        """Return the indexes of gateways that logged their start since the last one."""
+        """Return the indexes of gateways whose latest process has logged its start."""
         return {
             gateway_index
             for gateway_index, gateway in enumerate(self._gateways)
--- a/tests/stop_schedules.py
+++ b/tests/stop_schedules.py
@@ -151,7 +151,7 @@
         self.f.publish()
 
     def _may_stop(self, slot: SidecarSlot) -> bool:
-        """Return True if each gateway with calls may use another sidecar for it."""
+        """Return True if each gateway with calls may use another sidecar instead."""
         serving = [g for g in self.f.gateways if g.name in self.ready | self.draining]
         return all(
             any(
