--- a/src/trefoilpaddle/standins/platform/gateway_process.py
+++ b/src/trefoilpaddle/standins/platform/gateway_process.py
@@ -171,7 +171,7 @@
             while not await self.is_ready(client):
                 if self.run is not None and self.run.poll() is not None:
                     raise ChildProcessError(
-                        f"{self.host} exited with {self.run.returncode} before it was"
+                        f"{self.host} ended with {self.run.returncode} before it was"
                         f" ready: {self._last_error()}"
                     )
                 await asyncio.sleep(POLL_S)
