--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -49,7 +49,7 @@
         # listener found its address in use.
         monkeypatch.setattr(ports, "PORTS", range(32_000, 32_400))
         monkeypatch.setattr(ports, "BLOCK", 8)
-        monkeypatch.setattr(ports, "_LEFT", [])
+        monkeypatch.setattr(ports, "_UNUSED", [])
         allocated = [free_port() for _ in range(20)]
         assert len(set(allocated)) == 20
 
