--- a/src/trefoilpaddle/cli/replay.py
+++ b/src/trefoilpaddle/cli/replay.py
@@ -16,7 +16,7 @@
 from ..replay.generate import generate
 from ..replay.launched import launch
 from ..replay.make import site_of
-from ..replay.outcomes import Round, reached
+from ..replay.outcomes import Round, outcome_results
 from ..replay.plot import plot_round
 from ..replay.report import print_round
 from ..replay.rounds import RoundSetup, n_plays, play_round
@@ -123,7 +123,7 @@
         task = progress.add_task(f"{head.deployment} {head.name}", total=n_answers)
         setup = RoundSetup(
             site=site,
-            open_plant=launch(described, time_scale=head.time_scale),
+            open_system=launch(described, time_scale=head.time_scale),
             judge=TextJudge(catalogue=described.catalogue, trace=trace),
             once_paths=described.once_paths,
             on_answer=lambda _: progress.advance(task),
@@ -134,4 +134,4 @@
 def _holds(round_: Round) -> bool:
     plays = [round_.baseline, round_.product]
     is_clean = not any(played.violations for played in plays)
-    return is_clean and all(outcome.holds for outcome in reached(round_))
+    return is_clean and all(outcome.holds for outcome in outcome_results(round_))
--- a/src/trefoilpaddle/replay/audit.py
+++ b/src/trefoilpaddle/replay/audit.py
@@ -26,7 +26,7 @@
     detail: str
 
 
-def violations(
+def find_violations(
     replayed: Replayed, *, n_requests: int, once_paths: Collection[str]
 ) -> list[Violation]:
     """Return every violation of the invariants in one play of a trace.
--- a/src/trefoilpaddle/replay/cache_rule.py
+++ b/src/trefoilpaddle/replay/cache_rule.py
@@ -20,7 +20,7 @@
 from .trace import read_trace
 
 HALF_LIVES_S: Final = (5.0, 20.0)
-ROOM_SHARES: Final = (0.1, 0.25, 0.5)
+CAPACITY_SHARES: Final = (0.1, 0.25, 0.5)
 N_ADAPTERS: Final = 340
 N_ADAPTER_USES: Final = 12_000
 ADAPTER_USES_PER_S: Final = 100.0
@@ -52,7 +52,7 @@
 
 
 class CacheRule(Protocol):
-    """A cache of limited room."""
+    """A cache of limited capacity."""
 
     def use(self, use: Use) -> bool:
         """Return True on a hit; on a miss, keep the item or not."""
@@ -62,10 +62,10 @@
 class LeastRecentlyUsed:
     """Keeps every item used and evicts the one not used for the longest."""
 
-    __slots__ = ("_items", "_room", "_used")
+    __slots__ = ("_capacity", "_items", "_used")
 
-    def __init__(self, *, room: float) -> None:
-        self._room = room
+    def __init__(self, *, capacity: float) -> None:
+        self._capacity = capacity
         self._used = 0.0
         self._items: OrderedDict[str, float] = OrderedDict()
 
@@ -74,11 +74,11 @@
         if use.item in self._items:
             self._items.move_to_end(use.item)
             return True
-        if use.size > self._room:
+        if use.size > self._capacity:
             return False
         self._items[use.item] = use.size
         self._used += use.size
-        while self._used > self._room:
+        while self._used > self._capacity:
             _, size = self._items.popitem(last=False)
             self._used -= size
         return False
@@ -94,21 +94,21 @@
     cost: float
 
 
-class SavingMinusLoss:
+class CostAwareCache:
     """Keeps a new item only if its saving exceeds the loss of what must go.
 
     Parameters
     ----------
-    room : float
+    capacity : float
         Room of the cache.
     half_life_s : float
         In which a use counts half.
     """
 
-    __slots__ = ("_asked", "_half_life_s", "_kept", "_room", "_used")
+    __slots__ = ("_asked", "_capacity", "_half_life_s", "_kept", "_used")
 
-    def __init__(self, *, room: float, half_life_s: float) -> None:
-        self._room = room
+    def __init__(self, *, capacity: float, half_life_s: float) -> None:
+        self._capacity = capacity
         self._half_life_s = half_life_s
         self._asked: dict[str, _Asked] = {}
         self._kept: set[str] = set()
@@ -122,7 +122,7 @@
         )
         if use.item in self._kept:
             return True
-        if use.size <= self._room:
+        if use.size <= self._capacity:
             self._consider(use, saving=count * use.cost)
         return False
 
@@ -135,7 +135,7 @@
 
     def _consider(self, use: Use, *, saving: float) -> None:
         evicted: list[str] = []
-        loss, freed = 0.0, self._room - self._used
+        loss, freed = 0.0, self._capacity - self._used
         for item in self._cheapest_first(use.at_s):
             if freed >= use.size or loss >= saving:
                 break
@@ -212,7 +212,7 @@
     """One comparison: the share of cost saved by each rule."""
 
     name: str
-    room_share: float
+    capacity_share: float
     plain: float
     rules: tuple[float, ...]
 
@@ -225,14 +225,16 @@
         seen[use.item] = (size, n_uses + 1)
     repeated = sum(size for size, n_uses in seen.values() if n_uses > 1)
     kept = [use for use in uses if not shared_only or seen[use.item][1] > 1]
-    for share in ROOM_SHARES:
-        room = share * repeated
-        plain = saved_share(kept, LeastRecentlyUsed(room=room))
+    for share in CAPACITY_SHARES:
+        capacity = share * repeated
+        plain = saved_share(kept, LeastRecentlyUsed(capacity=capacity))
         rules = tuple(
-            saved_share(kept, SavingMinusLoss(room=room, half_life_s=half_life_s))
+            saved_share(
+                kept, CostAwareCache(capacity=capacity, half_life_s=half_life_s)
+            )
             for half_life_s in HALF_LIVES_S
         )
-        yield Row(name=name, room_share=share, plain=plain, rules=rules)
+        yield Row(name=name, capacity_share=share, plain=plain, rules=rules)
 
 
 def main(traces: str = "traces") -> None:
@@ -257,17 +259,17 @@
     heads = "  ".join(f"rule {half_life_s:g} s" for half_life_s in HALF_LIVES_S)
     print(f"{name:24} {'room':>5} {'last used':>10}  {heads}")
     for row in rows:
-        print_line(row.name, row.room_share, [row.plain, *row.rules])
-    for share in ROOM_SHARES:
-        chosen = [row for row in rows if row.room_share == share]
+        print_line(row.name, row.capacity_share, [row.plain, *row.rules])
+    for share in CAPACITY_SHARES:
+        chosen = [row for row in rows if row.capacity_share == share]
         columns = zip(*([row.plain, *row.rules] for row in chosen), strict=True)
         print_line("median", share, [statistics.median(column) for column in columns])
 
 
-def print_line(name: str, room_share: float, figures: Sequence[float]) -> None:
+def print_line(name: str, capacity_share: float, figures: Sequence[float]) -> None:
     """Print one line of a table."""
     cells = "  ".join(f"{figure:8.3f}" for figure in figures)
-    print(f"  {name:22} {room_share:5.0%} {cells}")
+    print(f"  {name:22} {capacity_share:5.0%} {cells}")
 
 
 if __name__ == "__main__":
--- a/src/trefoilpaddle/replay/capacity.py
+++ b/src/trefoilpaddle/replay/capacity.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetPlace:
+class TargetCapacity:
     """Where a target stands and how much it does at once.
 
     Parameters
@@ -47,20 +47,20 @@
         Whose targets can do it.
     work_s : float
         Target-seconds.
-    alone_s : float
+    unloaded_s : float
         Time that it takes at a target with nothing else to do.
     """
 
     service: str
     work_s: float
-    alone_s: float
+    unloaded_s: float
 
 
 WorkOf = Callable[[Request], list[StageWork]]
 
 
 def capacity_bound(
-    trace: Trace, *, places: Sequence[TargetPlace], work_of: WorkOf
+    trace: Trace, *, targets: Sequence[TargetCapacity], work_of: WorkOf
 ) -> list[bool]:
     """Return for each request whether capacity allows it to be met in time.
 
@@ -72,22 +72,22 @@
     does all of it. Greedy by ease is no proof of a maximum: it is a yardstick.
     """
     n_buckets = _n_buckets(trace)
-    left = _supply(trace.head.faults, places, n_buckets)
-    speeds = _speeds(places)
+    left = _supply(trace.head.faults, targets, n_buckets)
+    speeds = _speeds(targets)
     work = [work_of(request) for request in trace.requests]
     allowed = [False] * len(work)
     for index in sorted(range(len(work)), key=lambda i: _size(work[i], speeds)):
         request = trace.requests[index]
-        if _alone_s(request, work[index], trace.head.faults) > request.deadline_s:
+        if _unloaded_s(request, work[index], trace.head.faults) > request.deadline_s:
             continue
         allowed[index] = _take(request, work[index], left)
     return allowed
 
 
-def _speeds(places: Sequence[TargetPlace]) -> dict[str, float]:
+def _speeds(targets: Sequence[TargetCapacity]) -> dict[str, float]:
     speeds: dict[str, float] = {}
-    for place in places:
-        speeds[place.service] = speeds.get(place.service, 0.0) + place.speed
+    for target in targets:
+        speeds[target.service] = speeds.get(target.service, 0.0) + target.speed
     return speeds
 
 
@@ -95,11 +95,11 @@
     requests: Sequence[Request],
     *,
     duration_s: float,
-    places: Sequence[TargetPlace],
+    targets: Sequence[TargetCapacity],
     work_of: WorkOf,
 ) -> float:
     """Return offered work over capacity, at the service where that is largest."""
-    speeds = _speeds(places)
+    speeds = _speeds(targets)
     offered = dict.fromkeys(speeds, 0.0)
     for request in requests:
         for stage in work_of(request):
@@ -116,11 +116,11 @@
     return max(stage.work_s / speeds[stage.service] for stage in stages)
 
 
-def _alone_s(
+def _unloaded_s(
     request: Request, stages: list[StageWork], faults: Sequence[Fault]
 ) -> float:
     return sum(
-        stage.alone_s * _slowness(stage.service, request.at_s, faults)
+        stage.unloaded_s * _slowness(stage.service, request.at_s, faults)
         for stage in stages
     )
 
@@ -135,30 +135,30 @@
 
 
 def _supply(
-    faults: Sequence[Fault], places: Sequence[TargetPlace], n_buckets: int
+    faults: Sequence[Fault], targets: Sequence[TargetCapacity], n_buckets: int
 ) -> dict[str, list[float]]:
-    supply = {place.service: [0.0] * n_buckets for place in places}
-    for place in places:
+    supply = {target.service: [0.0] * n_buckets for target in targets}
+    for target in targets:
         for bucket in range(n_buckets):
             at_s = bucket * BUCKET_S
-            share = math.prod(_share(fault, place, at_s) for fault in faults)
-            supply[place.service][bucket] += place.speed * share * BUCKET_S
+            share = math.prod(_share(fault, target, at_s) for fault in faults)
+            supply[target.service][bucket] += target.speed * share * BUCKET_S
     return supply
 
 
-def _share(fault: Fault, place: TargetPlace, at_s: float) -> float:
+def _share(fault: Fault, target: TargetCapacity, at_s: float) -> float:
     """Return the share of its speed that a fault leaves to a target."""
     match fault:
         case SlowService():
-            is_hit = fault.service == place.service
+            is_hit = fault.service == target.service
             left = 1.0 / fault.factor
         case KillTarget():
-            return 0.0 if fault.target == place.name and at_s >= fault.at_s else 1.0
+            return 0.0 if fault.target == target.name and at_s >= fault.at_s else 1.0
         case FreezeTarget():
-            is_hit = fault.target == place.name
+            is_hit = fault.target == target.name
             left = 0.0
         case CutDomain():
-            is_hit = fault.failure_domain == place.failure_domain
+            is_hit = fault.failure_domain == target.failure_domain
             left = 0.0
         case StaleLoad():
             return 1.0
--- a/src/trefoilpaddle/replay/client.py
+++ b/src/trefoilpaddle/replay/client.py
@@ -40,7 +40,7 @@
     body: bytes = b""
 
 
-async def ask(
+async def send_request(
     *,
     session: aiohttp.ClientSession,
     gateway: str,
@@ -48,14 +48,14 @@
     request: Request,
     judge: Judge,
     key: str,
-    names_deadline: bool,
+    sends_deadline: bool,
 ) -> Answer:
     """Send request number `index` to `gateway` and return what came of it.
 
     Never raises for what a gateway does; a lost connection is a verdict.
     """
     heard = _Heard()
-    headers = _headers(request, key, names_deadline=names_deadline)
+    headers = _headers(request, key, sends_deadline=sends_deadline)
     begin = time.monotonic()
     try:
         async with asyncio.timeout(request.deadline_s * GRACE_FACTOR):
@@ -88,13 +88,13 @@
             heard.error = _error_of(orjson.loads(heard.body))
 
 
-def _headers(request: Request, key: str, *, names_deadline: bool) -> dict[str, str]:
+def _headers(request: Request, key: str, *, sends_deadline: bool) -> dict[str, str]:
     headers = {
         "X-Client-Account": request.account,
         "X-Class-Of-Work": request.class_of_work,
         "X-Priority": str(request.priority),
     }
-    if names_deadline:
+    if sends_deadline:
         headers["X-Deadline-S"] = f"{request.deadline_s:g}"
     if request.is_streamed:
         headers["Accept"] = "text/event-stream"
@@ -165,7 +165,7 @@
     if heard.status == 0:
         return Verdict.NO_ANSWER
     if not heard.has_end:
-        return Verdict.TORN
+        return Verdict.TRUNCATED
     whole = heard.body or "".join(heard.text).encode()
     verdict = judge(index, whole)
     if verdict is not Verdict.IN_TIME:
--- a/src/trefoilpaddle/replay/expected.py
+++ b/src/trefoilpaddle/replay/expected.py
@@ -97,7 +97,7 @@
         self._trace = trace
 
     def __call__(self, index: int, whole: bytes) -> Verdict:
-        """Return ``IN_TIME`` for the right text, else ``TORN`` or ``WRONG``.
+        """Return ``IN_TIME`` for the right text, else ``TRUNCATED`` or ``WRONG``.
 
         A streamed answer is bare text, a whole one the JSON of the output.
         """
@@ -107,7 +107,7 @@
             return Verdict.IN_TIME
         text = last.output.get("text") if isinstance(last.output, dict) else None
         if isinstance(text, str) and text.encode().startswith(whole):
-            return Verdict.TORN
+            return Verdict.TRUNCATED
         return Verdict.WRONG
 
 
--- a/src/trefoilpaddle/replay/faults.py
+++ b/src/trefoilpaddle/replay/faults.py
@@ -3,44 +3,46 @@
 import asyncio
 from collections.abc import Iterable
 
-from .plant import Plant
+from .system_under_test import SystemUnderTest
 from .trace import CutDomain, Fault, FreezeTarget, KillTarget, SlowService, StaleLoad
 
 
-async def drive_faults(faults: Iterable[Fault], plant: Plant, begin: float) -> None:
+async def inject_faults(
+    faults: Iterable[Fault], system: SystemUnderTest, begin: float
+) -> None:
     """Do each fault at its time after `begin`, and repair it.
 
     Parameters
     ----------
     faults : iterable of Fault
         What goes wrong.
-    plant : Plant
+    system : SystemUnderTest
         Where.
     begin : float
         The event loop's time at which the trace started.
     """
     async with asyncio.TaskGroup() as group:
         for fault in faults:
-            group.create_task(_drive(fault, plant, begin))
+            group.create_task(_drive(fault, system, begin))
 
 
-async def _drive(fault: Fault, plant: Plant, begin: float) -> None:
+async def _drive(fault: Fault, system: SystemUnderTest, begin: float) -> None:
     await _until(begin + fault.at_s)
     match fault:
         case SlowService():
             slow: dict[str, object] = {"kind": "slow", "factor": fault.factor}
-            await _with_fault(fault.duration_s, slow, fault.service, plant)
+            await _with_fault(fault.duration_s, slow, fault.service, system)
         case StaleLoad():
             stale: dict[str, object] = {"kind": "stale", "lag_s": fault.lag_s}
-            await _with_fault(fault.duration_s, stale, "", plant)
+            await _with_fault(fault.duration_s, stale, "", system)
         case KillTarget():
-            await plant.kill(fault.target)
+            await system.kill(fault.target)
         case FreezeTarget():
-            names = [fault.target, plant.sidecar_of(fault.target)]
-            await _freeze(names, fault.duration_s, plant)
+            names = [fault.target, system.sidecar_of(fault.target)]
+            await _freeze(names, fault.duration_s, system)
         case CutDomain():
-            names = plant.processes_in(fault.failure_domain)
-            await _freeze(names, fault.duration_s, plant)
+            names = system.processes_in(fault.failure_domain)
+            await _freeze(names, fault.duration_s, system)
 
 
 async def _until(when: float) -> None:
@@ -48,20 +50,20 @@
 
 
 async def _with_fault(
-    duration_s: float, fault: dict[str, object], service: str, plant: Plant
+    duration_s: float, fault: dict[str, object], service: str, system: SystemUnderTest
 ) -> None:
-    targets = plant.targets_of(service)
-    await asyncio.gather(*(plant.set_fault(target, fault) for target in targets))
+    targets = system.targets_of(service)
+    await asyncio.gather(*(system.set_fault(target, fault) for target in targets))
     await asyncio.sleep(duration_s)
     heal: dict[str, object] = {"kind": "heal"}
-    await asyncio.gather(*(plant.set_fault(target, heal) for target in targets))
+    await asyncio.gather(*(system.set_fault(target, heal) for target in targets))
 
 
-async def _freeze(names: list[str], duration_s: float, plant: Plant) -> None:
+async def _freeze(names: list[str], duration_s: float, system: SystemUnderTest) -> None:
     for name in names:
-        plant.freeze(name)
+        system.freeze(name)
     try:
         await asyncio.sleep(duration_s)
     finally:
         for name in names:
-            plant.thaw(name)
+            system.thaw(name)
--- a/src/trefoilpaddle/replay/figures.py
+++ b/src/trefoilpaddle/replay/figures.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Spread:
+class Quantiles:
     """Quantiles of a time, in seconds; NaN without any."""
 
     n: int
@@ -41,7 +41,7 @@
         The share of the latter.
     cost_s : float
         Target-seconds used for the group.
-    latency : Spread
+    latency : Quantiles
         Of the answers in time.
     """
 
@@ -50,7 +50,7 @@
     n_in_time: int
     attainment: float
     cost_s: float
-    latency: Spread
+    latency: Quantiles
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -113,9 +113,9 @@
         By client account and by class of work.
     stages : tuple of StageFigures
         By service.
-    latency, first_token, between_tokens : Spread
+    latency, first_token, between_tokens : Quantiles
         Of the answers in time.
-    given_up_latency : Spread
+    given_up_latency : Quantiles
         How soon callers heard that they were given up.
     late_start_p99_s : float
         How late the player itself was; a large figure spoils the others.
@@ -132,15 +132,15 @@
     owners: tuple[GroupFigures, ...]
     classes: tuple[GroupFigures, ...]
     stages: tuple[StageFigures, ...]
-    latency: Spread
-    first_token: Spread
-    between_tokens: Spread
-    given_up_latency: Spread
+    latency: Quantiles
+    first_token: Quantiles
+    between_tokens: Quantiles
+    given_up_latency: Quantiles
     n_lost_records: int
     late_start_p99_s: float
 
 
-def spread_of(values_s: Iterable[float]) -> Spread:
+def quantiles_of(values_s: Iterable[float]) -> Quantiles:
     """Return the quantiles of `values_s`; NaN values are left out."""
     histogram = HdrHistogram(1, _LONGEST_S * _MICROSECONDS, _DIGITS)
     for value_s in values_s:
@@ -149,12 +149,12 @@
     n = histogram.get_total_count()
     if not n:
         nan = float("nan")
-        return Spread(n=0, p50_s=nan, p95_s=nan, p99_s=nan)
+        return Quantiles(n=0, p50_s=nan, p95_s=nan, p99_s=nan)
     p50, p95, p99 = (
         histogram.get_value_at_percentile(percent) / _MICROSECONDS
         for percent in (50, 95, 99)
     )
-    return Spread(n=n, p50_s=p50, p95_s=p95, p99_s=p99)
+    return Quantiles(n=n, p50_s=p50, p95_s=p95, p99_s=p99)
 
 
 def is_met(answer: Answer) -> bool:
@@ -177,7 +177,7 @@
     stages = _stages(replayed)
     cost_s = sum(stage.cost_s for stage in stages)
     cost_of = _cost_by_request(replayed.runs)
-    late_starts = spread_of(replayed.late_starts_s)
+    late_starts = quantiles_of(replayed.late_starts_s)
     return Figures(
         label=replayed.label,
         n_sent=len(answers),
@@ -190,10 +190,10 @@
         owners=_groups(trace, answers, cost_of, lambda request: request.account),
         classes=_groups(trace, answers, cost_of, lambda request: request.class_of_work),
         stages=stages,
-        latency=spread_of(answer.latency_s for answer in met),
-        first_token=spread_of(answer.first_token_s for answer in met),
-        between_tokens=spread_of(gap for answer in met for gap in answer.gaps_s),
-        given_up_latency=spread_of(
+        latency=quantiles_of(answer.latency_s for answer in met),
+        first_token=quantiles_of(answer.first_token_s for answer in met),
+        between_tokens=quantiles_of(gap for answer in met for gap in answer.gaps_s),
+        given_up_latency=quantiles_of(
             answer.latency_s for answer in answers if answer.verdict in given_up
         ),
         n_lost_records=replayed.n_lost_records,
@@ -243,7 +243,7 @@
         n_in_time=len(met),
         attainment=attainment_of(answers),
         cost_s=sum(cost_of.get(answer.request_id, 0.0) for answer in answers),
-        latency=spread_of(answer.latency_s for answer in met),
+        latency=quantiles_of(answer.latency_s for answer in met),
     )
 
 
--- a/src/trefoilpaddle/replay/fleet_measure.py
+++ b/src/trefoilpaddle/replay/fleet_measure.py
@@ -70,14 +70,14 @@
     """Return the figures of a fleet of `n_peers`."""
     async with running_fleet(n_peers, per_worker=per_worker, n_keys=n_keys) as fleet:
         await asyncio.sleep(SETTLE_S)
-        before = await fleet.all_do({"do": "figures"})
+        before = await fleet.send_all({"do": "figures"})
         await asyncio.sleep(idle_s)
-        after = await fleet.all_do({"do": "figures"})
+        after = await fleet.send_all({"do": "figures"})
         times_s: list[float] = []
         for number in range(n_changes):
             times_s += await _change(fleet, number)
             await asyncio.sleep(CHANGE_GAP_S)
-        last = await fleet.all_do({"do": "figures"})
+        last = await fleet.send_all({"do": "figures"})
     span_s = float(after[0]["monotonic_s"] - before[0]["monotonic_s"])
 
     def rate(name: str) -> float:
@@ -106,7 +106,7 @@
     """Publish one change and return how long each peer took to have it."""
     value = ACCOUNT | {"token_sha256": f"{number + 1:064x}"}
     waiting = asyncio.gather(
-        fleet.all_do(
+        fleet.send_all(
             {"do": "wait", "revision": fleet.platform.config.revisions.latest + 1}
         )
     )
--- a/src/trefoilpaddle/replay/fleet_run.py
+++ b/src/trefoilpaddle/replay/fleet_run.py
@@ -33,7 +33,7 @@
         self.role = role
         self.n_peers = n_peers
 
-    async def do(self, command: dict[str, Any]) -> dict[str, Any]:
+    async def send(self, command: dict[str, Any]) -> dict[str, Any]:
         """Send one command and return its answer.
 
         Raises
@@ -73,10 +73,12 @@
         self.workers: list[WorkerProcess] = []
         self.start_s = 0.0
 
-    async def all_do(self, command: dict[str, Any]) -> list[dict[str, Any]]:
+    async def send_all(self, command: dict[str, Any]) -> list[dict[str, Any]]:
         """Send one command to all workers at once."""
         return list(
-            await asyncio.gather(*(worker.do(dict(command)) for worker in self.workers))
+            await asyncio.gather(
+                *(worker.send(dict(command)) for worker in self.workers)
+            )
         )
 
 
@@ -127,7 +129,7 @@
         )
         worker = WorkerProcess(process=process, role=role, n_peers=n_peers)
         fleet.workers.append(worker)
-        answer = await worker.do(
+        answer = await worker.send(
             {
                 "do": "start",
                 "first": len(hosts),
@@ -142,7 +144,7 @@
         )
         hosts += answer["hosts"]
     fleet.platform.hosts.publish(hosts)
-    await fleet.all_do(
+    await fleet.send_all(
         {"do": "wait", "revision": fleet.platform.config.revisions.latest}
     )
     while await _n_known(fleet) < len(hosts):  # noqa: ASYNC110 (in other processes)
@@ -152,4 +154,4 @@
 
 async def _n_known(fleet: Fleet) -> int:
     """Return how many live members the peer knows that knows fewest."""
-    return min(int(one["n_known"]) for one in await fleet.all_do({"do": "figures"}))
+    return min(int(one["n_known"]) for one in await fleet.send_all({"do": "figures"}))
--- a/src/trefoilpaddle/replay/fleet_worker.py
+++ b/src/trefoilpaddle/replay/fleet_worker.py
@@ -77,7 +77,7 @@
         self._peers: list[Peer] = []
         self._n_events: Counter[Event] = Counter()
 
-    async def do(self, command: dict[str, Any]) -> dict[str, Any]:
+    async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
         """Carry out one command and return its answer."""
         match command.pop("do"):
             case "start":
@@ -202,7 +202,7 @@
     async with contextlib.AsyncExitStack() as stack:
         worker = Worker(stack=stack)
         while line := await reader.readline():
-            answer = await worker.do(orjson.loads(line))
+            answer = await worker.handle(orjson.loads(line))
             sys.stdout.write(orjson.dumps(answer).decode() + "\n")
             sys.stdout.flush()
 
--- a/src/trefoilpaddle/replay/generate.py
+++ b/src/trefoilpaddle/replay/generate.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from .capacity import TargetPlace, WorkOf, offered_share
+from .capacity import TargetCapacity, WorkOf, offered_share
 from .scenarios import Scenario, scenario_of
 from .trace import Head, Request, Trace
 from .workloads import Mix, Workload
@@ -26,7 +26,7 @@
     ----------
     workload : Workload
         Who asks for what.
-    places : tuple of TargetPlace
+    targets : tuple of TargetCapacity
         The deployment's targets and their speed.
     work_of : callable
         Target-seconds of each stage of a request.
@@ -35,7 +35,7 @@
     """
 
     workload: Workload
-    places: tuple[TargetPlace, ...]
+    targets: tuple[TargetCapacity, ...]
     work_of: WorkOf
     time_scale: float
 
@@ -78,7 +78,7 @@
     return offered_share(
         requests,
         duration_s=plan.duration_s,
-        places=site.places,
+        targets=site.targets,
         work_of=site.work_of,
     )
 
@@ -89,7 +89,7 @@
     account = site.workload.accounts[0].account
     sample = [_request(0.0, account, site, source) for _ in range(N_SAMPLES)]
     return offered_share(
-        sample, duration_s=N_SAMPLES, places=site.places, work_of=site.work_of
+        sample, duration_s=N_SAMPLES, targets=site.targets, work_of=site.work_of
     )
 
 
--- a/src/trefoilpaddle/replay/launched.py
+++ b/src/trefoilpaddle/replay/launched.py
@@ -14,10 +14,10 @@
 from ..standins.running import Running
 from ..standins.written_settings import Overrides, Table
 from ..state.settings import PolicySettings
-from .plant import Plant
 from .results import TargetRun
-from .rounds import OpenPlant
+from .rounds import OpenSystem
 from .site import Deployment
+from .system_under_test import SystemUnderTest
 
 SETTLE_S: Final = 5.0
 """Longest wait for targets to end what they run, before records are read."""
@@ -27,7 +27,7 @@
 _READ_S: Final = 5.0
 
 
-class LaunchedPlant:
+class LaunchedSystem:
     """A running deployment as a replay sees it.
 
     Parameters
@@ -84,7 +84,7 @@
         """Let what was frozen go on."""
         self._running.thaw(name)
 
-    async def forget(self) -> None:
+    async def clear_records(self) -> None:
         """Clear what the targets recorded so far."""
         async with aiohttp.ClientSession() as session:
             for target in self.targets_of(""):
@@ -117,7 +117,7 @@
         return [_run(service, target, row) for row in record["runs"]]
 
 
-def launch(site: Deployment, *, time_scale: float) -> OpenPlant:
+def launch(site: Deployment, *, time_scale: float) -> OpenSystem:
     """Return what starts the processes of `site` under a policy.
 
     Entries' deadlines are scaled as the trace's are. Idempotency keys are
@@ -127,9 +127,9 @@
     longest_s = max(entry.deadline_s for entry in site.catalogue.entries.values())
 
     @contextlib.asynccontextmanager
-    async def open_plant(
+    async def open_system(
         policy: PolicySettings, deadline_factor: float
-    ) -> AsyncIterator[Plant]:
+    ) -> AsyncIterator[SystemUnderTest]:
         factor = time_scale * deadline_factor
         values = _scaled(site.values, factor)
         vouch_s = RETRY_WINDOW_S + longest_s * factor
@@ -140,9 +140,9 @@
             site.description, values, overrides=overrides, time_scale=time_scale
         ) as running:
             await asyncio.sleep(vouch_s)
-            yield LaunchedPlant(running=running)
+            yield LaunchedSystem(running=running)
 
-    return open_plant
+    return open_system
 
 
 def _scaled(values: PublishedValues, factor: float) -> PublishedValues:
--- a/src/trefoilpaddle/replay/make.py
+++ b/src/trefoilpaddle/replay/make.py
@@ -9,7 +9,7 @@
 from ..standins.description import EXAMPLES
 from .generate import Site, generate
 from .scenarios import SCENARIOS
-from .site import WorkModel, load_deployment, target_places
+from .site import WorkModel, load_deployment, target_capacities
 from .trace import write_trace
 from .workloads import WORKLOADS
 
@@ -30,7 +30,7 @@
     described = load_deployment(folder)
     return Site(
         workload=WORKLOADS[deployment],
-        places=tuple(target_places(described.description)),
+        targets=tuple(target_capacities(described.description)),
         work_of=WorkModel(deployment=described, time_scale=time_scale),
         time_scale=time_scale,
     )
--- a/src/trefoilpaddle/replay/outcomes.py
+++ b/src/trefoilpaddle/replay/outcomes.py
@@ -7,14 +7,14 @@
 from .audit import Violation
 from .figures import Figures, attainment_of, is_met
 from .results import Answer, Replayed
-from .trace import Measure, Request, Stated, Trace
+from .trace import Measure, Request, StatedOutcome, Trace
 
-BACK_TO_CALM_S: Final = 3.0
+RECOVERY_S: Final = 3.0
 """Time after a repair within which things must be as before; never scaled."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Played:
+class AuditedReplay:
     """One play with its figures and what it violated."""
 
     replayed: Replayed
@@ -30,38 +30,38 @@
     ----------
     trace : Trace
         What was played.
-    baseline, product : Played
+    baseline, product : AuditedReplay
         The two that are compared.
-    fresh : Played, optional
+    fresh : AuditedReplay, optional
         The product without the faults; only where an outcome asks for it.
     allowed : list of bool
         For each request, whether capacity allows it.
     """
 
     trace: Trace
-    baseline: Played
-    product: Played
-    fresh: Played | None
+    baseline: AuditedReplay
+    product: AuditedReplay
+    fresh: AuditedReplay | None
     allowed: list[bool]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Reached:
+class OutcomeResult:
     """A stated outcome and what was measured."""
 
-    stated: Stated
+    stated: StatedOutcome
     value: float
     holds: bool
 
 
-def reached(round_: Round) -> tuple[Reached, ...]:
+def outcome_results(round_: Round) -> tuple[OutcomeResult, ...]:
     """Return each outcome that the trace states, with what was measured."""
-    return tuple(_reached(stated, round_) for stated in round_.trace.head.stated)
+    return tuple(_outcome_result(stated, round_) for stated in round_.trace.head.stated)
 
 
-def _reached(stated: Stated, round_: Round) -> Reached:
+def _outcome_result(stated: StatedOutcome, round_: Round) -> OutcomeResult:
     value = measure(stated.measure, round_)
-    return Reached(stated=stated, value=value, holds=stated.holds(value))
+    return OutcomeResult(stated=stated, value=value, holds=stated.holds(value))
 
 
 def measure(which: Measure, round_: Round) -> float:
@@ -133,7 +133,7 @@
     window = round_.trace.head.disturbed
     if window is None:
         return float("nan")
-    back_s = window.end_s + BACK_TO_CALM_S
+    back_s = window.end_s + RECOVERY_S
     after = _select(round_, lambda request: request.at_s >= back_s)
     calm = _select(round_, lambda request: _before(round_, request))
     return _over(attainment_of(after), attainment_of(calm))
--- a/src/trefoilpaddle/replay/player.py
+++ b/src/trefoilpaddle/replay/player.py
@@ -7,13 +7,13 @@
 import aiohttp
 
 from .balancer import Balancer
-from .client import Judge, ask
-from .faults import drive_faults
-from .plant import Plant
+from .client import Judge, send_request
+from .faults import inject_faults
 from .results import Answer, Replayed
+from .system_under_test import SystemUnderTest
 from .trace import Trace
 
-LEAD_S: Final = 0.2
+START_DELAY_S: Final = 0.2
 """Time between the start of the player and the start of the trace."""
 
 PRELUDE_S: Final = 4.0
@@ -27,11 +27,11 @@
 async def play(
     trace: Trace,
     *,
-    plant: Plant,
+    system: SystemUnderTest,
     judge: Judge,
     label: str,
     on_answer: OnAnswer,
-    names_deadline: bool = True,
+    sends_deadline: bool = True,
 ) -> Replayed:
     """Send all requests of `trace` at their times and collect what came of them.
 
@@ -39,7 +39,7 @@
     ----------
     trace : Trace
         What to send and what goes wrong.
-    plant : Plant
+    system : SystemUnderTest
         What to play against.
     judge : Judge
         Tells a right answer from a wrong one.
@@ -47,7 +47,7 @@
         Names the run; idempotency keys carry it, so that runs don't mix.
     on_answer : callable
         Called with each answer; shows progress.
-    names_deadline : bool
+    sends_deadline : bool
         False sends requests without their deadline.
     """
     connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
@@ -55,15 +55,15 @@
         player = _Player(
             trace=trace,
             session=session,
-            balancer=Balancer(gateways=plant.gateways),
+            balancer=Balancer(gateways=system.gateways),
             judge=judge,
             label=label,
-            names_deadline=names_deadline,
+            sends_deadline=sends_deadline,
         )
-        await player.prelude(plant)
-        await player.run(plant, on_answer)
+        await player.prelude(system)
+        await player.run(system, on_answer)
     replayed = player.replayed
-    replayed.runs, replayed.n_lost_records = await plant.records()
+    replayed.runs, replayed.n_lost_records = await system.records()
     replayed.answers.sort(key=lambda answer: answer.index)
     return replayed
 
@@ -74,7 +74,7 @@
     __slots__ = (
         "_balancer",
         "_judge",
-        "_names_deadline",
+        "_sends_deadline",
         "_session",
         "_trace",
         "replayed",
@@ -88,16 +88,16 @@
         balancer: Balancer,
         judge: Judge,
         label: str,
-        names_deadline: bool,
+        sends_deadline: bool,
     ) -> None:
         self._trace = trace
         self._session = session
         self._balancer = balancer
         self._judge = judge
-        self._names_deadline = names_deadline
+        self._sends_deadline = sends_deadline
         self.replayed = Replayed(label=label)
 
-    async def prelude(self, plant: Plant) -> None:
+    async def prelude(self, system: SystemUnderTest) -> None:
         """Send one request of each entry to each gateway; none is counted.
 
         A gateway leases an entry's limits at its first request and refuses
@@ -112,18 +112,18 @@
             *(
                 self._ask(index, gateway, key=f"prelude-{gateway}-{index}")
                 for index in first.values()
-                for gateway in plant.gateways
+                for gateway in system.gateways
             )
         )
         await asyncio.sleep(PRELUDE_S)
-        await plant.forget()
+        await system.clear_records()
 
-    async def run(self, plant: Plant, on_answer: OnAnswer) -> None:
+    async def run(self, system: SystemUnderTest, on_answer: OnAnswer) -> None:
         """Play the whole trace, faults included."""
         async with self._balancer.checking(self._session):
-            begin = asyncio.get_running_loop().time() + LEAD_S
+            begin = asyncio.get_running_loop().time() + START_DELAY_S
             async with asyncio.TaskGroup() as group:
-                group.create_task(drive_faults(self._trace.head.faults, plant, begin))
+                group.create_task(inject_faults(self._trace.head.faults, system, begin))
                 for index in range(len(self._trace.requests)):
                     group.create_task(self._send(index, begin, on_answer))
 
@@ -140,12 +140,12 @@
         on_answer(answer)
 
     async def _ask(self, index: int, gateway: str, *, key: str) -> Answer:
-        return await ask(
+        return await send_request(
             session=self._session,
             gateway=gateway,
             index=index,
             request=self._trace.requests[index],
             judge=self._judge,
             key=key,
-            names_deadline=self._names_deadline,
+            sends_deadline=self._sends_deadline,
         )
--- a/src/trefoilpaddle/replay/plot.py
+++ b/src/trefoilpaddle/replay/plot.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from .figures import attainment_of
-from .outcomes import Played, Round
+from .outcomes import AuditedReplay, Round
 
 BIN_S: Final = 1.0
 
@@ -44,7 +44,7 @@
 
 
 def _attainment_over_time(
-    round_: Round, played: Played
+    round_: Round, played: AuditedReplay
 ) -> tuple[list[float], list[float]]:
     requests = round_.trace.requests
     n_bins = int(round_.trace.head.duration_s / BIN_S) + 1
--- a/src/trefoilpaddle/replay/report.py
+++ b/src/trefoilpaddle/replay/report.py
@@ -5,8 +5,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from .figures import Figures, GroupFigures, Spread
-from .outcomes import Played, Reached, Round, reached
+from .figures import Figures, GroupFigures, Quantiles
+from .outcomes import AuditedReplay, OutcomeResult, Round, outcome_results
 
 
 def print_round(round_: Round, console: Console) -> None:
@@ -25,10 +25,10 @@
     console.print(_refusal_table(round_))
     for played in (round_.baseline, round_.product):
         print_violations(played, console)
-    print_reached(reached(round_), console)
+    print_outcomes(outcome_results(round_), console)
 
 
-def print_violations(played: Played, console: Console) -> None:
+def print_violations(played: AuditedReplay, console: Console) -> None:
     """Print what must always hold and did not."""
     for violation in played.violations:
         console.print(
@@ -37,7 +37,7 @@
         )
 
 
-def print_reached(outcomes: Sequence[Reached], console: Console) -> None:
+def print_outcomes(outcomes: Sequence[OutcomeResult], console: Console) -> None:
     """Print each stated outcome with what was measured."""
     for outcome in outcomes:
         stated = outcome.stated
@@ -72,20 +72,20 @@
     yield "cost per met, s", base.cost_per_met_s, product.cost_per_met_s
     yield "wasted share of cost", base.wasted_share, product.wasted_share
     yield "extra calls share", base.extra_calls_share, product.extra_calls_share
-    yield from _spread_rows("latency", base.latency, product.latency)
-    yield from _spread_rows("first token", base.first_token, product.first_token)
-    yield from _spread_rows(
+    yield from _quantile_rows("latency", base.latency, product.latency)
+    yield from _quantile_rows("first token", base.first_token, product.first_token)
+    yield from _quantile_rows(
         "between tokens", base.between_tokens, product.between_tokens
     )
-    yield from _spread_rows(
+    yield from _quantile_rows(
         "given up after", base.given_up_latency, product.given_up_latency
     )
     yield "player late p99, s", base.late_start_p99_s, product.late_start_p99_s
     yield "records lost", base.n_lost_records, product.n_lost_records
 
 
-def _spread_rows(
-    name: str, base: Spread, product: Spread
+def _quantile_rows(
+    name: str, base: Quantiles, product: Quantiles
 ) -> Iterator[tuple[str, float, float]]:
     yield f"{name} p50, s", base.p50_s, product.p50_s
     yield f"{name} p95, s", base.p95_s, product.p95_s
--- a/src/trefoilpaddle/replay/results.py
+++ b/src/trefoilpaddle/replay/results.py
@@ -13,7 +13,7 @@
     NOT_RUN = "not_run"
     FAILED = "failed"
     UNKNOWN = "unknown"
-    TORN = "torn"
+    TRUNCATED = "torn"
     """An answer that ended early, or is shorter than what the targets made."""
     WRONG = "wrong"
     """An answer that is not this request's, or holds parts of it twice."""
--- a/src/trefoilpaddle/replay/rounds.py
+++ b/src/trefoilpaddle/replay/rounds.py
@@ -6,14 +6,14 @@
 from typing import Final
 
 from ..state.settings import Choice, Order, PolicySettings
-from .audit import violations
+from .audit import find_violations
 from .capacity import capacity_bound
 from .client import GRACE_FACTOR, Judge
 from .figures import figures_of
 from .generate import Site
-from .outcomes import Played, Round
-from .plant import Plant
+from .outcomes import AuditedReplay, Round
 from .player import OnAnswer, play
+from .system_under_test import SystemUnderTest
 from .trace import Measure, Trace
 
 BASELINE: Final = PolicySettings(
@@ -35,7 +35,9 @@
 `trefoilpaddle.replay.client.GRACE_FACTOR` deadlines.
 """
 
-OpenPlant = Callable[[PolicySettings, float], AbstractAsyncContextManager[Plant]]
+OpenSystem = Callable[
+    [PolicySettings, float], AbstractAsyncContextManager[SystemUnderTest]
+]
 """Starts fresh processes under a policy, with the entries' deadlines multiplied
 by a factor, and ends them with the context."""
 
@@ -48,7 +50,7 @@
     ----------
     site : Site
         The deployment's targets and what a request costs there.
-    open_plant : callable
+    open_system : callable
         Starts the processes to play against.
     judge : callable
         Tells a right answer from a wrong one.
@@ -59,7 +61,7 @@
     """
 
     site: Site
-    open_plant: OpenPlant
+    open_system: OpenSystem
     judge: Judge
     once_paths: frozenset[str]
     on_answer: OnAnswer
@@ -73,7 +75,7 @@
     Where the trace states an outcome against a fresh run, the product plays it
     once more without its faults.
     """
-    before = await play_under(trace, "baseline", BASELINE, setup, names_deadline=False)
+    before = await play_under(trace, "baseline", BASELINE, setup, sends_deadline=False)
     after = await play_under(trace, "product", product, setup)
     fresh = None
     if _needs_fresh(trace):
@@ -84,7 +86,7 @@
         product=after,
         fresh=fresh,
         allowed=capacity_bound(
-            trace, places=setup.site.places, work_of=setup.site.work_of
+            trace, targets=setup.site.targets, work_of=setup.site.work_of
         ),
     )
 
@@ -95,8 +97,8 @@
     policy: PolicySettings,
     setup: RoundSetup,
     *,
-    names_deadline: bool = True,
-) -> Played:
+    sends_deadline: bool = True,
+) -> AuditedReplay:
     """Play `trace` once under `policy` on fresh processes, and audit it.
 
     Parameters
@@ -109,23 +111,23 @@
         Of every gateway and sidecar.
     setup : RoundSetup
         The rest.
-    names_deadline : bool
+    sends_deadline : bool
         False plays it without deadlines, as the baseline.
     """
-    deadline_factor = 1.0 if names_deadline else GRACE_FACTOR
-    async with setup.open_plant(policy, deadline_factor) as plant:
+    deadline_factor = 1.0 if sends_deadline else GRACE_FACTOR
+    async with setup.open_system(policy, deadline_factor) as system:
         replayed = await play(
             trace,
-            plant=plant,
+            system=system,
             judge=setup.judge,
             label=label,
             on_answer=setup.on_answer,
-            names_deadline=names_deadline,
+            sends_deadline=sends_deadline,
         )
-    found = violations(
+    found = find_violations(
         replayed, n_requests=len(trace.requests), once_paths=setup.once_paths
     )
-    return Played(
+    return AuditedReplay(
         replayed=replayed,
         figures=figures_of(trace, replayed),
         violations=tuple(found),
--- a/src/trefoilpaddle/replay/scenarios.py
+++ b/src/trefoilpaddle/replay/scenarios.py
@@ -11,7 +11,7 @@
     Measure,
     SlowService,
     StaleLoad,
-    Stated,
+    StatedOutcome,
     Window,
 )
 from .workloads import Workload
@@ -41,10 +41,10 @@
     "overload",
 )
 
-_BUDGET = Stated(measure=Measure.EXTRA_CALLS_SHARE, at_most=0.1)
-_NO_WORSE = Stated(measure=Measure.ATTAINMENT_RATIO, at_least=1.0)
-_OF_REMAINING = Stated(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.95)
-_REPAIRED = Stated(measure=Measure.REPAIRED_OF_CALM, at_least=0.98)
+_BUDGET = StatedOutcome(measure=Measure.EXTRA_CALLS_SHARE, at_most=0.1)
+_NO_WORSE = StatedOutcome(measure=Measure.ATTAINMENT_RATIO, at_least=1.0)
+_OF_REMAINING = StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.95)
+_REPAIRED = StatedOutcome(measure=Measure.REPAIRED_OF_CALM, at_least=0.98)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -57,7 +57,7 @@
     disturbed: Window | None = None
     bursting_account: str = ""
     burst_factor: float = 1.0
-    stated: tuple[Stated, ...]
+    stated: tuple[StatedOutcome, ...]
 
 
 def scenario_of(name: str, workload: Workload, time_scale: float) -> Scenario:
@@ -79,7 +79,7 @@
                 bursting_account=workload.accounts[0].account,
                 burst_factor=BURST_FACTOR,
                 stated=(
-                    Stated(measure=Measure.WITHIN_SHARE_OF_CALM, at_least=0.98),
+                    StatedOutcome(measure=Measure.WITHIN_SHARE_OF_CALM, at_least=0.98),
                     _NO_WORSE,
                     _BUDGET,
                 ),
@@ -98,19 +98,19 @@
             raise ValueError(f"no scenario {name!r}; known: {', '.join(SCENARIOS)}")
 
 
-def _calm_stated() -> tuple[Stated, ...]:
+def _calm_stated() -> tuple[StatedOutcome, ...]:
     return (
         _NO_WORSE,
-        Stated(measure=Measure.COST_RATIO, at_most=0.9),
+        StatedOutcome(measure=Measure.COST_RATIO, at_most=0.9),
         _BUDGET,
     )
 
 
-def _overload_stated() -> tuple[Stated, ...]:
+def _overload_stated() -> tuple[StatedOutcome, ...]:
     return (
-        Stated(measure=Measure.ATTAINMENT_RATIO, at_least=2.0),
-        Stated(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.9),
-        Stated(measure=Measure.WASTED_SHARE, at_most=0.05),
+        StatedOutcome(measure=Measure.ATTAINMENT_RATIO, at_least=2.0),
+        StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.9),
+        StatedOutcome(measure=Measure.WASTED_SHARE, at_most=0.05),
         _BUDGET,
     )
 
@@ -157,5 +157,5 @@
     return Scenario(
         offered_share=BUSY_SHARE,
         faults=(stale,),
-        stated=(Stated(measure=Measure.OF_FRESH, at_least=0.95), _BUDGET),
+        stated=(StatedOutcome(measure=Measure.OF_FRESH, at_least=0.95), _BUDGET),
     )
--- a/src/trefoilpaddle/replay/seeds.py
+++ b/src/trefoilpaddle/replay/seeds.py
@@ -6,7 +6,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .outcomes import Round, reached
+from .outcomes import Round, outcome_results
 
 
 def print_seeds(rounds: Sequence[Round], console: Console) -> None:
@@ -27,6 +27,6 @@
         yield f"cost per met, {label}, s", [each.cost_per_met_s for each in figures]
         yield f"wasted share, {label}", [each.wasted_share for each in figures]
         yield f"latency p95, {label}, s", [each.latency.p95_s for each in figures]
-    outcomes = [reached(round_) for round_ in rounds]
+    outcomes = [outcome_results(round_) for round_ in rounds]
     for place, first in enumerate(outcomes[0]):
         yield first.stated.measure.value, [each[place].value for each in outcomes]
--- a/src/trefoilpaddle/replay/site.py
+++ b/src/trefoilpaddle/replay/site.py
@@ -18,7 +18,7 @@
 from ..standins.outputs import N_BLOCK_WORDS
 from ..state.catalogue import Catalogue, ServiceKind
 from ..state.check_files import check_path
-from .capacity import StageWork, TargetPlace
+from .capacity import StageWork, TargetCapacity
 from .expected import ExpectedCall, expected_calls
 from .trace import Request
 
@@ -72,7 +72,7 @@
     )
 
 
-def target_places(description: Description) -> Iterator[TargetPlace]:
+def target_capacities(description: Description) -> Iterator[TargetCapacity]:
     """Yield each target with its speed.
 
     An engine does one target-second a second, shared by its batch; a pool's or
@@ -81,7 +81,7 @@
     place = description.n_gateways
     for service in description.services:
         for name in service.targets():
-            yield TargetPlace(
+            yield TargetCapacity(
                 name=name,
                 service=service.name,
                 failure_domain=description.domain(place),
@@ -128,15 +128,15 @@
         service = self._services[call.stage.service]
         if service.kind is ServiceKind.ENGINE:
             n_shared = _n_shared_tokens(call, request)
-            work_s, alone_s = _engine_times(_batch_model(service), call, n_shared)
+            work_s, unloaded_s = _engine_times(_batch_model(service), call, n_shared)
         else:
             model = _call_model(service)
             work_s = model.base_s + model.s_per_kb * call.n_body_bytes / BYTES_PER_KB
-            alone_s = work_s
+            unloaded_s = work_s
         return StageWork(
             service=service.name,
             work_s=work_s * self._time_scale,
-            alone_s=alone_s * self._time_scale,
+            unloaded_s=unloaded_s * self._time_scale,
         )
 
 
@@ -153,8 +153,8 @@
     base_share_s = model.step_base_s / model.max_batch
     work_s = prefill_s + call.n_tokens * (base_share_s + model.step_per_prompt_s)
     n_steps = call.n_tokens + math.ceil(n_prompt_tokens / model.prefill_chunk)
-    alone_s = prefill_s + n_steps * model.step_base_s
-    return work_s, alone_s + call.n_tokens * model.step_per_prompt_s
+    unloaded_s = prefill_s + n_steps * model.step_base_s
+    return work_s, unloaded_s + call.n_tokens * model.step_per_prompt_s
 
 
 def _batch_model(service: ServiceDescription) -> BatchModel:
--- a/src/trefoilpaddle/replay/summary.py
+++ b/src/trefoilpaddle/replay/summary.py
@@ -4,7 +4,7 @@
 
 from .audit import Violation
 from .figures import Figures
-from .outcomes import Reached, Round, reached
+from .outcomes import OutcomeResult, Round, outcome_results
 from .trace import Head
 
 
@@ -22,7 +22,7 @@
         Of each play.
     violations : tuple of Violation
         What must always hold and did not, in any play.
-    outcomes : tuple of Reached
+    outcomes : tuple of OutcomeResult
         Each stated outcome, with what was measured.
     """
 
@@ -32,7 +32,7 @@
     product: Figures
     fresh: Figures | None
     violations: tuple[Violation, ...]
-    outcomes: tuple[Reached, ...]
+    outcomes: tuple[OutcomeResult, ...]
 
 
 def summary_of(round_: Round) -> Summary:
@@ -45,5 +45,5 @@
         product=round_.product.figures,
         fresh=fresh.figures if fresh else None,
         violations=round_.baseline.violations + round_.product.violations,
-        outcomes=reached(round_),
+        outcomes=outcome_results(round_),
     )
--- a/src/trefoilpaddle/replay/plant.py
+++ b/src/trefoilpaddle/replay/system_under_test.py
@@ -5,7 +5,7 @@
 from .results import TargetRun
 
 
-class Plant(Protocol):
+class SystemUnderTest(Protocol):
     """Running gateways, sidecars and targets; faults are done to them.
 
     Targets are named as in the deployment, processes of the system by their
@@ -45,7 +45,7 @@
         """Let what was frozen go on."""
         ...
 
-    async def forget(self) -> None:
+    async def clear_records(self) -> None:
         """Clear what the targets recorded so far."""
         ...
 
--- a/src/trefoilpaddle/replay/trace.py
+++ b/src/trefoilpaddle/replay/trace.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
-class Stated:
+class StatedOutcome:
     """One stated outcome: what a measure must be at least or at most."""
 
     measure: Measure
@@ -172,7 +172,7 @@
         From the first trouble to its repair.
     bursting_account : str
         Client account that goes over its share; empty without one.
-    stated : tuple of Stated
+    stated : tuple of StatedOutcome
         Outcomes that the product must reach.
     """
 
@@ -187,7 +187,7 @@
     faults: tuple[Fault, ...] = ()
     disturbed: Window | None = None
     bursting_account: str = ""
-    stated: tuple[Stated, ...] = ()
+    stated: tuple[StatedOutcome, ...] = ()
 
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -8,11 +8,11 @@
 from result import Ok
 
 from tests.replay_parts import make_answer, make_head, make_request, make_run
-from trefoilpaddle.replay.audit import violations
-from trefoilpaddle.replay.capacity import StageWork, TargetPlace, capacity_bound
+from trefoilpaddle.replay.audit import find_violations
+from trefoilpaddle.replay.capacity import StageWork, TargetCapacity, capacity_bound
 from trefoilpaddle.replay.figures import figures_of
 from trefoilpaddle.replay.inputs import body_of
-from trefoilpaddle.replay.outcomes import Played, Round, measure, reached
+from trefoilpaddle.replay.outcomes import AuditedReplay, Round, measure, outcome_results
 from trefoilpaddle.replay.results import Answer, Replayed, TargetRun, Verdict
 from trefoilpaddle.replay.trace import (
     Head,
@@ -20,7 +20,7 @@
     Measure,
     Request,
     SlowService,
-    Stated,
+    StatedOutcome,
     Trace,
     Window,
     read_trace,
@@ -36,7 +36,7 @@
                 KillTarget(at_s=1.0, target="t"),
             ),
             disturbed=Window(begin_s=1.0, end_s=3.0),
-            stated=(Stated(measure=Measure.WASTED_SHARE, at_most=0.05),),
+            stated=(StatedOutcome(measure=Measure.WASTED_SHARE, at_most=0.05),),
         )
         trace = Trace(head=head, requests=(make_request(prefix="a"), make_request()))
         write_trace(trace, tmp_path / "t.jsonl")
@@ -63,7 +63,7 @@
 class TestAudit:
     def check(self, answers: list[Answer], runs: list[TargetRun]) -> list[str]:
         replayed = Replayed(label="x", answers=answers, runs=runs)
-        found = violations(replayed, n_requests=len(answers), once_paths={"/once"})
+        found = find_violations(replayed, n_requests=len(answers), once_paths={"/once"})
         return [violation.rule for violation in found]
 
     def test_passes_a_clean_replay(self) -> None:
@@ -91,7 +91,7 @@
 
     def test_finds_crossed_and_lost_answers(self) -> None:
         replayed = Replayed(label="x", answers=[make_answer(0, Verdict.WRONG)])
-        found = violations(replayed, n_requests=2, once_paths=())
+        found = find_violations(replayed, n_requests=2, once_paths=())
         assert [violation.rule for violation in found] == [
             "each request ends for its caller",
             "an answer is the request's own, and whole",
@@ -125,9 +125,9 @@
 
 
 class TestCapacity:
-    PLACES = (
-        TargetPlace(name="a", service="s", failure_domain="d1", speed=1.0),
-        TargetPlace(name="b", service="s", failure_domain="d2", speed=1.0),
+    TARGETS = (
+        TargetCapacity(name="a", service="s", failure_domain="d1", speed=1.0),
+        TargetCapacity(name="b", service="s", failure_domain="d2", speed=1.0),
     )
 
     def allowed(self, works: list[float], **changes: object) -> list[bool]:
@@ -141,9 +141,9 @@
 
         def work_of(request: Request) -> list[StageWork]:
             work_s = works[request.n_words - 1]
-            return [StageWork(service="s", work_s=work_s, alone_s=0.1)]
+            return [StageWork(service="s", work_s=work_s, unloaded_s=0.1)]
 
-        return capacity_bound(trace, places=self.PLACES, work_of=work_of)
+        return capacity_bound(trace, targets=self.TARGETS, work_of=work_of)
 
     def test_takes_the_easiest_first(self) -> None:
         assert self.allowed([1.5, 0.5, 1.0]) == [False, True, True]
@@ -166,7 +166,7 @@
         trace = Trace(head=head, requests=requests)
         answers = [make_answer(i, verdict) for i, verdict in enumerate(verdicts)]
         replayed = Replayed(label="product", answers=answers)
-        played = Played(
+        played = AuditedReplay(
             replayed=replayed, figures=figures_of(trace, replayed), violations=()
         )
         return Round(
@@ -189,9 +189,9 @@
 
     def test_says_which_outcome_is_not_reached(self) -> None:
         stated = (
-            Stated(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.9),
-            Stated(measure=Measure.WASTED_SHARE, at_most=0.05),
+            StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.9),
+            StatedOutcome(measure=Measure.WASTED_SHARE, at_most=0.05),
         )
         met, late = Verdict.IN_TIME, Verdict.LATE
         round_ = self.make_round([met, late], make_head(stated=stated))
-        assert [outcome.holds for outcome in reached(round_)] == [False, False]
+        assert [outcome.holds for outcome in outcome_results(round_)] == [False, False]
--- a/tests/test_replay_generate.py
+++ b/tests/test_replay_generate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from trefoilpaddle.replay.capacity import StageWork, TargetPlace
+from trefoilpaddle.replay.capacity import StageWork, TargetCapacity
 from trefoilpaddle.replay.generate import Site, generate
 from trefoilpaddle.replay.scenarios import SCENARIOS
 from trefoilpaddle.replay.trace import Request
@@ -13,14 +13,14 @@
     n_words = request.n_words + request.n_prefix_words
     work_s = 0.05 + 0.0002 * n_words
     return [
-        StageWork(service="encode", work_s=0.01, alone_s=0.01),
-        StageWork(service="draft", work_s=work_s, alone_s=work_s),
+        StageWork(service="encode", work_s=0.01, unloaded_s=0.01),
+        StageWork(service="draft", work_s=work_s, unloaded_s=work_s),
     ]
 
 
 def make_site(deployment: str) -> Site:
-    places = tuple(
-        TargetPlace(
+    targets = tuple(
+        TargetCapacity(
             name=f"{service}-{number}",
             service=service,
             failure_domain=f"fd-{number % 4 + 1}",
@@ -30,7 +30,7 @@
         for number in range(n_targets)
     )
     return Site(
-        workload=WORKLOADS[deployment], places=places, work_of=work_of, time_scale=0.4
+        workload=WORKLOADS[deployment], targets=targets, work_of=work_of, time_scale=0.4
     )
 
 
--- a/tests/test_replay_player.py
+++ b/tests/test_replay_player.py
@@ -14,8 +14,8 @@
 from trefoilpaddle.replay.trace import FreezeTarget, KillTarget, SlowService, Trace
 
 
-class FakePlant:
-    """A plant of one fake gateway; remembers which faults were done."""
+class FakeSystem:
+    """A system of one fake gateway; remembers which faults were done."""
 
     def __init__(self, gateway: str) -> None:
         self.gateways = (gateway,)
@@ -42,7 +42,7 @@
     def thaw(self, name: str) -> None:
         self.done.append(f"thaw {name}")
 
-    async def forget(self) -> None:
+    async def clear_records(self) -> None:
         self.done.append("forget")
 
     async def records(self) -> tuple[list[TargetRun], int]:
@@ -73,7 +73,7 @@
 
 
 @contextlib.asynccontextmanager
-async def fake_gateway() -> AsyncIterator[FakePlant]:
+async def fake_gateway() -> AsyncIterator[FakeSystem]:
     app = web.Application()
     app.router.add_post("/v1/pipelines/{pipeline}", answer_by_input)
 
@@ -87,7 +87,7 @@
     await site.start()
     try:
         host, port = runner.addresses[0][:2]
-        yield FakePlant(f"http://{host}:{port}")
+        yield FakeSystem(f"http://{host}:{port}")
     finally:
         await runner.cleanup()
 
@@ -110,9 +110,9 @@
         is_own = whole.split() == body.split()
         return Verdict.IN_TIME if is_own else Verdict.WRONG
 
-    async with fake_gateway() as plant:
+    async with fake_gateway() as system:
         return await play(
-            trace, plant=plant, judge=judge, label="x", on_answer=lambda _: None
+            trace, system=system, judge=judge, label="x", on_answer=lambda _: None
         )
 
 
@@ -129,7 +129,7 @@
             ("whole", Verdict.IN_TIME),
             ("streamed", Verdict.IN_TIME),
             ("refused", Verdict.NOT_RUN),
-            ("torn", Verdict.TORN),
+            ("torn", Verdict.TRUNCATED),
             ("crossed", Verdict.WRONG),
         ],
     )
@@ -139,10 +139,10 @@
 
     async def test_a_gateway_that_is_gone_is_no_answer(self) -> None:
         trace = Trace(head=make_head(), requests=(make_request(),))
-        plant = FakePlant("http://127.0.0.1:1")
+        system = FakeSystem("http://127.0.0.1:1")
         replayed = await play(
             trace,
-            plant=plant,
+            system=system,
             judge=lambda index, whole: Verdict.IN_TIME,
             label="x",
             on_answer=lambda _: None,
@@ -156,15 +156,15 @@
             FreezeTarget(at_s=0.0, duration_s=0.02, target="f"),
         )
         trace = Trace(head=make_head(faults=faults), requests=())
-        plant = FakePlant("http://127.0.0.1:1")
+        system = FakeSystem("http://127.0.0.1:1")
         await play(
             trace,
-            plant=plant,
+            system=system,
             judge=lambda index, whole: Verdict.IN_TIME,
             label="x",
             on_answer=lambda _: None,
         )
-        assert sorted(plant.done) == [
+        assert sorted(system.done) == [
             "freeze f",
             "freeze f-sidecar",
             "heal s-1",
--- a/tests/test_replay_small.py
+++ b/tests/test_replay_small.py
@@ -9,7 +9,7 @@
 from trefoilpaddle.replay.generate import generate
 from trefoilpaddle.replay.launched import launch
 from trefoilpaddle.replay.make import site_of
-from trefoilpaddle.replay.outcomes import Played
+from trefoilpaddle.replay.outcomes import AuditedReplay
 from trefoilpaddle.replay.rounds import RoundSetup, play_under
 from trefoilpaddle.replay.site import load_deployment
 from trefoilpaddle.replay.trace import Fault, FreezeTarget, KillTarget, Trace
@@ -35,11 +35,11 @@
     return Trace(head=head, requests=requests)
 
 
-async def played(trace: Trace) -> Played:
+async def played(trace: Trace) -> AuditedReplay:
     described = load_deployment(FOLDER)
     setup = RoundSetup(
         site=site_of(DEPLOYMENT, time_scale=TIME_SCALE, folder=FOLDER),
-        open_plant=launch(described, time_scale=TIME_SCALE),
+        open_system=launch(described, time_scale=TIME_SCALE),
         judge=TextJudge(catalogue=described.catalogue, trace=trace),
         once_paths=described.once_paths,
         on_answer=lambda _: None,
