--- a/src/trefoilpaddle/replay/__init__.py
+++ b/src/trefoilpaddle/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of recorded traces: baseline against product, measured and audited."""
+"""Replays traces under a baseline and the product, and measures and audits both."""
--- a/src/trefoilpaddle/replay/audit.py
+++ b/src/trefoilpaddle/replay/audit.py
@@ -1,4 +1,4 @@
-"""Checks what must always hold: what callers were told against targets' records."""
+"""Checks the invariants of a replay: callers' answers against targets' records."""
 
 from collections import Counter, defaultdict
 from collections.abc import Collection, Iterator
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Violation:
-    """One case in which something that must always hold did not.
+    """One violation of an invariant.
 
     Parameters
     ----------
     rule : str
-        What must hold.
+        The invariant.
     request_id : str
-        The request concerned.
+        The request; empty if the violation concerns no single request.
     detail : str
-        What was seen.
+        What was observed.
     """
 
     rule: str
@@ -29,12 +29,12 @@
 def find_violations(
     replayed: Replayed, *, n_requests: int, once_paths: Collection[str]
 ) -> list[Violation]:
-    """Return every violation of the invariants in one play of a trace.
+    """Return every violation of the invariants in one replay of a trace.
 
     Parameters
     ----------
     replayed : Replayed
-        What callers were told and what targets ran.
+        The answers that callers received and the calls that targets ran.
     n_requests : int
         Requests in the trace.
     once_paths : collection of str
@@ -44,15 +44,17 @@
     for run in replayed.runs:
         by_request[run.request_id].append(run)
     return [
-        *_lost(replayed, n_requests),
-        *_wrong(replayed),
-        *_false_not_run(replayed, by_request),
-        *_more_than_once(by_request, once_paths),
-        *_attempt_twice(replayed),
+        *_requests_without_outcome(replayed, n_requests),
+        *_wrong_answers(replayed),
+        *_not_run_but_ran(replayed, by_request),
+        *_repeated_stages(by_request, once_paths),
+        *_repeated_attempts(replayed),
     ]
 
 
-def _lost(replayed: Replayed, n_requests: int) -> Iterator[Violation]:
+def _requests_without_outcome(
+    replayed: Replayed, n_requests: int
+) -> Iterator[Violation]:
     n_missing = n_requests - len(replayed.answers)
     if n_missing:
         yield Violation(
@@ -62,7 +64,7 @@
         )
 
 
-def _wrong(replayed: Replayed) -> Iterator[Violation]:
+def _wrong_answers(replayed: Replayed) -> Iterator[Violation]:
     for answer in replayed.answers:
         if answer.verdict is Verdict.WRONG:
             yield Violation(
@@ -72,7 +74,7 @@
             )
 
 
-def _false_not_run(
+def _not_run_but_ran(
     replayed: Replayed, by_request: dict[str, list[TargetRun]]
 ) -> Iterator[Violation]:
     for answer in replayed.answers:
@@ -85,7 +87,7 @@
             )
 
 
-def _more_than_once(
+def _repeated_stages(
     by_request: dict[str, list[TargetRun]], once_paths: Collection[str]
 ) -> Iterator[Violation]:
     for request_id, runs in by_request.items():
@@ -99,7 +101,7 @@
                 )
 
 
-def _attempt_twice(replayed: Replayed) -> Iterator[Violation]:
+def _repeated_attempts(replayed: Replayed) -> Iterator[Violation]:
     counts = Counter(run.attempt_id for run in replayed.runs)
     for attempt_id, count in counts.items():
         if attempt_id and count > 1:
--- a/src/trefoilpaddle/replay/balancer.py
+++ b/src/trefoilpaddle/replay/balancer.py
@@ -1,4 +1,4 @@
-"""Round robin over the gateways that say they are ready, as a balancer does."""
+"""A load balancer: round robin over the gateways that report readiness."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 
 
 class Balancer:
-    """Names the gateway for the next request.
+    """Chooses the gateway of each request by round robin.
 
     Parameters
     ----------
     gateways : tuple of str
-        Base URLs of the gateways' callers' ports.
+        Base URLs of the ports on which the gateways serve callers.
     """
 
     __slots__ = ("_gateways", "_next", "_ready")
@@ -28,7 +28,7 @@
         self._next = 0
 
     def pick(self) -> str:
-        """Return the next ready gateway; any one when none is ready."""
+        """Return the next ready gateway, or the next of all if none is ready."""
         for _ in self._gateways:
             gateway = self._gateways[self._next % len(self._gateways)]
             self._next += 1
@@ -38,7 +38,7 @@
 
     @contextlib.asynccontextmanager
     async def checking(self, session: aiohttp.ClientSession) -> AsyncIterator[None]:
-        """Ask each gateway for its readiness while the context is open."""
+        """Poll the readiness of each gateway while the context is open."""
         tasks = [
             asyncio.create_task(self._check(session, gateway))
             for gateway in self._gateways
--- a/src/trefoilpaddle/replay/cache_rule.py
+++ b/src/trefoilpaddle/replay/cache_rule.py
@@ -1,9 +1,9 @@
-"""Compares two rules for what a limited cache keeps, on recorded traces.
+"""Compares two admission and eviction rules of a bounded cache on recorded traces.
 
-The plain rule keeps what was used last. The other keeps a new item only where
-the cost that it saves exceeds the cost lost with what is evicted for it, after
-"Optimal File Placement for En-Route Web Caching", for a single cache: the
-saving of an item is how often it is asked for times what a miss costs.
+The plain rule is least recently used. The other admits a new item only if the
+cost that it saves exceeds the cost lost with the items evicted for it. It follows
+"Optimal File Placement for En-Route Web Caching", for a single cache: the saving
+of an item is the frequency of its uses times the cost of a miss.
 """
 
 import random
@@ -36,13 +36,13 @@
     Parameters
     ----------
     at_s : float
-        When.
+        Time of the use, from the start of the trace.
     item : str
-        What.
+        Key of the item.
     size : float
-        Room that it takes.
+        Capacity that the item takes, in the unit of the cache's capacity.
     cost : float
-        What a miss costs.
+        Cost of a miss.
     """
 
     at_s: float
@@ -52,15 +52,15 @@
 
 
 class CacheRule(Protocol):
-    """A cache of limited capacity."""
+    """A cache of bounded capacity."""
 
     def use(self, use: Use) -> bool:
-        """Return True on a hit; on a miss, keep the item or not."""
+        """Return True on a hit; a miss may admit the item."""
         ...
 
 
 class LeastRecentlyUsed:
-    """Keeps every item used and evicts the one not used for the longest."""
+    """Admits each item that fits and evicts the least recently used ones."""
 
     __slots__ = ("_capacity", "_items", "_used")
 
@@ -70,7 +70,7 @@
         self._items: OrderedDict[str, float] = OrderedDict()
 
     def use(self, use: Use) -> bool:
-        """Return True on a hit; on a miss, keep the item."""
+        """Return True on a hit; a miss admits the item if it fits at all."""
         if use.item in self._items:
             self._items.move_to_end(use.item)
             return True
@@ -85,8 +85,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Asked:
-    """How often an item is asked for, fading, as of `at_s`."""
+class _Frequency:
+    """Exponentially decayed count of the uses of an item, as of `at_s`."""
 
     count: float
     at_s: float
@@ -95,45 +95,45 @@
 
 
 class CostAwareCache:
-    """Keeps a new item only if its saving exceeds the loss of what must go.
+    """Admits a new item only if its saving exceeds that of the evicted items.
 
     Parameters
     ----------
     capacity : float
         Room of the cache.
     half_life_s : float
-        In which a use counts half.
+        Time after which a use counts half.
     """
 
-    __slots__ = ("_asked", "_capacity", "_half_life_s", "_kept", "_used")
+    __slots__ = ("_capacity", "_frequencies", "_half_life_s", "_kept", "_used")
 
     def __init__(self, *, capacity: float, half_life_s: float) -> None:
         self._capacity = capacity
         self._half_life_s = half_life_s
-        self._asked: dict[str, _Asked] = {}
+        self._frequencies: dict[str, _Frequency] = {}
         self._kept: set[str] = set()
         self._used = 0.0
 
     def use(self, use: Use) -> bool:
-        """Return True on a hit; on a miss, keep the item if that pays."""
+        """Return True on a hit; a miss admits the item if that saves cost."""
         count = 1.0 + self._count(use.item, use.at_s)
-        self._asked[use.item] = _Asked(
+        self._frequencies[use.item] = _Frequency(
             count=count, at_s=use.at_s, size=use.size, cost=use.cost
         )
         if use.item in self._kept:
             return True
         if use.size <= self._capacity:
-            self._consider(use, saving=count * use.cost)
+            self._admit_if_saving(use, saving=count * use.cost)
         return False
 
     def _count(self, item: str, now_s: float) -> float:
-        asked = self._asked.get(item)
-        if asked is None:
+        frequency = self._frequencies.get(item)
+        if frequency is None:
             return 0.0
-        passed_s = now_s - asked.at_s
-        return float(asked.count * 0.5 ** (passed_s / self._half_life_s))
+        elapsed_s = now_s - frequency.at_s
+        return float(frequency.count * 0.5 ** (elapsed_s / self._half_life_s))
 
-    def _consider(self, use: Use, *, saving: float) -> None:
+    def _admit_if_saving(self, use: Use, *, saving: float) -> None:
         evicted: list[str] = []
         loss, freed = 0.0, self._capacity - self._used
         for item in self._cheapest_first(use.at_s):
@@ -141,64 +141,67 @@
                 break
             evicted.append(item)
             loss += self._saving(item, use.at_s)
-            freed += self._asked[item].size
+            freed += self._frequencies[item].size
         if freed < use.size or loss >= saving:
             return
         for item in evicted:
             self._kept.remove(item)
-            self._used -= self._asked[item].size
+            self._used -= self._frequencies[item].size
         self._kept.add(use.item)
         self._used += use.size
 
     def _saving(self, item: str, now_s: float) -> float:
-        return self._count(item, now_s) * self._asked[item].cost
+        return self._count(item, now_s) * self._frequencies[item].cost
 
     def _cheapest_first(self, now_s: float) -> Sequence[str]:
-        def worth(item: str) -> float:
-            return self._saving(item, now_s) / self._asked[item].size
+        def saving_per_size(item: str) -> float:
+            return self._saving(item, now_s) / self._frequencies[item].size
 
-        return sorted(self._kept, key=worth)
+        return sorted(self._kept, key=saving_per_size)
 
 
 def prompt_uses(path: Path) -> Iterator[Use]:
-    """Yield the parts of each prompt of a trace: its shared prefix and its own.
+    """Yield the two parts of each prompt of a trace: shared prefix and own words.
 
-    Both go into an engine's cache; a miss costs prefill of as many words.
+    Both enter an engine's cache; a miss costs the prefill of that many words.
     """
     match read_trace(path):
         case Err(problems):
             raise ValueError(f"{path}: {problems}")
         case Ok(trace):
             pass
-    for number, request in enumerate(trace.requests):
+    for index, request in enumerate(trace.requests):
         if request.prefix:
             n_words = float(request.n_prefix_words)
             yield Use(
                 at_s=request.at_s, item=request.prefix, size=n_words, cost=n_words
             )
             n_own = float(request.n_words)
-            yield Use(at_s=request.at_s, item=f"own {number}", size=n_own, cost=n_own)
+            yield Use(at_s=request.at_s, item=f"own {index}", size=n_own, cost=n_own)
 
 
 def adapter_uses(seed: int) -> Iterator[Use]:
-    """Yield uses of adapters, a few of them large accounts', that shift slowly."""
-    source = random.Random(seed)
+    """Yield uses of adapters by a Zipf distribution that shifts slowly.
+
+    A few adapters, those of large accounts, get most of the uses.
+    """
+    rng = random.Random(seed)
     weights = [1.0 / (rank + 1) ** ZIPF_POWER for rank in range(N_ADAPTERS)]
     names = [f"adapter {i}" for i in range(N_ADAPTERS)]
-    source.shuffle(names)
+    rng.shuffle(names)
     shift_s = ADAPTER_SHIFT_S
     at_s = 0.0
     for _ in range(N_ADAPTER_USES):
-        at_s += source.expovariate(ADAPTER_USES_PER_S)
+        at_s += rng.expovariate(ADAPTER_USES_PER_S)
         if at_s > shift_s:
             shift_s += ADAPTER_SHIFT_S
-            a, b = source.sample(range(50), 2)
+            a, b = rng.sample(range(50), 2)
             names[a], names[-b] = names[-b], names[a]
-        yield Use(at_s=at_s, item=source.choices(names, weights)[0], size=1.0, cost=1.0)
+        yield Use(at_s=at_s, item=rng.choices(names, weights)[0], size=1.0, cost=1.0)
 
 
 def saved_share(uses: Iterable[Use], rule: CacheRule) -> float:
-    """Return the part of all cost that hits saved."""
+    """Return the share of the total cost that hits saved."""
     saved = total = 0.0
     for use in uses:
         total += use.cost
@@ -209,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One comparison: the share of cost saved by each rule."""
+    """One comparison at one capacity: the share of cost that each rule saves."""
 
     name: str
     capacity_share: float
@@ -218,19 +221,21 @@
 
 
 def compare(name: str, uses: Sequence[Use], *, shared_only: bool) -> Iterator[Row]:
-    """Yield a row for each size of cache, as a share of what is used twice."""
-    seen: dict[str, tuple[float, int]] = {}
+    """Yield a row for each capacity, a share of the size of all repeated items."""
+    size_and_uses: dict[str, tuple[float, int]] = {}
     for use in uses:
-        size, n_uses = seen.get(use.item, (use.size, 0))
-        seen[use.item] = (size, n_uses + 1)
-    repeated = sum(size for size, n_uses in seen.values() if n_uses > 1)
-    kept = [use for use in uses if not shared_only or seen[use.item][1] > 1]
+        size, n_uses = size_and_uses.get(use.item, (use.size, 0))
+        size_and_uses[use.item] = (size, n_uses + 1)
+    repeated = sum(size for size, n_uses in size_and_uses.values() if n_uses > 1)
+    selected = [
+        use for use in uses if not shared_only or size_and_uses[use.item][1] > 1
+    ]
     for share in CAPACITY_SHARES:
         capacity = share * repeated
-        plain = saved_share(kept, LeastRecentlyUsed(capacity=capacity))
+        plain = saved_share(selected, LeastRecentlyUsed(capacity=capacity))
         rules = tuple(
             saved_share(
-                kept, CostAwareCache(capacity=capacity, half_life_s=half_life_s)
+                selected, CostAwareCache(capacity=capacity, half_life_s=half_life_s)
             )
             for half_life_s in HALF_LIVES_S
         )
@@ -255,7 +260,7 @@
 
 
 def print_rows(name: str, rows: Sequence[Row]) -> None:
-    """Print all rows of one kind and their medians for each size of cache."""
+    """Print all rows of one kind and their medians at each capacity."""
     heads = "  ".join(f"rule {half_life_s:g} s" for half_life_s in HALF_LIVES_S)
     print(f"{name:24} {'room':>5} {'last used':>10}  {heads}")
     for row in rows:
--- a/src/trefoilpaddle/replay/capacity.py
+++ b/src/trefoilpaddle/replay/capacity.py
@@ -1,4 +1,4 @@
-"""What the capacity of a deployment allows of a trace."""
+"""An estimate of how many requests of a trace the capacity can serve in time."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetCapacity:
-    """Where a target stands and how much it does at once.
+    """A target, its failure domain and its rate of work.
 
     Parameters
     ----------
     name, service, failure_domain : str
-        Which target.
+        Identify the target and its failure domain.
     speed : float
-        Target-seconds of work that it does in a second.
+        Target-seconds of work that it completes in a second.
     """
 
     name: str
@@ -39,16 +39,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageWork:
-    """What one stage of a request asks of a target.
+    """Work that one stage of a request requires of a target.
 
     Parameters
     ----------
     service : str
-        Whose targets can do it.
+        Service whose targets can run it.
     work_s : float
         Target-seconds.
     unloaded_s : float
-        Time that it takes at a target with nothing else to do.
+        Service time, in seconds, at a target without other work.
     """
 
     service: str
@@ -62,25 +62,28 @@
 def capacity_bound(
     trace: Trace, *, targets: Sequence[TargetCapacity], work_of: WorkOf
 ) -> list[bool]:
-    """Return for each request whether capacity allows it to be met in time.
-
-    Requests are taken in order of ease: the largest share that any of its
-    stages takes of its service's capacity. Each is allowed if the work of all
-    its stages still fits into what is left between its arrival and its
-    deadline, in buckets of ``BUCKET_S``; work may be split freely over targets
-    and buckets, and queueing and messages cost nothing, so no real scheduler
-    does all of it. Greedy by ease is no proof of a maximum: it is a yardstick.
+    """Return for each request whether capacity allows an answer in time.
+
+    Requests are allocated greedily, smallest first: the size of a request is the
+    largest share that any of its stages takes of its service's capacity. A request
+    is allowed if the work of all its stages fits into the remaining capacity
+    between its arrival and its deadline, in buckets of ``BUCKET_S``. Work may be
+    split freely over targets and buckets, and queueing and messages cost nothing,
+    so no real scheduler reaches this result. The greedy order is not proven to
+    give the maximum; the result serves as a reference value.
     """
     n_buckets = _n_buckets(trace)
-    left = _supply(trace.head.faults, targets, n_buckets)
+    remaining = _supply(trace.head.faults, targets, n_buckets)
     speeds = _speeds(targets)
     work = [work_of(request) for request in trace.requests]
     allowed = [False] * len(work)
-    for index in sorted(range(len(work)), key=lambda i: _size(work[i], speeds)):
+    for index in sorted(
+        range(len(work)), key=lambda i: _largest_share(work[i], speeds)
+    ):
         request = trace.requests[index]
         if _unloaded_s(request, work[index], trace.head.faults) > request.deadline_s:
             continue
-        allowed[index] = _take(request, work[index], left)
+        allowed[index] = _reserve(request, work[index], remaining)
     return allowed
 
 
@@ -98,7 +101,7 @@
     targets: Sequence[TargetCapacity],
     work_of: WorkOf,
 ) -> float:
-    """Return offered work over capacity, at the service where that is largest."""
+    """Return the ratio of offered work to capacity at the most loaded service."""
     speeds = _speeds(targets)
     offered = dict.fromkeys(speeds, 0.0)
     for request in requests:
@@ -112,7 +115,7 @@
     return math.ceil((trace.head.duration_s + longest) / BUCKET_S) + 1
 
 
-def _size(stages: list[StageWork], speeds: dict[str, float]) -> float:
+def _largest_share(stages: list[StageWork], speeds: dict[str, float]) -> float:
     return max(stage.work_s / speeds[stage.service] for stage in stages)
 
 
@@ -147,43 +150,43 @@
 
 
 def _share(fault: Fault, target: TargetCapacity, at_s: float) -> float:
-    """Return the share of its speed that a fault leaves to a target."""
+    """Return the share of its speed that a target keeps during a fault."""
     match fault:
         case SlowService():
             is_hit = fault.service == target.service
-            left = 1.0 / fault.factor
+            remaining = 1.0 / fault.factor
         case KillTarget():
             return 0.0 if fault.target == target.name and at_s >= fault.at_s else 1.0
         case FreezeTarget():
             is_hit = fault.target == target.name
-            left = 0.0
+            remaining = 0.0
         case CutDomain():
             is_hit = fault.failure_domain == target.failure_domain
-            left = 0.0
+            remaining = 0.0
         case StaleLoad():
             return 1.0
     is_on = fault.at_s <= at_s < fault.at_s + fault.duration_s
-    return left if is_hit and is_on else 1.0
+    return remaining if is_hit and is_on else 1.0
 
 
-def _take(
-    request: Request, stages: list[StageWork], left: dict[str, list[float]]
+def _reserve(
+    request: Request, stages: list[StageWork], remaining: dict[str, list[float]]
 ) -> bool:
     first = int(request.at_s / BUCKET_S)
     last = int((request.at_s + request.deadline_s) / BUCKET_S)
-    taken: list[tuple[str, int, float]] = []
+    reserved: list[tuple[str, int, float]] = []
     for stage in stages:
         rest = stage.work_s
-        supply = left[stage.service]
+        supply = remaining[stage.service]
         for bucket in range(first, min(last, len(supply))):
             part = min(rest, supply[bucket])
             supply[bucket] -= part
-            taken.append((stage.service, bucket, part))
+            reserved.append((stage.service, bucket, part))
             rest -= part
             if rest <= 0.0:
                 break
         if rest > 1e-9:
-            for service, bucket, part in taken:
-                left[service][bucket] += part
+            for service, bucket, part in reserved:
+                remaining[service][bucket] += part
             return False
     return True
--- a/src/trefoilpaddle/replay/client.py
+++ b/src/trefoilpaddle/replay/client.py
@@ -1,4 +1,4 @@
-"""One request over HTTP, judged as its caller would judge it."""
+"""Sends one request over HTTP and classifies its answer from the caller's view."""
 
 import asyncio
 import itertools
@@ -15,12 +15,12 @@
 from .trace import Request
 
 Judge = Callable[[int, bytes], Verdict]
-"""Tells whether an answer's whole text belongs to the request at an index."""
+"""Classifies the complete text of the answer to the request at an index."""
 
 GRACE_FACTOR: Final = 2.0
-"""A caller waits this many deadlines for a late answer before it gives up."""
+"""A caller waits for this many deadlines before it abandons the request."""
 
-_NOT_FULL: Final = {
+_VERDICT_OF_OUTCOME: Final = {
     "not run": Verdict.NOT_RUN,
     "failed": Verdict.FAILED,
     "unknown": Verdict.UNKNOWN,
@@ -28,8 +28,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Heard:
-    """What came back so far."""
+class _Received:
+    """The part of the answer that was received so far."""
 
     status: int = 0
     request_id: str = ""
@@ -50,20 +50,20 @@
     key: str,
     sends_deadline: bool,
 ) -> Answer:
-    """Send request number `index` to `gateway` and return what came of it.
+    """Send the request at `index` to `gateway` and return its answer.
 
-    Never raises for what a gateway does; a lost connection is a verdict.
+    Failures of a gateway raise no exception; a lost connection gives a verdict.
     """
-    heard = _Heard()
+    received = _Received()
     headers = _headers(request, key, sends_deadline=sends_deadline)
     begin = time.monotonic()
     try:
         async with asyncio.timeout(request.deadline_s * GRACE_FACTOR):
-            await _exchange(session, gateway, request, headers, heard)
+            await _exchange(session, gateway, request, headers, received)
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
         pass
     latency_s = time.monotonic() - begin
-    return _answer(index, request, gateway, heard, begin, latency_s, judge)
+    return _answer(index, request, gateway, received, begin, latency_s, judge)
 
 
 async def _exchange(
@@ -71,21 +71,21 @@
     gateway: str,
     request: Request,
     headers: dict[str, str],
-    heard: _Heard,
+    received: _Received,
 ) -> None:
     body, content_type = body_of(request)
     headers = {**headers, "Content-Type": content_type}
     url = f"{gateway}/v1/pipelines/{request.pipeline}"
     async with session.post(url, data=body, headers=headers) as response:
-        heard.status = response.status
-        heard.request_id = response.headers.get("X-Request-Id", "")
+        received.status = response.status
+        received.request_id = response.headers.get("X-Request-Id", "")
         if response.content_type == "text/event-stream":
-            await _read_events(response, heard)
+            await _read_events(response, received)
             return
-        heard.body = await response.read()
-        heard.has_end = True
+        received.body = await response.read()
+        received.has_end = True
         if response.status != 200:
-            heard.error = _error_of(orjson.loads(heard.body))
+            received.error = _error_of(orjson.loads(received.body))
 
 
 def _headers(request: Request, key: str, *, sends_deadline: bool) -> dict[str, str]:
@@ -103,25 +103,25 @@
     return headers
 
 
-async def _read_events(response: aiohttp.ClientResponse, heard: _Heard) -> None:
+async def _read_events(response: aiohttp.ClientResponse, received: _Received) -> None:
     event = ""
     async for raw in response.content:
         line = raw.decode().rstrip("\r\n")
         if line.startswith("event:"):
             event = line[6:].strip()
         elif line.startswith("data:"):
-            _take_event(event, line[5:].strip(), heard)
+            _apply_event(event, line[5:].strip(), received)
 
 
-def _take_event(event: str, data: str, heard: _Heard) -> None:
+def _apply_event(event: str, data: str, received: _Received) -> None:
     match event:
         case "token":
-            heard.token_times.append(time.monotonic())
-            heard.text.append(str(orjson.loads(data)["text"]))
+            received.token_times.append(time.monotonic())
+            received.text.append(str(orjson.loads(data)["text"]))
         case "end":
-            heard.has_end = True
+            received.has_end = True
         case "error":
-            heard.error = _error_of(orjson.loads(data))
+            received.error = _error_of(orjson.loads(data))
 
 
 def _error_of(body: object) -> dict[str, Any]:
@@ -134,19 +134,19 @@
     index: int,
     request: Request,
     gateway: str,
-    heard: _Heard,
+    received: _Received,
     begin: float,
     latency_s: float,
     judge: Judge,
 ) -> Answer:
-    error = heard.error or {}
-    times = heard.token_times
+    error = received.error or {}
+    times = received.token_times
     pairs = itertools.pairwise(times)
     return Answer(
         index=index,
-        verdict=_verdict(index, request, heard, latency_s, judge),
-        status=heard.status,
-        request_id=heard.request_id or str(error.get("request_id", "")),
+        verdict=_verdict(index, request, received, latency_s, judge),
+        status=received.status,
+        request_id=received.request_id or str(error.get("request_id", "")),
         gateway=gateway,
         reason=str(error.get("reason", "")),
         stage=str(error.get("stage", "")),
@@ -158,16 +158,18 @@
 
 
 def _verdict(
-    index: int, request: Request, heard: _Heard, latency_s: float, judge: Judge
+    index: int, request: Request, received: _Received, latency_s: float, judge: Judge
 ) -> Verdict:
-    if heard.error is not None:
-        return _NOT_FULL.get(str(heard.error.get("outcome")), Verdict.UNKNOWN)
-    if heard.status == 0:
+    if received.error is not None:
+        return _VERDICT_OF_OUTCOME.get(
+            str(received.error.get("outcome")), Verdict.UNKNOWN
+        )
+    if received.status == 0:
         return Verdict.NO_ANSWER
-    if not heard.has_end:
+    if not received.has_end:
         return Verdict.TRUNCATED
-    whole = heard.body or "".join(heard.text).encode()
-    verdict = judge(index, whole)
+    content = received.body or "".join(received.text).encode()
+    verdict = judge(index, content)
     if verdict is not Verdict.IN_TIME:
         return verdict
     is_late = latency_s > request.deadline_s
--- a/src/trefoilpaddle/replay/expected.py
+++ b/src/trefoilpaddle/replay/expected.py
@@ -1,4 +1,4 @@
-"""What the stand-ins answer to a request, worked out without any process."""
+"""Computes the stand-ins' answers to a request without running a process."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExpectedCall:
-    """One call to a target and its answer.
+    """One call to a target and the answer that the stand-in gives.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     prompt : str
         An engine's prompt; empty for others.
     n_tokens : int
-        Tokens that an engine answers with; 0 for others.
+        Tokens in an engine's answer; 0 for others.
     output : Json
         The stage's output.
     """
@@ -45,13 +45,13 @@
 
 
 def expected_calls(catalogue: Catalogue, request: Request) -> Iterator[ExpectedCall]:
-    """Yield the calls that `request` leads to, in order."""
+    """Yield the stage calls of `request`, in the order of its pipeline."""
     body, _ = body_of(request)
-    material = StageInputs(input=_input(body))
+    inputs = StageInputs(input=_input(body))
     for stage in catalogue.pipelines[request.pipeline].stages:
-        call = _expected_call(catalogue, stage, material)
+        call = _expected_call(catalogue, stage, inputs)
         yield call
-        material = replace(material, previous=call.output)
+        inputs = replace(inputs, previous=call.output)
 
 
 def _input(body: bytes) -> Json:
@@ -62,13 +62,13 @@
 
 
 def _expected_call(
-    catalogue: Catalogue, stage: Stage, material: StageInputs
+    catalogue: Catalogue, stage: Stage, inputs: StageInputs
 ) -> ExpectedCall:
     if catalogue.services[stage.service].kind is not ServiceKind.ENGINE:
-        body = plain_body(stage, material)
+        body = plain_body(stage, inputs)
         output = call_output(stage.path, body)
         return ExpectedCall(stage=stage, n_body_bytes=len(body), output=output)
-    prompt = prompt_of(stage, material)
+    prompt = prompt_of(stage, inputs)
     tokens = engine_output(prompt, stage.max_tokens)
     text = " ".join(tokens)
     answer: Json = {
@@ -80,12 +80,12 @@
 
 
 class TextJudge:
-    """Tells a request's own whole answer from any other text.
+    """Checks that a text is the complete answer of its own request.
 
     Parameters
     ----------
     catalogue : Catalogue
-        The pipelines in force.
+        The active pipelines.
     trace : Trace
         The requests.
     """
@@ -96,27 +96,27 @@
         self._catalogue = catalogue
         self._trace = trace
 
-    def __call__(self, index: int, whole: bytes) -> Verdict:
+    def __call__(self, index: int, content: bytes) -> Verdict:
         """Return ``IN_TIME`` for the right text, else ``TRUNCATED`` or ``WRONG``.
 
-        A streamed answer is bare text, a whole one the JSON of the output.
+        A streamed answer is plain text; any other is the JSON of the output.
         """
         request = self._trace.requests[index]
         *_, last = expected_calls(self._catalogue, request)
-        if _is_equal(whole, last.output):
+        if _is_equal(content, last.output):
             return Verdict.IN_TIME
         text = last.output.get("text") if isinstance(last.output, dict) else None
-        if isinstance(text, str) and text.encode().startswith(whole):
+        if isinstance(text, str) and text.encode().startswith(content):
             return Verdict.TRUNCATED
         return Verdict.WRONG
 
 
-def _is_equal(whole: bytes, output: Json) -> bool:
-    if isinstance(output, dict) and whole.decode(errors="replace") == output.get(
+def _is_equal(content: bytes, output: Json) -> bool:
+    if isinstance(output, dict) and content.decode(errors="replace") == output.get(
         "text"
     ):
         return True
     try:
-        return bool(orjson.loads(whole) == output)
+        return bool(orjson.loads(content) == output)
     except orjson.JSONDecodeError:
         return False
--- a/src/trefoilpaddle/replay/faults.py
+++ b/src/trefoilpaddle/replay/faults.py
@@ -1,4 +1,4 @@
-"""Does the faults of a trace to the running processes, at their times."""
+"""Injects the faults of a trace into the running processes at their times."""
 
 import asyncio
 from collections.abc import Iterable
@@ -10,24 +10,24 @@
 async def inject_faults(
     faults: Iterable[Fault], system: SystemUnderTest, begin: float
 ) -> None:
-    """Do each fault at its time after `begin`, and repair it.
+    """Inject each fault at its time after `begin` and repair it at its end.
 
     Parameters
     ----------
     faults : iterable of Fault
-        What goes wrong.
+        The faults.
     system : SystemUnderTest
-        Where.
+        The processes that the faults apply to.
     begin : float
-        The event loop's time at which the trace started.
+        Time of the event loop at which the trace starts, in seconds.
     """
     async with asyncio.TaskGroup() as group:
         for fault in faults:
-            group.create_task(_drive(fault, system, begin))
+            group.create_task(_inject(fault, system, begin))
 
 
-async def _drive(fault: Fault, system: SystemUnderTest, begin: float) -> None:
-    await _until(begin + fault.at_s)
+async def _inject(fault: Fault, system: SystemUnderTest, begin: float) -> None:
+    await _sleep_until(begin + fault.at_s)
     match fault:
         case SlowService():
             slow: dict[str, object] = {"kind": "slow", "factor": fault.factor}
@@ -45,8 +45,8 @@
             await _freeze(names, fault.duration_s, system)
 
 
-async def _until(when: float) -> None:
-    await asyncio.sleep(max(0.0, when - asyncio.get_running_loop().time()))
+async def _sleep_until(at: float) -> None:
+    await asyncio.sleep(max(0.0, at - asyncio.get_running_loop().time()))
 
 
 async def _with_fault(
--- a/src/trefoilpaddle/replay/figures.py
+++ b/src/trefoilpaddle/replay/figures.py
@@ -1,4 +1,4 @@
-"""The figures of one play of a trace."""
+"""The figures of one replay of a trace."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -11,7 +11,7 @@
 from .trace import Request, Trace
 
 _MICROSECONDS: Final = 1_000_000
-_LONGEST_S: Final = 600
+_MAX_S: Final = 600
 _DIGITS: Final = 3
 
 NameOf = Callable[[Request], str]
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Quantiles:
-    """Quantiles of a time, in seconds; NaN without any."""
+    """Quantiles of durations in seconds, and their number; NaN without values."""
 
     n: int
     p50_s: float
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GroupFigures:
-    """What the requests of an owner, a class of work or a pipeline got.
+    """Figures of the requests of one owner or one class of work.
 
     Parameters
     ----------
     name : str
-        The group.
+        Name of the owner or class of work.
     n_sent, n_in_time : int
         Requests sent, and answered in full within their deadline.
     attainment : float
-        The share of the latter.
+        Share of the sent requests that were answered in full and in time.
     cost_s : float
         Target-seconds used for the group.
     latency : Quantiles
-        Of the answers in time.
+        Latency of the answers in time.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageFigures:
-    """What the targets of one service spent.
+    """Target-seconds that the targets of one service used.
 
     Parameters
     ----------
@@ -66,8 +66,8 @@
     cost_s : float
         Target-seconds.
     late_s, cancelled_s, failed_s, repeated_s : float
-        Of these, spent on requests not answered in time, on calls that were
-        cancelled, on calls that failed, and on second runs of a stage.
+        Target-seconds, of `cost_s`, used for requests that were not answered in
+        time, cancelled calls, failed calls, and repeated runs of a stage.
     cost_per_met_s : float
         Target-seconds for each request answered in time.
     """
@@ -83,42 +83,46 @@
 
     @property
     def wasted_s(self) -> float:
-        """Target-seconds that served no request answered in time."""
+        """Target-seconds that contributed to no request answered in time."""
         return self.late_s + self.cancelled_s + self.failed_s + self.repeated_s
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Figures:
-    """All figures of one play; the shares are of 1.
+    """All figures of one replay; shares are fractions from 0 to 1.
 
     Parameters
     ----------
     label : str
-        The policy that was played.
+        Name of the replay, after its policy.
     n_sent : int
         Requests sent.
     verdicts : dict of str to int
-        How many got what.
+        Number of requests by verdict.
     attainment : float
-        Share answered in full within their deadline.
+        Share of requests answered in full within their deadline.
     wasted_share : float
-        Cost that served no request answered in time, over all cost.
+        Share of the cost that contributed to no request answered in time.
     extra_calls_share : float
-        Runs beyond the first of a stage of a request, over first runs.
+        Repeated runs of a stage of a request over first runs.
     cost_per_met_s : float
         Target-seconds of all stages for each request answered in time.
     refusals : dict of str to int
         Requests refused or failed, by reason and stage.
     owners, classes : tuple of GroupFigures
-        By client account and by class of work.
+        Figures by client account and by class of work.
     stages : tuple of StageFigures
-        By service.
+        Figures by service.
     latency, first_token, between_tokens : Quantiles
-        Of the answers in time.
+        Latency, time to first token and time between tokens of the answers in
+        time.
     given_up_latency : Quantiles
-        How soon callers heard that they were given up.
+        Time after which callers learned that their request was refused or failed.
+    n_lost_records : int
+        Targets whose records could not be read.
     late_start_p99_s : float
-        How late the player itself was; a large figure spoils the others.
+        Delay with which the player sent requests; a large value invalidates the
+        other figures.
     """
 
     label: str
@@ -141,8 +145,8 @@
 
 
 def quantiles_of(values_s: Iterable[float]) -> Quantiles:
-    """Return the quantiles of `values_s`; NaN values are left out."""
-    histogram = HdrHistogram(1, _LONGEST_S * _MICROSECONDS, _DIGITS)
+    """Return the quantiles of `values_s`; NaN values are skipped."""
+    histogram = HdrHistogram(1, _MAX_S * _MICROSECONDS, _DIGITS)
     for value_s in values_s:
         if value_s == value_s:
             histogram.record_value(max(1, int(value_s * _MICROSECONDS)))
@@ -163,17 +167,17 @@
 
 
 def attainment_of(answers: Sequence[Answer]) -> float:
-    """Return the share of `answers` that were met; NaN without any."""
+    """Return the share of `answers` in full and in time; NaN without answers."""
     if not answers:
         return float("nan")
     return sum(map(is_met, answers)) / len(answers)
 
 
 def figures_of(trace: Trace, replayed: Replayed) -> Figures:
-    """Return all figures of one play of `trace`."""
+    """Return all figures of one replay of `trace`."""
     answers = replayed.answers
     met = [answer for answer in answers if is_met(answer)]
-    given_up = {Verdict.NOT_RUN, Verdict.FAILED}
+    refused_or_failed = {Verdict.NOT_RUN, Verdict.FAILED}
     stages = _stages(replayed)
     cost_s = sum(stage.cost_s for stage in stages)
     cost_of = _cost_by_request(replayed.runs)
@@ -194,15 +198,17 @@
         first_token=quantiles_of(answer.first_token_s for answer in met),
         between_tokens=quantiles_of(gap for answer in met for gap in answer.gaps_s),
         given_up_latency=quantiles_of(
-            answer.latency_s for answer in answers if answer.verdict in given_up
+            answer.latency_s
+            for answer in answers
+            if answer.verdict in refused_or_failed
         ),
         n_lost_records=replayed.n_lost_records,
         late_start_p99_s=late_starts.p99_s,
     )
 
 
-def _ratio(part: float, whole: float) -> float:
-    return part / whole if whole else float("nan")
+def _ratio(part: float, total: float) -> float:
+    return part / total if total else float("nan")
 
 
 def _refusals(answers: Sequence[Answer]) -> dict[str, int]:
@@ -266,7 +272,7 @@
     cost_s: dict[str, float] = defaultdict(float)
     seen: set[tuple[str, str]] = set()
     for run in runs:
-        cost_s[_use_of(run, met, seen)] += run.cost_s
+        cost_s[_cost_kind(run, met, seen)] += run.cost_s
     total_s = sum(cost_s.values())
     return StageFigures(
         service=service,
@@ -280,7 +286,7 @@
     )
 
 
-def _use_of(run: TargetRun, met: set[str], seen: set[tuple[str, str]]) -> str:
+def _cost_kind(run: TargetRun, met: set[str], seen: set[tuple[str, str]]) -> str:
     if run.outcome in {"cancelled", "running"}:
         return "cancelled"
     if run.outcome != "done":
--- a/src/trefoilpaddle/replay/fleet_measure.py
+++ b/src/trefoilpaddle/replay/fleet_measure.py
@@ -1,10 +1,10 @@
-"""Measures what control costs against the number of processes.
+"""Measures the cost of the control plane by index of peers.
 
     python -m trefoilpaddle.replay.fleet_measure --sizes 10,20,40,80
 
-For each size it starts a fleet on loopback, several peers to one operating
-system process, lets it stand idle, then publishes changes one by one. Costs are
-per peer; change times are from publishing until each peer has it in force.
+For each size it starts a fleet on loopback, with several peers in each operating
+system process, leaves it idle, then publishes changes one by one. Costs are per
+peer. Change times run from the publication until the change is active at a peer.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoleCost:
-    """What one peer of a role costs while nothing but control passes."""
+    """Cost of one peer of a role while there is only control traffic."""
 
     role: str
     n_peers: int
@@ -43,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SizeFigures:
-    """What was measured at one number of peers.
+    """Figures of a fleet with one index of peers.
 
     Parameters
     ----------
     n_woke_late, n_suspected : int
-        Stalls that peers noticed of themselves and of each other; above 0 the
-        machine was too busy for the change times to be the fleet's own.
+        Stalls that peers detected in themselves and in each other. Above 0, the
+        machine was too busy, and the change times do not describe the fleet.
     """
 
     n_peers: int
@@ -67,15 +67,15 @@
 async def measure_size(
     n_peers: int, *, per_worker: int, n_keys: int, idle_s: float, n_changes: int
 ) -> SizeFigures:
-    """Return the figures of a fleet of `n_peers`."""
+    """Return the figures of a fleet of `n_peers` peers."""
     async with running_fleet(n_peers, per_worker=per_worker, n_keys=n_keys) as fleet:
         await asyncio.sleep(SETTLE_S)
         before = await fleet.send_all({"do": "figures"})
         await asyncio.sleep(idle_s)
         after = await fleet.send_all({"do": "figures"})
         times_s: list[float] = []
-        for number in range(n_changes):
-            times_s += await _change(fleet, number)
+        for index in range(n_changes):
+            times_s += await _measure_change(fleet, index)
             await asyncio.sleep(CHANGE_GAP_S)
         last = await fleet.send_all({"do": "figures"})
     span_s = float(after[0]["monotonic_s"] - before[0]["monotonic_s"])
@@ -102,9 +102,9 @@
     )
 
 
-async def _change(fleet: Fleet, number: int) -> list[float]:
-    """Publish one change and return how long each peer took to have it."""
-    value = ACCOUNT | {"token_sha256": f"{number + 1:064x}"}
+async def _measure_change(fleet: Fleet, index: int) -> list[float]:
+    """Publish one change and return the seconds until it is active at each peer."""
+    value = ACCOUNT | {"token_sha256": f"{index + 1:064x}"}
     waiting = asyncio.gather(
         fleet.send_all(
             {"do": "wait", "revision": fleet.platform.config.revisions.latest + 1}
@@ -147,7 +147,7 @@
 
 
 def table_of(figures: Sequence[SizeFigures]) -> Table:
-    """Return the figures as a table for a person."""
+    """Return the figures as a table to print."""
     table = Table(title="Control, per peer, while idle; changes over the whole fleet")
     for name in (
         "peers",
@@ -186,7 +186,7 @@
 
 
 def numbers_of(sizes: str | int | Sequence[int]) -> list[int]:
-    """Return the numbers in an argument; fire makes one of any of three types."""
+    """Return the numbers in an argument, which fire passes as one of three types."""
     match sizes:
         case int():
             return [sizes]
@@ -197,7 +197,7 @@
 
 
 def check(sizes: Sequence[int], per_worker: int) -> Result[None, str]:
-    """Return what is wrong with the arguments, if anything is."""
+    """Return an error message if the arguments are invalid."""
     if not sizes or min(sizes) < 2:
         return Err("--sizes takes numbers of peers of 2 or more, such as 10,20,40")
     if per_worker < 1:
@@ -214,7 +214,7 @@
     n_changes: int = 10,
     json: bool = False,
 ) -> None:
-    """Print what control costs at each of `sizes` peers.
+    """Print the cost of the control plane at each of `sizes` peers.
 
     Parameters
     ----------
@@ -225,7 +225,7 @@
     n_keys : int
         Keys of the catalogue.
     idle_s : float
-        How long the idle fleet is measured.
+        Time for which the idle fleet is measured, in seconds.
     n_changes : int
         Changes published one by one.
     json : bool
--- a/src/trefoilpaddle/replay/fleet_platform.py
+++ b/src/trefoilpaddle/replay/fleet_platform.py
@@ -1,4 +1,4 @@
-"""The platform of a measured fleet: the stand-ins, served by the measuring process."""
+"""The platform of a measured fleet: stand-ins served by the measuring process."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -13,7 +13,7 @@
 
 
 class FleetPlatform:
-    """Publishes values and a host list on loopback and counts what is read."""
+    """Publishes values and a host list on loopback and counts the reads."""
 
     __slots__ = ("config", "config_url", "hosts", "hosts_url")
 
@@ -27,8 +27,8 @@
     async def serving(self) -> AsyncIterator["FleetPlatform"]:
         """Serve on free ports while the context is open."""
         async with (
-            _served(self.config.application()) as config_url,
-            _served(self.hosts.application()) as hosts_url,
+            _serving(self.config.application()) as config_url,
+            _serving(self.hosts.application()) as hosts_url,
         ):
             self.config_url = config_url
             self.hosts_url = hosts_url
@@ -36,7 +36,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _served(application: web.Application) -> AsyncIterator[str]:
+async def _serving(application: web.Application) -> AsyncIterator[str]:
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     try:
--- a/src/trefoilpaddle/replay/fleet_run.py
+++ b/src/trefoilpaddle/replay/fleet_run.py
@@ -1,4 +1,4 @@
-"""Starts the workers of a measured fleet and gives them commands."""
+"""Starts the worker processes of a measured fleet and sends them commands."""
 
 import asyncio
 import contextlib
@@ -16,8 +16,8 @@
 N_SERVICES: Final = 10
 POLL_S: Final = 0.5
 LINE_LIMIT_BYTES: Final = 16 * 1024 * 1024
-ANSWER_TIMEOUT_S: Final = 120.0
-STOP_S: Final = 5.0
+REPLY_TIMEOUT_S: Final = 120.0
+STOP_TIMEOUT_S: Final = 5.0
 ACCOUNT: Final = {"token_sha256": "0" * 64}
 
 
@@ -34,29 +34,29 @@
         self.n_peers = n_peers
 
     async def send(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Send one command and return its answer.
+        """Send one command and return its reply.
 
         Raises
         ------
         RuntimeError
-            If the worker has ended.
+            If the worker has exited.
         """
         stdin, stdout = self._process.stdin, self._process.stdout
         assert stdin is not None and stdout is not None
         stdin.write(orjson.dumps(command) + b"\n")
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             line = await stdout.readline()
         if not line:
-            raise RuntimeError("a worker of the fleet has ended; see its output above")
-        answer: dict[str, Any] = orjson.loads(line)
-        return answer
+            raise RuntimeError("a worker of the fleet has exited; see its output above")
+        reply: dict[str, Any] = orjson.loads(line)
+        return reply
 
     async def stop(self) -> None:
-        """End the worker by closing its input."""
+        """Stop the worker by closing its standard input; kill it after a time-out."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self._process.wait()
         except TimeoutError:
             self._process.kill()
@@ -64,7 +64,7 @@
 
 
 class Fleet:
-    """The workers of one size."""
+    """The worker processes of a fleet and their platform."""
 
     __slots__ = ("platform", "start_s", "workers")
 
@@ -74,7 +74,7 @@
         self.start_s = 0.0
 
     async def send_all(self, command: dict[str, Any]) -> list[dict[str, Any]]:
-        """Send one command to all workers at once."""
+        """Send one command to all workers concurrently and return their replies."""
         return list(
             await asyncio.gather(
                 *(worker.send(dict(command)) for worker in self.workers)
@@ -82,8 +82,8 @@
         )
 
 
-def split(n_peers: int, per_worker: int) -> list[tuple[str, int]]:
-    """Return role and number of peers of each worker."""
+def plan_workers(n_peers: int, per_worker: int) -> list[tuple[str, int]]:
+    """Return the role and the number of peers of each worker."""
     n_gateways = max(1, round(n_peers * GATEWAY_SHARE))
     plan: list[tuple[str, int]] = []
     for role, n_of_role in (
@@ -101,7 +101,7 @@
 async def running_fleet(
     n_peers: int, *, per_worker: int, n_keys: int
 ) -> AsyncIterator[Fleet]:
-    """Yield a fleet whose peers all have the catalogue in force."""
+    """Yield a fleet in which the catalogue is active at all peers."""
     async with FleetPlatform().serving() as platform:
         for number in range(N_SERVICES):
             platform.config.publish(f"service/s{number}", {"kind": "pool"})
@@ -109,7 +109,7 @@
             platform.config.publish(f"account/a{number}", ACCOUNT)
         fleet = Fleet(platform=platform)
         try:
-            await _start(fleet, split(n_peers, per_worker))
+            await _start(fleet, plan_workers(n_peers, per_worker))
             yield fleet
         finally:
             await asyncio.gather(*(worker.stop() for worker in fleet.workers))
@@ -129,7 +129,7 @@
         )
         worker = WorkerProcess(process=process, role=role, n_peers=n_peers)
         fleet.workers.append(worker)
-        answer = await worker.send(
+        reply = await worker.send(
             {
                 "do": "start",
                 "first": len(hosts),
@@ -142,7 +142,7 @@
                 "seeds": [host["peer_address"] for host in hosts[:3]],
             }
         )
-        hosts += answer["hosts"]
+        hosts += reply["hosts"]
     fleet.platform.hosts.publish(hosts)
     await fleet.send_all(
         {"do": "wait", "revision": fleet.platform.config.revisions.latest}
@@ -153,5 +153,5 @@
 
 
 async def _n_known(fleet: Fleet) -> int:
-    """Return how many live members the peer knows that knows fewest."""
+    """Return the smallest number of live members that any peer knows."""
     return min(int(one["n_known"]) for one in await fleet.send_all({"do": "figures"}))
--- a/src/trefoilpaddle/replay/fleet_steps.py
+++ b/src/trefoilpaddle/replay/fleet_steps.py
@@ -1,8 +1,8 @@
-"""Measures the steps of control inside one process against the size they work on.
+"""Measures the operations of the control plane in one process by input size.
 
     python -m trefoilpaddle.replay.fleet_steps
 
-Processor time is the least of several tries, so a busy machine does not show.
+Processor time is the minimum of several runs, to exclude the load of the machine.
 """
 
 import gc
@@ -30,7 +30,7 @@
 from ..state.hosts_read import read_hosts
 from ..state.members import MemberRecord, MemberState, MemberTable
 
-N_TRIES: Final = 5
+N_RUNS: Final = 5
 N_DOMAINS: Final = 5
 N_SERVICES: Final = 10
 GATEWAY_SHARE: Final = 0.3
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One step measured at one size.
+    """One operation measured at one size.
 
     Parameters
     ----------
     name : str
-        What is done.
+        Name of the operation.
     size : int
-        Keys or processes that it is done over.
+        Number of keys or processes in its input.
     cpu_ms : float
-        Processor time.
+        Processor time in milliseconds.
     size_kb : float
-        What it holds in memory or sends, as the name says.
+        KiB of memory held or of data sent, according to the name.
     """
 
     name: str
@@ -60,9 +60,9 @@
 
 
 def cpu_ms(step: Callable[[], object]) -> float:
-    """Return the least processor time of several tries."""
+    """Return the minimum processor time of several runs, in milliseconds."""
     times_s: list[float] = []
-    for _ in range(N_TRIES):
+    for _ in range(N_RUNS):
         gc.collect()
         began_s = time.process_time()
         step()
@@ -71,7 +71,7 @@
 
 
 def items_of(n_keys: int) -> list[PublishedItem]:
-    """Return a catalogue of `n_keys` keys: as many accounts as entries."""
+    """Return a catalogue of `n_keys` keys, with as many accounts as entries."""
     values: dict[str, object] = {
         f"service/s{number}": {"kind": "pool"} for number in range(N_SERVICES)
     }
@@ -96,12 +96,12 @@
 
 
 def catalogue_steps(n_keys: int) -> list[Step]:
-    """Return the first build of a catalogue and one change of it."""
+    """Measure the first build of a catalogue and one change to it."""
     published = items_of(n_keys)
     revision = len(published)
     items, builder = ConfigItems(), CatalogueBuilder()
 
-    def first() -> None:
+    def build() -> None:
         fresh = ConfigItems()
         fresh.merge(published, revision=revision)
         CatalogueBuilder().activate(fresh)
@@ -109,7 +109,7 @@
     tracemalloc.start()
     items.merge(items_of(n_keys), revision=revision)
     selection = builder.activate(items)
-    held_kb = tracemalloc.get_traced_memory()[0] / KIB
+    memory_kb = tracemalloc.get_traced_memory()[0] / KIB
     tracemalloc.stop()
     assert not selection.held_back
     changed = published[-1]
@@ -124,15 +124,15 @@
         Step(
             name="first catalogue; memory",
             size=n_keys,
-            cpu_ms=cpu_ms(first),
-            size_kb=held_kb,
+            cpu_ms=cpu_ms(build),
+            size_kb=memory_kb,
         ),
         Step(name="one change", size=n_keys, cpu_ms=cpu_ms(change)),
     ]
 
 
 def records_of(n: int) -> list[MemberRecord]:
-    """Return `n` members, gateways and sidecars in today's proportion."""
+    """Return `n` members, of which `GATEWAY_SHARE` are gateways, others sidecars."""
     n_gateways = int(n * GATEWAY_SHARE)
     return [
         MemberRecord(
@@ -156,7 +156,7 @@
 
 
 def hosts_json(n: int) -> bytes:
-    """Return a host list of `n` hosts, as published."""
+    """Return a host list of `n` hosts in its published form."""
     hosts = [
         {
             "name": record.process_id.removesuffix(f"-{record.role}"),
@@ -174,14 +174,14 @@
 
 
 def list_steps(n: int) -> list[Step]:
-    """Return what a new host list of `n` hosts costs."""
+    """Measure how a new host list of `n` hosts is read and divided into subsets."""
     published = hosts_json(n)
     packed = pack_hosts(published)
 
-    def take() -> HostList:
+    def unpack() -> HostList:
         return read_hosts(unpack_hosts(packed).unwrap()).unwrap().hosts
 
-    hosts = take()
+    hosts = unpack()
     gateways = [host.process_id for host in hosts.hosts if host.role == "gateway"]
     targets = hosts.sidecars("s0")
     own = gateways[0]
@@ -189,7 +189,7 @@
         Step(
             name="new host list; on the wire",
             size=n,
-            cpu_ms=cpu_ms(take),
+            cpu_ms=cpu_ms(unpack),
             size_kb=len(packed) / KIB,
         ),
         Step(
@@ -205,21 +205,21 @@
 
 
 def member_steps(n: int) -> list[Step]:
-    """Return what `n` members cost to hold, to choose among and to send."""
+    """Measure joining, choosing neighbours and sending with `n` members."""
     tracemalloc.start()
     table = MemberTable()
     table.merge(records_of(n))
-    held_kb = tracemalloc.get_traced_memory()[0] / KIB
+    memory_kb = tracemalloc.get_traced_memory()[0] / KIB
     tracemalloc.stop()
     records = list(table.records.values())
     names = list(table.records)
-    whole = Gossip(members=[to_wire(record) for record in records])
+    gossip = Gossip(members=[to_wire(record) for record in records])
     return [
         Step(
             name="members joined; memory",
             size=n,
             cpu_ms=cpu_ms(lambda: MemberTable().merge(records)),
-            size_kb=held_kb,
+            size_kb=memory_kb,
         ),
         Step(
             name="neighbours chosen",
@@ -229,8 +229,8 @@
         Step(
             name="all members sent; on the wire",
             size=n,
-            cpu_ms=cpu_ms(lambda: encode(whole)),
-            size_kb=len(encode(whole)) / KIB,
+            cpu_ms=cpu_ms(lambda: encode(gossip)),
+            size_kb=len(encode(gossip)) / KIB,
         ),
     ]
 
--- a/src/trefoilpaddle/replay/fleet_worker.py
+++ b/src/trefoilpaddle/replay/fleet_worker.py
@@ -1,6 +1,6 @@
 """One operating system process that holds several peers of a measured fleet.
 
-Reads commands as JSON lines from standard input and answers each with one line:
+Reads commands as JSON lines from standard input and replies to each with one line:
 ``{"do": "start", …}``, ``{"do": "figures"}``, ``{"do": "wait", "revision": N}``.
 """
 
@@ -26,29 +26,29 @@
 from ..transport.connection import Address
 from ..transport.traffic import TRAFFIC
 
-TICK_S: Final = 0.25
+LINK_PERIOD_S: Final = 0.25
 POLL_S: Final = 0.002
 KIB: Final = 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Start:
-    """What peers to start.
+    """Command to start peers.
 
     Parameters
     ----------
     first : int
-        Number of the first peer; names follow from it.
+        Index of the first peer; the names of the peers contain their index.
     n_peers : int
-        How many.
+        Number of peers to start.
     role : str
         ``"gateway"`` or ``"sidecar"``.
     n_domains, n_services : int
-        Peers are spread over them evenly.
+        Failure domains and services, over which the peers are spread evenly.
     config_url, hosts_url : str
-        The platform.
+        URLs of the platform.
     seeds : list of str
-        Addresses of peers that run already.
+        Addresses of peers that are already running.
     """
 
     first: int
@@ -78,7 +78,7 @@
         self._n_events: Counter[Event] = Counter()
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one command and return its answer."""
+        """Execute one command and return its reply."""
         match command.pop("do"):
             case "start":
                 return await self._start(Start(**command))
@@ -91,29 +91,31 @@
 
     async def _start(self, start: Start) -> dict[str, Any]:
         seeds = list(start.seeds)
-        for number in range(start.first, start.first + start.n_peers):
-            peer = await self._start_one(start, number, seeds)
+        for index in range(start.first, start.first + start.n_peers):
+            peer = await self._start_peer(start, index, seeds)
             self._peers.append(peer)
             seeds = [*seeds, str(peer.process.server.address)][:3]
         if start.role == "gateway":
-            self._stack.push_async_callback(_cancel, asyncio.create_task(self._tick()))
-        return {"hosts": [_listed(peer.process) for peer in self._peers]}
+            self._stack.push_async_callback(
+                _cancel, asyncio.create_task(self._keep_links())
+            )
+        return {"hosts": [_host_entry(peer.process) for peer in self._peers]}
 
-    async def _start_one(self, start: Start, number: int, seeds: list[str]) -> Peer:
-        service = f"s{number % start.n_services}" if start.role == "sidecar" else ""
+    async def _start_peer(self, start: Start, index: int, seeds: list[str]) -> Peer:
+        service = f"s{index % start.n_services}" if start.role == "sidecar" else ""
         identity = Identity(
-            process_id=f"h{number}-{start.role}",
+            process_id=f"h{index}-{start.role}",
             incarnation=new_incarnation(),
             role=start.role,
-            failure_domain=f"d{number % start.n_domains}",
+            failure_domain=f"d{index % start.n_domains}",
             region="r1",
             service=service,
-            target=f"t{number}" if service else "",
+            target=f"t{index}" if service else "",
         )
         journal = Journal(
             process_id=identity.process_id, n_records=100, format=LogFormat.KEY_VALUE
         )
-        journal.subscribe(self._count)
+        journal.subscribe(self._count_event)
         listen = Address(ip="127.0.0.1", port=0)
         process = Process(identity=identity, listen=listen, journal=journal)
         await self._stack.enter_async_context(process.server.listening())
@@ -130,10 +132,10 @@
         )
         return Peer(process=process, feed=feed)
 
-    def _count(self, decision: Decision) -> None:
+    def _count_event(self, decision: Decision) -> None:
         self._n_events[decision.event] += 1
 
-    async def _tick(self) -> None:
+    async def _keep_links(self) -> None:
         """Keep links to the sidecars of each service, as a gateway does."""
         while True:
             for peer in self._peers:
@@ -141,7 +143,7 @@
                     for host in peer.feed.directory.sidecars(service):
                         address = Address.parse(host.peer_address).unwrap()
                         peer.process.peers.link(address)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(LINK_PERIOD_S)
 
     def _figures(self) -> dict[str, Any]:
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -159,9 +161,9 @@
         }
 
     async def _wait(self, revision: int) -> dict[str, Any]:
-        """Return when each peer had the revision in force, monotonic seconds.
+        """Return when the revision became active at each peer, in monotonic seconds.
 
-        The monotonic clock is one for all processes of a machine.
+        All processes of a machine share the monotonic clock.
         """
         at_s: dict[str, float] = {}
         while len(at_s) < len(self._peers):
@@ -175,7 +177,7 @@
         return {"at_s": list(at_s.values())}
 
 
-def _listed(process: Process) -> dict[str, str]:
+def _host_entry(process: Process) -> dict[str, str]:
     identity = process.identity
     return {
         "name": identity.process_id.removesuffix(f"-{identity.role}"),
@@ -202,8 +204,8 @@
     async with contextlib.AsyncExitStack() as stack:
         worker = Worker(stack=stack)
         while line := await reader.readline():
-            answer = await worker.handle(orjson.loads(line))
-            sys.stdout.write(orjson.dumps(answer).decode() + "\n")
+            reply = await worker.handle(orjson.loads(line))
+            sys.stdout.write(orjson.dumps(reply).decode() + "\n")
             sys.stdout.flush()
 
 
--- a/src/trefoilpaddle/replay/generate.py
+++ b/src/trefoilpaddle/replay/generate.py
@@ -1,4 +1,4 @@
-"""Makes traces from a seed: Poisson arrivals, heavy-tailed sizes, shared prefixes."""
+"""Generates traces from a seed: Poisson arrivals, log-normal sizes, shared prefixes."""
 
 import math
 import random
@@ -12,7 +12,7 @@
 from .workloads import Mix, Workload
 
 N_SAMPLES: Final = 1000
-"""Requests drawn to learn the mean work of one."""
+"""Number of requests sampled to estimate the mean work of a request."""
 
 _AT_DECIMALS: Final = 4
 _SEED_BITS: Final = 48
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Site:
-    """What a trace is made for.
+    """The workload and the deployment that a trace is generated for.
 
     Parameters
     ----------
     workload : Workload
-        Who asks for what.
+        Accounts and the requests that they send.
     targets : tuple of TargetCapacity
-        The deployment's targets and their speed.
+        The deployment's targets and their speeds.
     work_of : callable
         Target-seconds of each stage of a request.
     time_scale : float
-        Factor on real deadlines and faults; service times carry it already.
+        Factor on real deadlines and faults; `work_of` includes it already.
     """
 
     workload: Workload
@@ -41,19 +41,17 @@
 
 
 def generate(site: Site, *, scenario: str, seed: int) -> Trace:
-    """Return the trace of one scenario; the same seed makes the same trace.
+    """Return the trace of one scenario; the same seed gives the same trace.
 
-    The rate of requests is the scenario's share of what capacity serves: the
-    speed of the scarcest service, divided by the mean work that a request of
-    the workload asks of it, with every shared prefix cached.
+    The request rate is the scenario's share of the rate that the capacity can
+    serve: the speed of the bottleneck service divided by the mean work that a
+    request of the workload requires there, with every shared prefix cached.
     """
     plan = scenario_of(scenario, site.workload, site.time_scale)
-    base_rate = plan.offered_share / _work_of_one_a_second(site)
-    source = random.Random(f"{site.workload.deployment}:{scenario}:{seed}")
-    arrivals = sorted(_arrivals(site.workload, plan, base_rate, source))
-    requests = tuple(
-        _request(at_s, account, site, source) for at_s, account in arrivals
-    )
+    base_rate = plan.offered_share / _load_of_one_request_per_s(site)
+    rng = random.Random(f"{site.workload.deployment}:{scenario}:{seed}")
+    arrivals = sorted(_arrivals(site.workload, plan, base_rate, rng))
+    requests = tuple(_request(at_s, account, site, rng) for at_s, account in arrivals)
     head = Head(
         name=scenario,
         origin=(
@@ -83,18 +81,18 @@
     )
 
 
-def _work_of_one_a_second(site: Site) -> float:
-    """Return the share of capacity that one request a second takes."""
-    source = random.Random("mean work")
+def _load_of_one_request_per_s(site: Site) -> float:
+    """Return the share of capacity used by a rate of one request a second."""
+    rng = random.Random("mean work")
     account = site.workload.accounts[0].account
-    sample = [_request(0.0, account, site, source) for _ in range(N_SAMPLES)]
+    sample = [_request(0.0, account, site, rng) for _ in range(N_SAMPLES)]
     return offered_share(
         sample, duration_s=N_SAMPLES, targets=site.targets, work_of=site.work_of
     )
 
 
 def _arrivals(
-    workload: Workload, plan: Scenario, base_rate: float, source: random.Random
+    workload: Workload, plan: Scenario, base_rate: float, rng: random.Random
 ) -> Iterator[tuple[float, str]]:
     for share in workload.accounts:
         at_s = 0.0
@@ -102,7 +100,7 @@
             rate = base_rate * share.share
             if _is_bursting(plan, share.account, at_s):
                 rate *= plan.burst_factor
-            at_s += source.expovariate(rate)
+            at_s += rng.expovariate(rate)
             if at_s >= plan.duration_s:
                 break
             yield round(at_s, _AT_DECIMALS), share.account
@@ -114,9 +112,9 @@
     return plan.disturbed.has(at_s)
 
 
-def _request(at_s: float, account: str, site: Site, source: random.Random) -> Request:
+def _request(at_s: float, account: str, site: Site, rng: random.Random) -> Request:
     mixes = site.workload.mixes
-    (mix,) = source.choices(mixes, weights=[mix.share for mix in mixes])
+    (mix,) = rng.choices(mixes, weights=[mix.share for mix in mixes])
     has_prefix = mix.n_prefix_words > 0
     return Request(
         at_s=at_s,
@@ -126,15 +124,15 @@
         deadline_s=round(mix.deadline_s * site.time_scale, 3),
         priority=mix.priority,
         kind=mix.kind,
-        n_words=_n_words(mix, source),
+        n_words=_n_words(mix, rng),
         prefix=f"{account}:{mix.pipeline}" if has_prefix else "",
         n_prefix_words=mix.n_prefix_words,
         is_streamed=mix.is_streamed,
         is_keyed=mix.is_keyed,
-        input_seed=source.getrandbits(_SEED_BITS),
+        input_seed=rng.getrandbits(_SEED_BITS),
     )
 
 
-def _n_words(mix: Mix, source: random.Random) -> int:
-    drawn = source.lognormvariate(math.log(mix.median_words), mix.sigma)
-    return max(1, min(mix.max_words, round(drawn)))
+def _n_words(mix: Mix, rng: random.Random) -> int:
+    n_words = rng.lognormvariate(math.log(mix.median_words), mix.sigma)
+    return max(1, min(mix.max_words, round(n_words)))
--- a/src/trefoilpaddle/replay/inputs.py
+++ b/src/trefoilpaddle/replay/inputs.py
@@ -1,4 +1,4 @@
-"""Inputs of requests, made from a seed in each line so that traces stay small."""
+"""Generates the inputs of requests from their seeds, which keeps traces small."""
 
 import random
 from typing import Final
@@ -32,17 +32,17 @@
 
 
 def prefix_text(request: Request) -> str:
-    """Return the text that the request shares with others of its prefix."""
+    """Return the text that all requests with the same prefix name share."""
     if not request.prefix:
         return ""
-    source = random.Random(f"prefix:{request.prefix}")
-    return _text(source, request.kind, request.n_prefix_words)
+    rng = random.Random(f"prefix:{request.prefix}")
+    return _text(rng, request.kind, request.n_prefix_words)
 
 
 def input_text(request: Request) -> str:
-    """Return the text of a request: shared prefix, its own mark, its own words."""
-    source = random.Random(f"input:{request.input_seed}")
-    own = _text(source, request.kind, request.n_words)
+    """Return the text of a request: shared prefix, unique marker, own words."""
+    rng = random.Random(f"input:{request.input_seed}")
+    own = _text(rng, request.kind, request.n_words)
     mark = f"mark:{request.input_seed:x}"
     return " ".join(part for part in (prefix_text(request), mark, own) if part)
 
@@ -55,5 +55,5 @@
     return text.encode(), "text/plain"
 
 
-def _text(source: random.Random, kind: InputKind, n_words: int) -> str:
-    return " ".join(source.choices(_WORDS[kind].split(), k=n_words))
+def _text(rng: random.Random, kind: InputKind, n_words: int) -> str:
+    return " ".join(rng.choices(_WORDS[kind].split(), k=n_words))
--- a/src/trefoilpaddle/replay/launched.py
+++ b/src/trefoilpaddle/replay/launched.py
@@ -1,4 +1,4 @@
-"""Processes that a replay starts by the launcher and plays against."""
+"""Starts the processes of a replay with the launcher and gives access to them."""
 
 import asyncio
 import contextlib
@@ -20,15 +20,15 @@
 from .system_under_test import SystemUnderTest
 
 SETTLE_S: Final = 5.0
-"""Longest wait for targets to end what they run, before records are read."""
+"""Longest wait for running calls of targets to end before records are read."""
 RETRY_WINDOW_S: Final = 1.0
-"""How long a key's outcome is remembered; no caller of a replay retries."""
-_LOOK_S: Final = 0.1
-_READ_S: Final = 5.0
+"""Retention of the outcome of a key; short, as callers of a replay never retry."""
+_POLL_S: Final = 0.1
+_READ_TIMEOUT_S: Final = 5.0
 
 
 class LaunchedSystem:
-    """A running deployment as a replay sees it.
+    """A running deployment that implements `SystemUnderTest`.
 
     Parameters
     ----------
@@ -36,30 +36,30 @@
         The deployment.
     """
 
-    __slots__ = ("_dead", "_running", "_saved")
+    __slots__ = ("_killed", "_running", "_saved_runs")
 
     def __init__(self, *, running: Running) -> None:
         self._running = running
-        self._dead: set[str] = set()
-        self._saved: dict[str, list[TargetRun]] = {}
+        self._killed: set[str] = set()
+        self._saved_runs: dict[str, list[TargetRun]] = {}
 
     @property
     def gateways(self) -> tuple[str, ...]:
-        """Base URLs of the callers' ports."""
+        """Base URLs of the ports on which the gateways serve callers."""
         return self._running.gateways
 
     def targets_of(self, service: str) -> list[str]:
-        """Return the names of a service's targets; all targets without a name."""
+        """Return the names of a service's targets; of all targets if it is empty."""
         if service:
             return self._running.targets_of(service)
-        return [place.name for place in self._running.layout.targets]
+        return [target.name for target in self._running.layout.targets]
 
     def processes_in(self, failure_domain: str) -> list[str]:
-        """Return the process ids of the system's processes in a domain."""
+        """Return the process ids of the gateways and sidecars in a failure domain."""
         return self._running.processes_in(failure_domain)
 
     def sidecar_of(self, target: str) -> str:
-        """Return the process id of the sidecar beside `target`."""
+        """Return the process id of the sidecar of `target`."""
         return self._running.sidecar_of(target)
 
     async def set_fault(self, target: str, fault: dict[str, object]) -> None:
@@ -67,44 +67,44 @@
         await self._running.set_fault(target, fault)
 
     async def kill(self, name: str) -> None:
-        """Kill a target or a process at once; a target's record is read first.
+        """Kill a target or a process at once; read a target's records first.
 
-        What a target starts between the reading and its death is not audited.
+        Calls that a target starts between the read and the kill are not audited.
         """
         if name in self.targets_of(""):
-            self._dead.add(name)
-            self._saved[name] = await self._read(name)
+            self._killed.add(name)
+            self._saved_runs[name] = await self._read(name)
         self._running.kill(name)
 
     def freeze(self, name: str) -> None:
-        """Stop a target or a process from running, with nothing told to it."""
+        """Suspend a target or a process without notifying it."""
         self._running.freeze(name)
 
     def thaw(self, name: str) -> None:
-        """Let what was frozen go on."""
+        """Resume a frozen target or process."""
         self._running.thaw(name)
 
     async def clear_records(self) -> None:
-        """Clear what the targets recorded so far."""
+        """Delete the records of all targets."""
         async with aiohttp.ClientSession() as session:
             for target in self.targets_of(""):
                 await session.delete(f"{self._running.target_url(target)}/record")
 
     async def records(self) -> tuple[list[TargetRun], int]:
-        """Return what all targets ran, and how many could not be read."""
+        """Return the calls that targets ran, and the number of unreadable targets."""
         end_s = asyncio.get_running_loop().time() + SETTLE_S
         while True:
             read = await asyncio.gather(*map(self._try_read, self.targets_of("")))
             runs = [run for part in read if part is not None for run in part]
             n_lost = sum(part is None for part in read)
-            are_over = all(run.outcome != "running" for run in runs)
-            if are_over or asyncio.get_running_loop().time() > end_s:
+            have_ended = all(run.outcome != "running" for run in runs)
+            if have_ended or asyncio.get_running_loop().time() > end_s:
                 return runs, n_lost
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
 
     async def _try_read(self, target: str) -> list[TargetRun] | None:
-        if target in self._dead:
-            return self._saved.get(target)
+        if target in self._killed:
+            return self._saved_runs.get(target)
         try:
             return await self._read(target)
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -112,17 +112,17 @@
 
     async def _read(self, target: str) -> list[TargetRun]:
         service = self._running.layout.target(target).service.name
-        async with asyncio.timeout(_READ_S):
+        async with asyncio.timeout(_READ_TIMEOUT_S):
             record = await self._running.record(target)
         return [_run(service, target, row) for row in record["runs"]]
 
 
 def launch(site: Deployment, *, time_scale: float) -> OpenSystem:
-    """Return what starts the processes of `site` under a policy.
+    """Return a function that starts the processes of `site` under a policy.
 
-    Entries' deadlines are scaled as the trace's are. Idempotency keys are
-    served only once every process could vouch that it has forgotten no claim,
-    so the processes are left alone for that long before the trace begins.
+    The deadlines of entries are scaled like those of the trace. Requests with an
+    idempotency key are served only once each process can confirm that it has lost
+    no claim, so the trace begins only after that time.
     """
     longest_s = max(entry.deadline_s for entry in site.catalogue.entries.values())
 
@@ -132,14 +132,14 @@
     ) -> AsyncIterator[SystemUnderTest]:
         factor = time_scale * deadline_factor
         values = _scaled(site.values, factor)
-        vouch_s = RETRY_WINDOW_S + longest_s * factor
+        confirmation_s = RETRY_WINDOW_S + longest_s * factor
         overrides = Overrides(
             policy=_table(policy), retention={"retry_window_s": RETRY_WINDOW_S}
         )
         async with deployment(
             site.description, values, overrides=overrides, time_scale=time_scale
         ) as running:
-            await asyncio.sleep(vouch_s)
+            await asyncio.sleep(confirmation_s)
             yield LaunchedSystem(running=running)
 
     return open_system
--- a/src/trefoilpaddle/replay/make.py
+++ b/src/trefoilpaddle/replay/make.py
@@ -1,4 +1,4 @@
-"""Writes the traces of a deployment: ``python -m trefoilpaddle.replay.make``."""
+"""Writes the traces of deployments: ``python -m trefoilpaddle.replay.make``."""
 
 import sys
 from pathlib import Path
@@ -14,18 +14,18 @@
 from .workloads import WORKLOADS
 
 TIME_SCALES: Final = {"garantia": 0.5, "baird": 0.8}
-"""Chosen so that one machine bears the rate; a smaller scale means a higher one."""
+"""One machine can sustain the rate at these scales; smaller ones raise the rate."""
 
 
 def site_of(deployment: str, *, time_scale: float, folder: Path) -> Site:
-    """Return the site that traces of a deployment are made for.
+    """Return the site that traces of a deployment are generated for.
 
     Raises
     ------
     KeyError
         If no workload has that name.
     ValueError
-        If the deployment's catalogue has faults.
+        If the deployment's catalogue is invalid.
     """
     described = load_deployment(folder)
     return Site(
@@ -47,9 +47,9 @@
     Parameters
     ----------
     folder : str
-        Where to.
+        Folder to write to.
     deployments : tuple of str
-        Which; each is read from ``examples/``.
+        Names of the deployments; each is read from ``examples/``.
     seed : int
         Seed of the generator.
     """
--- a/src/trefoilpaddle/replay/outcomes.py
+++ b/src/trefoilpaddle/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""Whether the outcomes that a trace states were reached."""
+"""Compares the results of a replay with the outcomes that its trace states."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from .trace import Measure, Request, StatedOutcome, Trace
 
 RECOVERY_S: Final = 3.0
-"""Time after a repair within which things must be as before; never scaled."""
+"""Time after a repair in which attainment must recover; real time, not scaled."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AuditedReplay:
-    """One play with its figures and what it violated."""
+    """One replay with its figures and its violations of invariants."""
 
     replayed: Replayed
     figures: Figures
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Round:
-    """All plays of one trace, and what its capacity allows.
+    """All replays of one trace, and the requests that capacity allows.
 
     Parameters
     ----------
     trace : Trace
-        What was played.
+        The replayed trace.
     baseline, product : AuditedReplay
-        The two that are compared.
+        The two replays that are compared.
     fresh : AuditedReplay, optional
-        The product without the faults; only where an outcome asks for it.
+        The product without the faults; None if no stated outcome needs it.
     allowed : list of bool
-        For each request, whether capacity allows it.
+        For each request, whether capacity allows an answer in time.
     """
 
     trace: Trace
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OutcomeResult:
-    """A stated outcome and what was measured."""
+    """A stated outcome, its measured value, and whether the value satisfies it."""
 
     stated: StatedOutcome
     value: float
@@ -55,7 +55,7 @@
 
 
 def outcome_results(round_: Round) -> tuple[OutcomeResult, ...]:
-    """Return each outcome that the trace states, with what was measured."""
+    """Return the result of each outcome that the trace states."""
     return tuple(_outcome_result(stated, round_) for stated in round_.trace.head.stated)
 
 
@@ -65,31 +65,33 @@
 
 
 def measure(which: Measure, round_: Round) -> float:
-    """Return a measure of a round; NaN when it cannot be told."""
+    """Return the value of a measure in a round; NaN if it is undefined."""
     base, product = round_.baseline.figures, round_.product.figures
     match which:
         case Measure.ATTAINMENT_RATIO:
-            return _over(product.attainment, base.attainment)
+            return _ratio(product.attainment, base.attainment)
         case Measure.ATTAINMENT_OF_BOUND:
-            return _of_bound(round_)
+            return _attainment_of_bound(round_)
         case Measure.WASTED_SHARE:
             return product.wasted_share
         case Measure.WITHIN_SHARE_OF_CALM:
-            return _within_share(round_)
+            return _attainment_within_share(round_)
         case Measure.REPAIRED_OF_CALM:
-            return _repaired(round_)
+            return _attainment_after_repair(round_)
         case Measure.OF_FRESH:
             fresh = round_.fresh
             nan = float("nan")
-            return _over(product.attainment, fresh.figures.attainment if fresh else nan)
+            return _ratio(
+                product.attainment, fresh.figures.attainment if fresh else nan
+            )
         case Measure.COST_RATIO:
-            return _over(product.cost_per_met_s, base.cost_per_met_s)
+            return _ratio(product.cost_per_met_s, base.cost_per_met_s)
         case Measure.EXTRA_CALLS_SHARE:
             return product.extra_calls_share
 
 
-def _over(part: float, whole: float) -> float:
-    return part / whole if whole else float("inf")
+def _ratio(part: float, total: float) -> float:
+    return part / total if total else float("inf")
 
 
 def _select(round_: Round, wanted: Callable[[Request], bool]) -> Sequence[Answer]:
@@ -101,39 +103,41 @@
     ]
 
 
-def _of_bound(round_: Round) -> float:
-    """Compare with the bound where trouble is, else over the whole trace."""
+def _attainment_of_bound(round_: Round) -> float:
+    """Return in-time over allowed requests, in the disturbed window if there is one."""
     window = round_.trace.head.disturbed
     answers = _select(round_, lambda request: not window or window.has(request.at_s))
     n_allowed = sum(round_.allowed[answer.index] for answer in answers)
-    return _over(sum(map(is_met, answers)), n_allowed)
+    return _ratio(sum(map(is_met, answers)), n_allowed)
 
 
-def _before(round_: Round, request: Request) -> bool:
+def _is_before_fault(round_: Round, request: Request) -> bool:
     window = round_.trace.head.disturbed
     return window is None or request.at_s < window.begin_s
 
 
-def _within_share(round_: Round) -> float:
+def _attainment_within_share(round_: Round) -> float:
     head = round_.trace.head
     window = head.disturbed
 
     def is_other(request: Request) -> bool:
         return request.account != head.bursting_account
 
-    calm = _select(round_, lambda each: is_other(each) and _before(round_, each))
+    calm = _select(
+        round_, lambda each: is_other(each) and _is_before_fault(round_, each)
+    )
     during = _select(
         round_,
         lambda each: is_other(each) and window is not None and window.has(each.at_s),
     )
-    return _over(attainment_of(during), attainment_of(calm))
+    return _ratio(attainment_of(during), attainment_of(calm))
 
 
-def _repaired(round_: Round) -> float:
+def _attainment_after_repair(round_: Round) -> float:
     window = round_.trace.head.disturbed
     if window is None:
         return float("nan")
-    back_s = window.end_s + RECOVERY_S
-    after = _select(round_, lambda request: request.at_s >= back_s)
-    calm = _select(round_, lambda request: _before(round_, request))
-    return _over(attainment_of(after), attainment_of(calm))
+    recovered_s = window.end_s + RECOVERY_S
+    after = _select(round_, lambda request: request.at_s >= recovered_s)
+    calm = _select(round_, lambda request: _is_before_fault(round_, request))
+    return _ratio(attainment_of(after), attainment_of(calm))
--- a/src/trefoilpaddle/replay/path_cost.py
+++ b/src/trefoilpaddle/replay/path_cost.py
@@ -1,4 +1,4 @@
-"""Cost of the path: calls through gateway and sidecar beside direct calls.
+"""Cost of the request path: calls through gateway and sidecar against direct calls.
 
 Run it with ``python -m trefoilpaddle.replay.path_cost``.
 """
@@ -26,7 +26,7 @@
 from trefoilpaddle.standins.written_settings import Overrides
 from trefoilpaddle.state.catalogue import ServiceKind
 
-LONGEST_US: Final = 60_000_000
+MAX_US: Final = 60_000_000
 DIGITS: Final = 3
 MICROSECONDS: Final = 1_000_000
 MEGABYTE: Final = 1024 * 1024
@@ -63,7 +63,7 @@
         "deadline_s": 10.0,
     },
 }
-"""One stage that takes no time, so that what is measured is the path."""
+"""One stage without service time, so that only the path is measured."""
 
 
 class CallError(Exception):
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Usage:
-    """What the two processes of the path had used at one moment.
+    """Resources that the two processes of the path have used at one time.
 
     Parameters
     ----------
     gateway_s, sidecar_s : float
         Processor seconds since their start.
     gateway_bytes, sidecar_bytes : int
-        Resident memory.
+        Resident memory in bytes.
     """
 
     gateway_s: float
@@ -100,7 +100,7 @@
 
 
 class Path:
-    """The deployment under measurement and both ways to call its target.
+    """The measured deployment, with direct calls and calls through the path.
 
     Parameters
     ----------
@@ -123,13 +123,13 @@
         self._sidecar = psutil.Process(running.children[sidecar].pid)
 
     async def call_directly(self) -> None:
-        """Call the target as its sidecar would."""
+        """Call the target directly, in the way of its sidecar."""
         headers = {"X-Request-Id": "direct", "X-Attempt-Id": "0" * 32}
         body = {"input": BODY, "previous": None}
         await self._post(self._direct_url, body, headers)
 
     async def call(self) -> None:
-        """Call the pipeline as a client account would."""
+        """Call the pipeline through the gateway, in the way of a client account."""
         await self._post(self._url, BODY, {"X-Client-Account": ACCOUNT})
 
     async def _post(self, url: str, body: object, headers: dict[str, str]) -> None:
@@ -139,7 +139,7 @@
                 raise CallError(f"{url} answered {answer.status}: {content[:200]!r}")
 
     def usage(self) -> Usage:
-        """Return what gateway and sidecar have used so far."""
+        """Return the resources that gateway and sidecar have used so far."""
         return Usage(
             gateway_s=_processor_s(self._gateway),
             sidecar_s=_processor_s(self._sidecar),
@@ -154,11 +154,11 @@
 
 
 async def _repeat(call: Call, *, n_calls: int, n_callers: int) -> Latency:
-    histogram = HdrHistogram(1, LONGEST_US, DIGITS)
-    left = iter(range(n_calls))
+    histogram = HdrHistogram(1, MAX_US, DIGITS)
+    remaining_calls = iter(range(n_calls))
 
     async def caller() -> None:
-        for _ in left:
+        for _ in remaining_calls:
             began_s = time.perf_counter()
             await call()
             took_s = time.perf_counter() - began_s
@@ -172,16 +172,16 @@
 
 
 async def _latency(path: Path, *, n_calls: int) -> tuple[Latency, Latency]:
-    """Return direct and whole latency, measured in turns on an idle path."""
+    """Return direct and path latency, measured one after the other while idle."""
     await _repeat(path.call_directly, n_calls=N_WARM, n_callers=1)
     await _repeat(path.call, n_calls=N_WARM, n_callers=1)
     direct = await _repeat(path.call_directly, n_calls=n_calls, n_callers=1)
-    whole = await _repeat(path.call, n_calls=n_calls, n_callers=1)
-    return direct, whole
+    through_path = await _repeat(path.call, n_calls=n_calls, n_callers=1)
+    return direct, through_path
 
 
 async def _load(path: Path, *, n_calls: int, n_callers: int) -> list[Usage]:
-    """Return usage before, during and after `n_calls` calls."""
+    """Return usage before the load and after each of its `N_SAMPLES` parts."""
     usages = [path.usage()]
     for part in range(N_SAMPLES):
         await _repeat(path.call, n_calls=n_calls // N_SAMPLES, n_callers=n_callers)
@@ -201,10 +201,10 @@
 
 
 def _growth_mb(usages: list[Usage]) -> tuple[float, float]:
-    """Return growth of both processes over the second half of the load.
+    """Return the memory growth of both processes in the second half of the load.
 
-    The first half fills what is kept on purpose: records for ``explain``,
-    outcomes, estimates.
+    The first half fills the stores of bounded size: records for ``explain``,
+    outcomes and estimates.
     """
     half, end = usages[len(usages) // 2], usages[-1]
     gateway = (end.gateway_bytes - half.gateway_bytes) / MEGABYTE
@@ -212,10 +212,12 @@
     return gateway, sidecar
 
 
-def _print_latency(direct: Latency, whole: Latency) -> None:
-    added_ms = whole.p50_ms - direct.p50_ms
+def _print_latency(direct: Latency, through_path: Latency) -> None:
+    added_ms = through_path.p50_ms - direct.p50_ms
     print(f"direct   p50 {direct.p50_ms:7.3f} ms  p99 {direct.p99_ms:7.3f} ms")
-    print(f"path     p50 {whole.p50_ms:7.3f} ms  p99 {whole.p99_ms:7.3f} ms")
+    print(
+        f"path     p50 {through_path.p50_ms:7.3f} ms  p99 {through_path.p99_ms:7.3f} ms"
+    )
     print(f"added    p50 {added_ms:7.3f} ms  goal {GOAL_ADDED_MS:g} ms")
 
 
@@ -242,7 +244,7 @@
 
 
 def _print_machine() -> None:
-    """Print how busy the machine was; others' load lengthens every figure."""
+    """Print the load of the machine; other load increases all measured times."""
     load, _, _ = os.getloadavg()
     print(f"machine  {load:7.1f} processes wanted one of {os.cpu_count()} cores")
 
@@ -264,8 +266,8 @@
         aiohttp.ClientSession(connector=connector) as session,
     ):
         path = Path(running=running, session=session)
-        direct, whole = await _latency(path, n_calls=n_latency_calls)
-        _print_latency(direct, whole)
+        direct, through_path = await _latency(path, n_calls=n_latency_calls)
+        _print_latency(direct, through_path)
         began_s = time.perf_counter()
         usages = await _load(path, n_calls=n_calls, n_callers=n_callers)
         _print_load(usages, n_calls=n_calls, took_s=time.perf_counter() - began_s)
@@ -277,16 +279,16 @@
     n_callers: int = 32,
     verbosity: str = "info",
 ) -> None:
-    """Measure the cost of the path on this machine.
+    """Measure the cost of the request path on this machine.
 
     Parameters
     ----------
     n_latency_calls : int
-        Calls one after the other, each way, for the latency.
+        Sequential calls, direct and through the path, for the latency.
     n_calls, n_callers : int
-        Calls of the load, and how many are open at once.
+        Calls of the load, and the number of concurrent callers.
     verbosity : str
-        What the processes log; ``info`` logs each decision, as by default.
+        Log verbosity of the processes; ``info``, the default, logs each decision.
     """
     asyncio.run(
         measure(
--- a/src/trefoilpaddle/replay/player.py
+++ b/src/trefoilpaddle/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a trace with open-loop load: a request is sent at its time, come what may."""
+"""Replays a trace as open-loop load: answers never delay the next requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 """Time between the start of the player and the start of the trace."""
 
 PRELUDE_S: Final = 4.0
-"""Time between the requests of the prelude and the trace."""
+"""Time between the warm-up requests and the trace."""
 
 MAX_CONNECTIONS: Final = 2000
 
@@ -33,22 +33,23 @@
     on_answer: OnAnswer,
     sends_deadline: bool = True,
 ) -> Replayed:
-    """Send all requests of `trace` at their times and collect what came of them.
+    """Send all requests of `trace` at their times and collect their answers.
 
     Parameters
     ----------
     trace : Trace
-        What to send and what goes wrong.
+        The requests to send and the faults to inject.
     system : SystemUnderTest
-        What to play against.
+        The processes that receive the requests and the faults.
     judge : Judge
-        Tells a right answer from a wrong one.
+        Classifies the texts of answers.
     label : str
-        Names the run; idempotency keys carry it, so that runs don't mix.
+        Name of the replay. Idempotency keys contain it, so that keys of different
+        replays differ.
     on_answer : callable
-        Called with each answer; shows progress.
+        Called with each answer, to show progress.
     sends_deadline : bool
-        False sends requests without their deadline.
+        False to send requests without their deadlines.
     """
     connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -60,7 +61,7 @@
             label=label,
             sends_deadline=sends_deadline,
         )
-        await player.prelude(system)
+        await player.warm_up(system)
         await player.run(system, on_answer)
     replayed = player.replayed
     replayed.runs, replayed.n_lost_records = await system.records()
@@ -97,11 +98,11 @@
         self._sends_deadline = sends_deadline
         self.replayed = Replayed(label=label)
 
-    async def prelude(self, system: SystemUnderTest) -> None:
-        """Send one request of each entry to each gateway; none is counted.
+    async def warm_up(self, system: SystemUnderTest) -> None:
+        """Warm up: send one uncounted request of each entry to each gateway.
 
-        A gateway leases an entry's limits at its first request and refuses
-        some seconds of requests meanwhile, which is not what is measured here.
+        A gateway leases an entry's limits at its first request and refuses requests
+        for some seconds until it has the lease. The replay must not measure that.
         """
         first: dict[tuple[str, str], int] = {}
         for index, request in enumerate(self._trace.requests):
@@ -110,7 +111,7 @@
             return
         await asyncio.gather(
             *(
-                self._ask(index, gateway, key=f"prelude-{gateway}-{index}")
+                self._send_now(index, gateway, key=f"prelude-{gateway}-{index}")
                 for index in first.values()
                 for gateway in system.gateways
             )
@@ -119,15 +120,17 @@
         await system.clear_records()
 
     async def run(self, system: SystemUnderTest, on_answer: OnAnswer) -> None:
-        """Play the whole trace, faults included."""
+        """Send all requests of the trace and inject its faults."""
         async with self._balancer.checking(self._session):
             begin = asyncio.get_running_loop().time() + START_DELAY_S
             async with asyncio.TaskGroup() as group:
                 group.create_task(inject_faults(self._trace.head.faults, system, begin))
                 for index in range(len(self._trace.requests)):
-                    group.create_task(self._send(index, begin, on_answer))
+                    group.create_task(self._send_at_its_time(index, begin, on_answer))
 
-    async def _send(self, index: int, begin: float, on_answer: OnAnswer) -> None:
+    async def _send_at_its_time(
+        self, index: int, begin: float, on_answer: OnAnswer
+    ) -> None:
         loop = asyncio.get_running_loop()
         request = self._trace.requests[index]
         head = self._trace.head
@@ -135,11 +138,11 @@
         await asyncio.sleep(max(0.0, due - loop.time()))
         self.replayed.late_starts_s.append(max(0.0, loop.time() - due))
         key = f"{self.replayed.label}-{head.name}-{head.seed}-{index}"
-        answer = await self._ask(index, self._balancer.pick(), key=key)
+        answer = await self._send_now(index, self._balancer.pick(), key=key)
         self.replayed.answers.append(answer)
         on_answer(answer)
 
-    async def _ask(self, index: int, gateway: str, *, key: str) -> Answer:
+    async def _send_now(self, index: int, gateway: str, *, key: str) -> Answer:
         return await send_request(
             session=self._session,
             gateway=gateway,
--- a/src/trefoilpaddle/replay/plot.py
+++ b/src/trefoilpaddle/replay/plot.py
@@ -1,4 +1,4 @@
-"""Draws a round: attainment over time, and cost by stage, for both policies."""
+"""Plots a round: attainment over time and cost by stage, for both policies."""
 
 from pathlib import Path
 from typing import Final
@@ -10,8 +10,8 @@
 
 
 def plot_round(round_: Round, path: Path) -> None:
-    """Write a picture of a round to the file at `path`; its suffix says how."""
-    # Imported here: drawing is optional and loads slowly.
+    """Write a plot of a round to `path`; the suffix determines the file format."""
+    # Imported here because plots are optional and the import is slow.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -30,9 +30,9 @@
     over_time.legend()
     for offset, played in ((-0.2, round_.baseline), (0.2, round_.product)):
         stages = played.figures.stages
-        places = [number + offset for number in range(len(stages))]
-        by_stage.bar(places, [stage.cost_s for stage in stages], 0.4, alpha=0.4)
-        by_stage.bar(places, [stage.wasted_s for stage in stages], 0.4, color="red")
+        positions = [index + offset for index in range(len(stages))]
+        by_stage.bar(positions, [stage.cost_s for stage in stages], 0.4, alpha=0.4)
+        by_stage.bar(positions, [stage.wasted_s for stage in stages], 0.4, color="red")
     names = [stage.service for stage in round_.product.figures.stages]
     by_stage.set_xticks(range(len(names)), names, rotation=20)
     by_stage.set_ylabel("target-seconds (red: wasted)")
@@ -48,7 +48,7 @@
 ) -> tuple[list[float], list[float]]:
     requests = round_.trace.requests
     n_bins = int(round_.trace.head.duration_s / BIN_S) + 1
-    times = [number * BIN_S for number in range(n_bins)]
+    times = [index * BIN_S for index in range(n_bins)]
     shares = [
         attainment_of(
             [
--- a/src/trefoilpaddle/replay/report.py
+++ b/src/trefoilpaddle/replay/report.py
@@ -1,4 +1,4 @@
-"""Prints a round: baseline and product side by side, with their ratio."""
+"""Prints a round: figures of baseline and product, with their ratio."""
 
 from collections.abc import Iterator, Sequence
 
@@ -29,7 +29,7 @@
 
 
 def print_violations(played: AuditedReplay, console: Console) -> None:
-    """Print what must always hold and did not."""
+    """Print the violations of invariants."""
     for violation in played.violations:
         console.print(
             f"[red]{played.figures.label} violates[/] {violation.rule}: "
@@ -38,7 +38,7 @@
 
 
 def print_outcomes(outcomes: Sequence[OutcomeResult], console: Console) -> None:
-    """Print each stated outcome with what was measured."""
+    """Print each stated outcome with its measured value."""
     for outcome in outcomes:
         stated = outcome.stated
         word = "[green]holds[/]" if outcome.holds else "[red]not reached[/]"
@@ -50,8 +50,8 @@
 
 def _table(title: str, *columns: str) -> Table:
     table = Table(title=title, title_justify="left")
-    for number, column in enumerate(columns):
-        table.add_column(column, justify="left" if number == 0 else "right")
+    for index, column in enumerate(columns):
+        table.add_column(column, justify="left" if index == 0 else "right")
     return table
 
 
--- a/src/trefoilpaddle/replay/results.py
+++ b/src/trefoilpaddle/replay/results.py
@@ -1,4 +1,4 @@
-"""What became of each request of a replay, and what targets ran for it."""
+"""The answers to the requests of a replay, and the calls that targets ran."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum, unique
@@ -6,7 +6,7 @@
 
 @unique
 class Verdict(StrEnum):
-    """What a caller got."""
+    """Classification of the answer that a caller received."""
 
     IN_TIME = "in_time"
     LATE = "late"
@@ -14,41 +14,41 @@
     FAILED = "failed"
     UNKNOWN = "unknown"
     TRUNCATED = "torn"
-    """An answer that ended early, or is shorter than what the targets made."""
+    """An answer that ended early, or is shorter than the output of the targets."""
     WRONG = "wrong"
-    """An answer that is not this request's, or holds parts of it twice."""
+    """An answer of another request, or one with duplicated parts."""
     NO_ANSWER = "no_answer"
     """The connection was refused or ended without any answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """What came back for one request.
+    """The answer to one request.
 
     Parameters
     ----------
     index : int
-        The request's place in the trace.
+        Index of the request in the trace.
     verdict : Verdict
-        What it was.
+        Classification of the answer.
     status : int
-        HTTP status; 0 without one.
+        HTTP status; 0 without an answer.
     request_id : str
-        As the gateway named it; empty when none was heard.
+        Id that the gateway assigned; empty if none was received.
     gateway : str
         Where the request was sent.
     reason : str
-        Why it was refused or failed, in the words of the error body.
+        Reason of a refusal or failure, from the error body.
     stage : str
         Stage at which it was refused or failed.
     latency_s : float
-        From sending to the last octet.
+        Time from sending the request to the last byte.
     first_token_s : float
-        From sending to the first token; NaN where none came.
+        Time from sending the request to the first token; NaN without tokens.
     gaps_s : tuple of float
         Times between tokens.
     retry_after_s : float
-        When the caller was told to come back; 0 without.
+        Time after which the caller may retry, by the error body; 0 without one.
     """
 
     index: int
@@ -66,18 +66,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRun:
-    """One call that a target ran, from its own record.
+    """One call that a target ran, from the records of the target.
 
     Parameters
     ----------
     service, target : str
-        Who ran it.
+        The target that ran the call, and its service.
     request_id, attempt_id : str
-        For which request and attempt.
+        The request and the attempt that the call belongs to.
     path : str
         Path of the call.
     input_digest : str
-        Digest of what it was given.
+        Digest of the input of the call.
     outcome : str
         ``done``, ``failed``, ``cancelled`` or ``running``.
     cost_s : float
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Replayed:
-    """One play of a trace under one policy.
+    """Answers and target records of one replay of a trace under one policy.
 
     Parameters
     ----------
@@ -105,11 +105,12 @@
     answers : list of Answer
         One for each request that was sent.
     runs : list of TargetRun
-        What the targets recorded; those of a killed target are lost with it.
+        Calls that the targets recorded. Calls that a killed target ran after its
+        records were last read are lost.
     n_lost_records : int
-        Targets whose record could not be read.
+        Targets whose records could not be read.
     late_starts_s : list of float
-        How late the player itself sent each request, against the trace.
+        Delay of each request that the player caused, against the trace.
     """
 
     label: str
--- a/src/trefoilpaddle/replay/rounds.py
+++ b/src/trefoilpaddle/replay/rounds.py
@@ -1,4 +1,4 @@
-"""Plays one trace under the baseline and the product, one after the other."""
+"""Replays one trace under the baseline policy, then under the product's."""
 
 from collections.abc import Callable
 from contextlib import AbstractAsyncContextManager
@@ -28,36 +28,36 @@
     adapt_concurrency=False,
     drop_expired=False,
 )
-"""Round robin, first come first served, no refusal, no budget.
+"""Round robin, first in first out, without early refusal or retry budget.
 
-Requests are sent without a deadline: nothing is dropped, cancelled or put off
-because it is late. It is given up when its caller leaves, after
+Requests are sent without a deadline, so none is dropped, cancelled or delayed for
+being late. A request is abandoned when its caller disconnects, after
 `trefoilpaddle.replay.client.GRACE_FACTOR` deadlines.
 """
 
 OpenSystem = Callable[
     [PolicySettings, float], AbstractAsyncContextManager[SystemUnderTest]
 ]
-"""Starts fresh processes under a policy, with the entries' deadlines multiplied
-by a factor, and ends them with the context."""
+"""Starts new processes under a policy, with the entries' deadlines multiplied by a
+factor, and stops them at the end of the context."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoundSetup:
-    """What a round needs besides its trace.
+    """Parameters of a round other than its trace.
 
     Parameters
     ----------
     site : Site
-        The deployment's targets and what a request costs there.
+        The deployment's targets and the cost of requests there.
     open_system : callable
-        Starts the processes to play against.
+        Starts the processes that receive the requests.
     judge : callable
-        Tells a right answer from a wrong one.
+        Classifies the texts of answers.
     once_paths : frozenset of str
-        Paths of stages that must run at most once.
+        Paths of stages that must run at most once for a request.
     on_answer : callable
-        Shows progress.
+        Called with each answer, to show progress.
     """
 
     site: Site
@@ -70,10 +70,10 @@
 async def play_round(
     trace: Trace, *, product: PolicySettings, setup: RoundSetup
 ) -> Round:
-    """Play `trace` under the baseline, then the product; each on fresh processes.
+    """Replay `trace` under the baseline, then the product, each on new processes.
 
-    Where the trace states an outcome against a fresh run, the product plays it
-    once more without its faults.
+    If the trace states an outcome relative to a run without faults, it is replayed
+    once more under the product without its faults.
     """
     before = await play_under(trace, "baseline", BASELINE, setup, sends_deadline=False)
     after = await play_under(trace, "product", product, setup)
@@ -99,20 +99,20 @@
     *,
     sends_deadline: bool = True,
 ) -> AuditedReplay:
-    """Play `trace` once under `policy` on fresh processes, and audit it.
+    """Replay `trace` once under `policy` on new processes, and audit the result.
 
     Parameters
     ----------
     trace : Trace
-        What to play.
+        The trace to replay.
     label : str
-        Names the play.
+        Name of the replay.
     policy : PolicySettings
-        Of every gateway and sidecar.
+        Policy of all gateways and sidecars.
     setup : RoundSetup
-        The rest.
+        The other parameters of the round.
     sends_deadline : bool
-        False plays it without deadlines, as the baseline.
+        False to send requests without deadlines, as for the baseline.
     """
     deadline_factor = 1.0 if sends_deadline else GRACE_FACTOR
     async with setup.open_system(policy, deadline_factor) as system:
@@ -135,7 +135,7 @@
 
 
 def n_plays(trace: Trace) -> int:
-    """Return how many times a round plays `trace`."""
+    """Return how many times a round replays `trace`."""
     return 3 if _needs_fresh(trace) else 2
 
 
--- a/src/trefoilpaddle/replay/scenarios.py
+++ b/src/trefoilpaddle/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""What goes wrong in each trace, and the outcomes stated for it."""
+"""The load and the faults of each scenario, and the outcomes stated for it."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -18,7 +18,7 @@
 
 DURATION_S: Final = 18.0
 BEGIN_S: Final = 5.0
-"""When trouble begins; before it, a trace is calm."""
+"""Start of the fault or burst; a trace is undisturbed before it."""
 
 CALM_SHARE: Final = 0.6
 BUSY_SHARE: Final = 0.8
@@ -28,8 +28,8 @@
 
 PAUSE_S: Final = 10.0
 LAG_S: Final = 5.0
-TROUBLE_S: Final = 5.0
-"""How long the troubles last that have no real length of their own."""
+DISTURBANCE_S: Final = 5.0
+"""Duration of the disturbances without a duration of their own."""
 
 SCENARIOS: Final = (
     "calm",
@@ -43,13 +43,13 @@
 
 _BUDGET = StatedOutcome(measure=Measure.EXTRA_CALLS_SHARE, at_most=0.1)
 _NO_WORSE = StatedOutcome(measure=Measure.ATTAINMENT_RATIO, at_least=1.0)
-_OF_REMAINING = StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.95)
+_NEAR_BOUND = StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.95)
 _REPAIRED = StatedOutcome(measure=Measure.REPAIRED_OF_CALM, at_least=0.98)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """What a trace of a name is made of; see `trefoilpaddle.replay.trace.Head`."""
+    """Parameters of the traces of a scenario; see `trefoilpaddle.replay.trace.Head`."""
 
     offered_share: float
     duration_s: float = DURATION_S
@@ -61,21 +61,21 @@
 
 
 def scenario_of(name: str, workload: Workload, time_scale: float) -> Scenario:
-    """Return the scenario called `name` for a workload.
+    """Return the scenario `name` for a workload.
 
     Raises
     ------
     ValueError
         If no scenario has that name.
     """
-    trouble = Window(begin_s=BEGIN_S, end_s=BEGIN_S + TROUBLE_S)
+    disturbed = Window(begin_s=BEGIN_S, end_s=BEGIN_S + DISTURBANCE_S)
     match name:
         case "calm":
             return Scenario(offered_share=CALM_SHARE, stated=_calm_stated())
         case "burst":
             return Scenario(
                 offered_share=CALM_SHARE,
-                disturbed=trouble,
+                disturbed=disturbed,
                 bursting_account=workload.accounts[0].account,
                 burst_factor=BURST_FACTOR,
                 stated=(
@@ -85,11 +85,11 @@
                 ),
             )
         case "slow-stage":
-            return _slow_stage(workload, trouble)
+            return _slow_stage(workload, disturbed)
         case "dead-paused":
             return _dead_paused(workload, time_scale)
         case "cut-domain":
-            return _cut_domain(workload, trouble)
+            return _cut_domain(workload, disturbed)
         case "stale-load":
             return _stale_load(time_scale)
         case "overload":
@@ -115,38 +115,42 @@
     )
 
 
-def _slow_stage(workload: Workload, trouble: Window) -> Scenario:
+def _slow_stage(workload: Workload, disturbed: Window) -> Scenario:
     slow = SlowService(
-        at_s=trouble.begin_s,
-        duration_s=TROUBLE_S,
+        at_s=disturbed.begin_s,
+        duration_s=DISTURBANCE_S,
         service=workload.slowed_service,
         factor=SLOW_FACTOR,
     )
-    return _faulty((slow,), trouble)
+    return _fault_scenario((slow,), disturbed)
 
 
 def _dead_paused(workload: Workload, time_scale: float) -> Scenario:
     pause_s = PAUSE_S * time_scale
-    dead = KillTarget(at_s=BEGIN_S, target=workload.failing_target)
+    killed = KillTarget(at_s=BEGIN_S, target=workload.failing_target)
     paused = FreezeTarget(
         at_s=BEGIN_S, duration_s=pause_s, target=workload.paused_target
     )
-    return _faulty((dead, paused), Window(begin_s=BEGIN_S, end_s=BEGIN_S + pause_s))
+    return _fault_scenario(
+        (killed, paused), Window(begin_s=BEGIN_S, end_s=BEGIN_S + pause_s)
+    )
 
 
-def _cut_domain(workload: Workload, trouble: Window) -> Scenario:
+def _cut_domain(workload: Workload, disturbed: Window) -> Scenario:
     cut = CutDomain(
-        at_s=trouble.begin_s, duration_s=TROUBLE_S, failure_domain=workload.cut_domain
+        at_s=disturbed.begin_s,
+        duration_s=DISTURBANCE_S,
+        failure_domain=workload.cut_domain,
     )
-    return _faulty((cut,), trouble)
+    return _fault_scenario((cut,), disturbed)
 
 
-def _faulty(faults: tuple[Fault, ...], window: Window) -> Scenario:
+def _fault_scenario(faults: tuple[Fault, ...], window: Window) -> Scenario:
     return Scenario(
         offered_share=CALM_SHARE,
         faults=faults,
         disturbed=window,
-        stated=(_OF_REMAINING, _REPAIRED, _BUDGET),
+        stated=(_NEAR_BOUND, _REPAIRED, _BUDGET),
     )
 
 
--- a/src/trefoilpaddle/replay/seeds.py
+++ b/src/trefoilpaddle/replay/seeds.py
@@ -1,4 +1,4 @@
-"""Medians and spread of the stated outcomes over several seeds."""
+"""Prints medians and ranges of the main figures and outcomes over several seeds."""
 
 import statistics
 from collections.abc import Iterator, Sequence
@@ -10,7 +10,7 @@
 
 
 def print_seeds(rounds: Sequence[Round], console: Console) -> None:
-    """Print the median, the least and the greatest of each main figure."""
+    """Print the median, minimum and maximum of each main figure."""
     table = Table(title=f"over {len(rounds)} seeds", title_justify="left")
     for column in ("figure", "median", "least", "greatest"):
         table.add_column(column, justify="left" if column == "figure" else "right")
@@ -28,5 +28,5 @@
         yield f"wasted share, {label}", [each.wasted_share for each in figures]
         yield f"latency p95, {label}, s", [each.latency.p95_s for each in figures]
     outcomes = [outcome_results(round_) for round_ in rounds]
-    for place, first in enumerate(outcomes[0]):
-        yield first.stated.measure.value, [each[place].value for each in outcomes]
+    for index, first in enumerate(outcomes[0]):
+        yield first.stated.measure.value, [each[index].value for each in outcomes]
--- a/src/trefoilpaddle/replay/site.py
+++ b/src/trefoilpaddle/replay/site.py
@@ -1,4 +1,4 @@
-"""The deployment that a trace is made for and played against."""
+"""The deployment that a trace is generated for and replayed on."""
 
 import math
 from collections.abc import Iterator
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """A described deployment with its catalogue.
+    """The description of a deployment with its catalogue.
 
     Parameters
     ----------
     description : Description
-        Its targets and how their stand-ins work.
+        Its targets and the parameters of their stand-ins.
     values : dict of str to dict
-        What is published.
+        The published values of the catalogue.
     catalogue : Catalogue
-        The same, typed.
+        The catalogue that is built from the values.
     """
 
     description: Description
@@ -58,9 +58,9 @@
     Raises
     ------
     ValueError
-        If its catalogue has faults; the text names them.
+        If its catalogue is invalid; the message lists the problems.
     OSError, tomllib.TOMLDecodeError, pydantic.ValidationError
-        If its description is missing or wrong.
+        If its description is missing or invalid.
     """
     checked = check_path(folder / "catalogue")
     if checked.catalogue is None or checked.problems:
@@ -75,34 +75,35 @@
 def target_capacities(description: Description) -> Iterator[TargetCapacity]:
     """Yield each target with its speed.
 
-    An engine does one target-second a second, shared by its batch; a pool's or
-    plain service's target does as many as it has slots.
+    An engine completes one target-second a second, shared by its batch. A target
+    of a pool or plain service completes as many as it has slots.
     """
-    place = description.n_gateways
+    index = description.n_gateways
     for service in description.services:
         for name in service.targets():
             yield TargetCapacity(
                 name=name,
                 service=service.name,
-                failure_domain=description.domain(place),
+                failure_domain=description.domain(index),
                 speed=_speed(service),
             )
-            place += 1
+            index += 1
 
 
 class WorkModel:
-    """Target-seconds of a request's stages, by the stand-ins' own parameters.
+    """Target-seconds of a request's stages, from the parameters of the stand-ins.
 
-    An engine's step takes a base time and a time for each prompt that decodes.
-    At a full batch, the most work a second, each token so takes its own time
-    and its part of the base. Prompt tokens are added, but for those that are
-    shared with others (the stage's prompt prefix and the request's own): they
-    count as cached, so this is the least work that a request can be.
+    A step of an engine takes a base time and a time for each decoding prompt. At a
+    full batch, where throughput is highest, a token takes the time of its prompt
+    and its share of the base time. Prefill of the prompt tokens is added, except
+    for tokens shared with other requests (the stage's prompt prefix and the
+    request's prefix). These count as cached, so the result is the least possible
+    work of a request.
 
     Parameters
     ----------
     deployment : Deployment
-        Whose stand-ins.
+        The deployment whose stand-ins are modelled.
     time_scale : float
         Factor on all service times.
     """
@@ -114,13 +115,13 @@
         services = deployment.description.services
         self._services = {service.name: service for service in services}
         self._time_scale = time_scale
-        self._work_of = lru_cache(maxsize=None)(self._worked_out)
+        self._work_of = lru_cache(maxsize=None)(self._compute_work)
 
     def __call__(self, request: Request) -> list[StageWork]:
         """Return the work of each stage of `request`."""
         return self._work_of(request)
 
-    def _worked_out(self, request: Request) -> list[StageWork]:
+    def _compute_work(self, request: Request) -> list[StageWork]:
         calls = expected_calls(self._catalogue, request)
         return [self._work(call, request) for call in calls]
 
--- a/src/trefoilpaddle/replay/summary.py
+++ b/src/trefoilpaddle/replay/summary.py
@@ -1,4 +1,4 @@
-"""A round as plain values, for JSON."""
+"""The summary of a round, for output as JSON."""
 
 from dataclasses import dataclass
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Summary:
-    """What a round showed.
+    """Figures, violations and outcomes of a round.
 
     Parameters
     ----------
     head : Head
         Head of the trace.
     n_allowed : int
-        Requests that capacity allows.
+        Number of requests that capacity allows to be answered in time.
     baseline, product, fresh : Figures
-        Of each play.
+        Figures of each replay.
     violations : tuple of Violation
-        What must always hold and did not, in any play.
+        Violations of invariants by the baseline and the product.
     outcomes : tuple of OutcomeResult
-        Each stated outcome, with what was measured.
+        Each stated outcome with its measured value.
     """
 
     head: Head
--- a/src/trefoilpaddle/replay/system_under_test.py
+++ b/src/trefoilpaddle/replay/system_under_test.py
@@ -1,4 +1,4 @@
-"""What a replay needs of the processes that it plays against."""
+"""The interface of the processes that a replay sends requests to."""
 
 from typing import Protocol
 
@@ -6,27 +6,27 @@
 
 
 class SystemUnderTest(Protocol):
-    """Running gateways, sidecars and targets; faults are done to them.
+    """Running gateways, sidecars and targets, with methods to inject faults.
 
-    Targets are named as in the deployment, processes of the system by their
-    process id.
+    Targets have their names in the deployment; gateways and sidecars are named by
+    their process ids.
     """
 
     @property
     def gateways(self) -> tuple[str, ...]:
-        """Base URLs of the callers' ports."""
+        """Base URLs of the ports on which the gateways serve callers."""
         ...
 
     def targets_of(self, service: str) -> list[str]:
-        """Return the names of a service's targets; all targets without a name."""
+        """Return the names of a service's targets; of all targets if it is empty."""
         ...
 
     def processes_in(self, failure_domain: str) -> list[str]:
-        """Return the process ids of the system's processes in a domain."""
+        """Return the process ids of the gateways and sidecars in a failure domain."""
         ...
 
     def sidecar_of(self, target: str) -> str:
-        """Return the process id of the sidecar beside `target`."""
+        """Return the process id of the sidecar of `target`."""
         ...
 
     async def set_fault(self, target: str, fault: dict[str, object]) -> None:
@@ -38,20 +38,20 @@
         ...
 
     def freeze(self, name: str) -> None:
-        """Stop a target or a process from running, with nothing told to it."""
+        """Suspend a target or a process without notifying it."""
         ...
 
     def thaw(self, name: str) -> None:
-        """Let what was frozen go on."""
+        """Resume a frozen target or process."""
         ...
 
     async def clear_records(self) -> None:
-        """Clear what the targets recorded so far."""
+        """Delete the records of all targets."""
         ...
 
     async def records(self) -> tuple[list[TargetRun], int]:
-        """Return what all targets ran, and how many could not be read.
+        """Return the calls that targets ran, and the number of unreadable targets.
 
-        Waits a bounded time for targets that still run something.
+        Waits for a bounded time until running calls have ended.
         """
         ...
--- a/src/trefoilpaddle/replay/token_cost.py
+++ b/src/trefoilpaddle/replay/token_cost.py
@@ -1,4 +1,4 @@
-"""Cost of streamed tokens: processor time of gateway and sidecar for each token.
+"""Cost of streamed tokens: processor time of gateway and sidecar per token.
 
 Run it with ``python -m trefoilpaddle.replay.token_cost``.
 """
@@ -67,22 +67,22 @@
         "deadline_s": 60.0,
     },
 }
-"""Two pipelines that differ only in how much is generated; the slope between
-them is the cost of a token, what is left is the cost of a call."""
+"""Two pipelines that differ only in the number of generated tokens. The slope
+between them is the cost of a token, and the remainder is the cost of a call."""
 
 
 class StreamError(Exception):
-    """A stream did not end as it should."""
+    """A stream did not end with the event ``end``."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """What one pipeline used for a number of calls.
+    """Resources used for a number of calls of one pipeline.
 
     Parameters
     ----------
     n_calls, n_tokens : int
-        Calls made, and tokens that reached the caller.
+        Calls, and tokens that the callers received.
     gateway_s, sidecar_s : float
         Processor seconds.
     """
@@ -99,7 +99,7 @@
 
 
 async def _stream(session: aiohttp.ClientSession, url: str, number: int) -> int:
-    """Return how many tokens one streamed call brought."""
+    """Return the number of tokens received in one streamed call."""
     headers = {"X-Client-Account": ACCOUNT, "Accept": "text/event-stream"}
     n_tokens = 0
     async with session.post(url, json={"text": f"{number}"}, headers=headers) as answer:
@@ -109,7 +109,7 @@
                 last = line.strip()
                 n_tokens += last == b"event: token"
     if last != b"event: end":
-        raise StreamError(f"{url} ended by {last!r}")
+        raise StreamError(f"stream of {url} ended with {last!r}, not event: end")
     return n_tokens
 
 
@@ -123,12 +123,12 @@
         for name in (gateway.process_id, running.sidecar_of(target))
     ]
     url = f"{running.gateways[0]}/v1/pipelines/{pipeline}"
-    left = iter(range(n_calls))
+    remaining_calls = iter(range(n_calls))
     n_tokens = 0
 
     async def caller() -> None:
         nonlocal n_tokens
-        for number in left:
+        for number in remaining_calls:
             got = await _stream(session, url, number)
             n_tokens += got
 
@@ -152,8 +152,8 @@
     for role in ("gateway", "sidecar"):
         short_s = getattr(short, f"{role}_s") / short.n_calls
         long_s = getattr(long, f"{role}_s") / long.n_calls
-        more = long.n_tokens / long.n_calls - short.n_tokens / short.n_calls
-        slope_us = MICROSECONDS * (long_s - short_s) / more
+        n_more_tokens = long.n_tokens / long.n_calls - short.n_tokens / short.n_calls
+        slope_us = MICROSECONDS * (long_s - short_s) / n_more_tokens
         print(
             f"{role}: {slope_us:.0f} us of a core a token; a streamed call of "
             f"{short.n_tokens / short.n_calls:.0f} tokens "
@@ -163,14 +163,14 @@
 
 
 def main(*, n_calls: int = 400, n_callers: int = 32) -> None:
-    """Print the processor time of gateway and sidecar for each token.
+    """Print the processor time of gateway and sidecar per token.
 
     Parameters
     ----------
     n_calls : int
         Streamed calls of each of the two lengths.
     n_callers : int
-        Calls open at once; the engine batches them.
+        Number of concurrent callers, whose calls the engine batches.
     """
     asyncio.run(_run(n_calls, n_callers))
 
--- a/src/trefoilpaddle/replay/trace.py
+++ b/src/trefoilpaddle/replay/trace.py
@@ -22,7 +22,7 @@
 
 @unique
 class InputKind(StrEnum):
-    """What a request's input looks like; the text is made from it."""
+    """Kind of a request's input, from which its text is generated."""
 
     TENDER_FILE = "tender_file"
     CLAUSE_PAIR = "clause_pair"
@@ -35,36 +35,36 @@
 
 @unique
 class Measure(StrEnum):
-    """A figure of a run that a trace can state an outcome for."""
+    """A figure of a round for which a trace can state an outcome."""
 
     ATTAINMENT_RATIO = "attainment_ratio"
     """Attainment of the product over that of the baseline."""
     ATTAINMENT_OF_BOUND = "attainment_of_bound"
-    """Attainment of the product over what capacity allows."""
+    """Requests that the product answered in time over those that capacity allows."""
     WASTED_SHARE = "wasted_share"
-    """Late, cancelled, repeated and failed cost over all cost."""
+    """Cost of late, cancelled, repeated and failed work over the total cost."""
     WITHIN_SHARE_OF_CALM = "within_share_of_calm"
-    """Attainment of owners within their share, during over before the fault."""
+    """Attainment of accounts within their share, during over before the burst."""
     REPAIRED_OF_CALM = "repaired_of_calm"
-    """Attainment from three seconds after the repair over before the fault."""
+    """Attainment from three seconds after the repair over that before the fault."""
     OF_FRESH = "of_fresh"
     """Attainment over that of the same trace replayed without its faults."""
     COST_RATIO = "cost_ratio"
     """Cost for each request answered in time, product over baseline."""
     EXTRA_CALLS_SHARE = "extra_calls_share"
-    """Runs beyond the first of a stage of a request, over first runs."""
+    """Repeated runs of a stage of a request over first runs."""
 
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class StatedOutcome:
-    """One stated outcome: what a measure must be at least or at most."""
+    """A stated outcome: a lower or an upper bound of a measure, or both."""
 
     measure: Measure
     at_least: float | None = None
     at_most: float | None = None
 
     def holds(self, value: float) -> bool:
-        """Return True if `value` is within what is stated; NaN never is."""
+        """Return True if `value` is within the bounds; NaN never is."""
         if value != value:
             return False
         if self.at_least is not None and value < self.at_least:
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class SlowService:
-    """All targets of a service take `factor` times as long."""
+    """Service times of all targets of a service are multiplied by `factor`."""
 
     kind: Literal["slow_service"] = "slow_service"
     at_s: Seconds
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class KillTarget:
-    """A target is killed and not restarted; its sidecar lives on."""
+    """A target is killed and not restarted; its sidecar keeps running."""
 
     kind: Literal["kill_target"] = "kill_target"
     at_s: Seconds
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class FreezeTarget:
-    """A target's host (target and sidecar) stands still, then goes on."""
+    """A target's host (target and sidecar) is suspended, then resumed."""
 
     kind: Literal["freeze_target"] = "freeze_target"
     at_s: Seconds
@@ -104,10 +104,10 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class CutDomain:
-    """A failure domain's sidecars and gateways are cut off from the others.
+    """The gateways and sidecars of a failure domain are partitioned from the others.
 
-    Their targets go on with what they were given, and late answers arrive
-    after the cut heals.
+    Their targets continue the calls that they have received, and late answers
+    arrive after the partition heals.
     """
 
     kind: Literal["cut_domain"] = "cut_domain"
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class StaleLoad:
-    """Targets report their load `lag_s` late."""
+    """Targets report their load with a delay of `lag_s`."""
 
     kind: Literal["stale_load"] = "stale_load"
     at_s: Seconds
@@ -134,13 +134,13 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Window:
-    """A stretch of a trace, in seconds from its start."""
+    """A time interval in seconds from the start of a trace."""
 
     begin_s: Seconds
     end_s: Seconds
 
     def has(self, at_s: float) -> bool:
-        """Return True if `at_s` falls in the window."""
+        """Return True if `at_s` is in the interval; its end is excluded."""
         return self.begin_s <= at_s < self.end_s
 
 
@@ -155,23 +155,23 @@
     name : str
         Name of the trace.
     origin : str
-        Where the requests come from, and how their rate was chosen.
+        Source of the requests, and the basis of their rate.
     seed : int
         Seed of the generator.
     deployment : str
-        Deployment that the trace is played against.
+        Deployment that the trace is replayed on.
     time_scale : float
-        Factor on all service times, deadlines and faults against real ones.
+        Factor on the real service times, deadlines and faults.
     duration_s : float
-        Time over which requests arrive.
+        Time in which requests arrive.
     offered_share : float
-        Offered work over capacity of the scarcest service.
+        Offered work over capacity at the bottleneck service.
     faults : tuple of Fault
-        Faults with their times, from the start of the trace.
+        Faults, with their times from the start of the trace.
     disturbed : Window, optional
-        From the first trouble to its repair.
+        Interval from the start of the first fault or burst to its end.
     bursting_account : str
-        Client account that goes over its share; empty without one.
+        Client account that exceeds its share; empty without one.
     stated : tuple of StatedOutcome
         Outcomes that the product must reach.
     """
@@ -197,27 +197,27 @@
     Parameters
     ----------
     at_s : float
-        When it is sent, from the start of the trace.
+        Time at which it is sent, from the start of the trace.
     account, class_of_work, pipeline : str
-        Who asks for what.
+        Client account, class of work and pipeline.
     deadline_s : float
-        Seconds within which the whole answer is wanted.
+        Seconds within which the caller needs the complete answer.
     priority : int
-        0 to 9.
+        Priority from 0 to 9.
     kind : InputKind
-        What the input looks like.
+        Kind of the input.
     n_words : int
         Words of the input without the shared prefix.
     prefix : str
-        Names the text that this request shares with others; empty for none.
+        Name of the text that this request shares with others; empty without one.
     n_prefix_words : int
-        Words of that text.
+        Words of the shared prefix.
     is_streamed : bool
-        True if the answer is asked for as a stream.
+        True if the caller requests the answer as a stream.
     is_keyed : bool
         True if the caller sends an idempotency key.
     input_seed : int
-        The input's text is made from it; unique in a trace.
+        Seed of the input's text; unique in a trace.
     """
 
     at_s: Seconds
@@ -237,13 +237,13 @@
 
 @dataclass(slots=True, kw_only=True, config=STRICT)
 class Trace:
-    """A head and its requests, in order of time."""
+    """A head and its requests, ordered by time."""
 
     head: Head
     requests: tuple[Request, ...]
 
     def without_faults(self) -> "Trace":
-        """Return the same requests with nothing going wrong."""
+        """Return the trace with the same requests and without faults."""
         fields = {name: getattr(self.head, name) for name in Head.__slots__}
         calm = Head(**{**fields, "faults": ()})
         return Trace(head=calm, requests=self.requests)
@@ -254,7 +254,7 @@
 
 
 def read_trace(path: Path) -> Result[Trace, list[Problem]]:
-    """Return the trace in the file at `path`, or all its faults."""
+    """Return the trace in the file at `path`, or all its problems."""
     try:
         lines = path.read_bytes().splitlines()
     except OSError as error:
@@ -273,7 +273,7 @@
 
 
 def write_trace(trace: Trace, path: Path) -> None:
-    """Write `trace` to the file at `path`; fields at their default are left out."""
+    """Write `trace` to the file at `path`; fields with default values are omitted."""
     path.write_bytes(b"".join(line + b"\n" for line in _lines(trace)))
 
 
--- a/src/trefoilpaddle/replay/workloads.py
+++ b/src/trefoilpaddle/replay/workloads.py
@@ -1,9 +1,9 @@
-"""What each deployment's callers ask for, at today's sizes.
+"""The requests of each deployment's callers, with the present input sizes.
 
 Deadlines are real ones; a trace scales them by its head's ``time_scale``. Sizes
 are log-normal: most inputs are short, and a few tender files or squad sheets are
-many times as long as the median. An account's requests of a kind begin with the
-same text: a bank's standard form, a club's order terms.
+many times as long as the median. All requests of a kind from one account begin
+with the same text, such as a bank's standard form or a club's order terms.
 """
 
 from dataclasses import dataclass
@@ -14,26 +14,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Mix:
-    """One kind of request and how often it comes.
+    """One kind of request and its frequency.
 
     Parameters
     ----------
     pipeline, class_of_work : str
-        As in the catalogue.
+        Names in the catalogue.
     kind : InputKind
-        What its input looks like.
+        Kind of the input.
     share : float
-        Share of the requests, 0 to 1.
+        Share of the requests, from 0 to 1.
     median_words, sigma, max_words : int, float, int
-        Log-normal size of the input without the shared prefix.
+        Parameters of the log-normal size of the input without the shared prefix.
     n_prefix_words : int
         Words of the text that all requests of one account share.
     deadline_s : float
-        Real deadline.
+        Real deadline in seconds, before scaling.
     priority : int
-        0 to 9.
+        Priority from 0 to 9.
     is_streamed, is_keyed : bool
-        How it is asked for.
+        True if the answer is streamed, and if an idempotency key is sent.
     """
 
     pipeline: str
@@ -60,20 +60,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workload:
-    """Who asks a deployment for what.
+    """The client accounts of a deployment and the requests that they send.
 
     Parameters
     ----------
     deployment : str
-        Its name.
+        Name of the deployment.
     accounts : tuple of AccountShare
         Client accounts; the first is the one that bursts.
     mixes : tuple of Mix
         Kinds of request; their shares add up to 1.
-    slowed_service, slowed_factor : str, float
-        Which stage slows down in the trace of that name.
+    slowed_service : str
+        Service that slows down in the scenario ``slow-stage``.
     failing_target, paused_target, cut_domain : str
-        Where the other faults strike.
+        Targets and failure domain of the other faults.
     """
 
     deployment: str
