--- a/tests/replay_parts.py
+++ b/tests/replay_parts.py
@@ -1,4 +1,4 @@
-"""Parts of traces and of what came of them, for the tests of replay."""
+"""Builders of trace heads, requests, target runs and answers for replay tests."""
 
 from trefoilpaddle.replay.results import Answer, TargetRun, Verdict
 from trefoilpaddle.replay.trace import Head, InputKind, Request
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Traces, and what is audited, counted and concluded of a replay."""
+"""Trace files, and the audit, figures, capacity bound and outcomes of a replay."""
 
 from pathlib import Path
 
@@ -29,7 +29,7 @@
 
 
 class TestTrace:
-    def test_reads_what_it_wrote(self, tmp_path: Path) -> None:
+    def test_written_trace_is_read_back_unchanged(self, tmp_path: Path) -> None:
         head = make_head(
             faults=(
                 SlowService(at_s=1.0, duration_s=2.0, service="s", factor=5.0),
@@ -42,7 +42,7 @@
         write_trace(trace, tmp_path / "t.jsonl")
         assert read_trace(tmp_path / "t.jsonl") == Ok(trace)
 
-    def test_names_line_and_key_of_each_fault(self, tmp_path: Path) -> None:
+    def test_problems_name_line_and_key(self, tmp_path: Path) -> None:
         path = tmp_path / "t.jsonl"
         write_trace(Trace(head=make_head(), requests=()), path)
         path.write_bytes(path.read_bytes() + b'{"at_s": -1, "acount": "a"}\n')
@@ -66,30 +66,30 @@
         found = find_violations(replayed, n_requests=len(answers), once_paths={"/once"})
         return [violation.rule for violation in found]
 
-    def test_passes_a_clean_replay(self) -> None:
+    def test_valid_replay_has_no_violations(self) -> None:
         answers = [make_answer(0, Verdict.IN_TIME, "r0")]
         assert self.check(answers, [make_run(path="/once")]) == []
 
-    def test_finds_a_request_called_not_run_that_ran(self) -> None:
+    def test_request_reported_as_not_run_that_ran_is_found(self) -> None:
         answers = [make_answer(0, Verdict.NOT_RUN, "r0")]
         assert self.check(answers, [make_run()]) == [
             "what is called not run did not run"
         ]
 
-    def test_finds_a_second_run_of_a_stage_that_may_run_once(self) -> None:
+    def test_repeated_run_of_non_idempotent_stage_is_found(self) -> None:
         runs = [make_run(path="/once"), make_run(path="/once", attempt_id="a1")]
         assert self.check([make_answer(0, Verdict.LATE, "r0")], runs) == [
             "a stage that is not idempotent runs at most once"
         ]
 
-    def test_lets_an_idempotent_stage_run_again(self) -> None:
+    def test_idempotent_stage_may_run_again(self) -> None:
         runs = [make_run(), make_run(attempt_id="a1")]
         assert self.check([make_answer(0, Verdict.IN_TIME, "r0")], runs) == []
 
-    def test_finds_an_attempt_that_ran_twice(self) -> None:
+    def test_attempt_that_ran_twice_is_found(self) -> None:
         assert self.check([], [make_run(), make_run()]) == ["an attempt starts once"]
 
-    def test_finds_crossed_and_lost_answers(self) -> None:
+    def test_wrong_and_missing_answers_are_found(self) -> None:
         replayed = Replayed(label="x", answers=[make_answer(0, Verdict.WRONG)])
         found = find_violations(replayed, n_requests=2, once_paths=())
         assert [violation.rule for violation in found] == [
@@ -99,7 +99,7 @@
 
 
 class TestFigures:
-    def test_tells_useful_cost_from_each_kind_of_waste(self) -> None:
+    def test_wasted_cost_is_divided_by_cause(self) -> None:
         replayed = Replayed(
             label="x",
             answers=[
@@ -145,14 +145,14 @@
 
         return capacity_bound(trace, targets=self.TARGETS, work_of=work_of)
 
-    def test_takes_the_easiest_first(self) -> None:
+    def test_smallest_requests_are_allocated_first(self) -> None:
         assert self.allowed([1.5, 0.5, 1.0]) == [False, True, True]
 
-    def test_counts_out_what_a_fault_takes_away(self) -> None:
+    def test_fault_reduces_capacity(self) -> None:
         dead = (KillTarget(at_s=0.0, target="a"),)
         assert self.allowed([1.0, 0.5, 0.5], faults=dead) == [False, True, True]
 
-    def test_leaves_out_what_is_too_slow_even_alone(self) -> None:
+    def test_request_too_slow_without_load_is_not_allowed(self) -> None:
         slow = (SlowService(at_s=0.0, duration_s=9.0, service="s", factor=20.0),)
         assert self.allowed([0.01], faults=slow) == [False]
 
@@ -177,7 +177,7 @@
             allowed=[True] * len(verdicts),
         )
 
-    def test_burst_is_not_held_against_those_within_their_share(self) -> None:
+    def test_burst_does_not_affect_measure_of_other_accounts(self) -> None:
         head = make_head(
             disturbed=Window(begin_s=4.0, end_s=8.0), bursting_account="big"
         )
@@ -187,7 +187,7 @@
         assert measure(Measure.WITHIN_SHARE_OF_CALM, round_) == 1.0
         assert measure(Measure.ATTAINMENT_OF_BOUND, round_) == 0.5
 
-    def test_says_which_outcome_is_not_reached(self) -> None:
+    def test_missed_outcomes_do_not_hold(self) -> None:
         stated = (
             StatedOutcome(measure=Measure.ATTAINMENT_OF_BOUND, at_least=0.9),
             StatedOutcome(measure=Measure.WASTED_SHARE, at_most=0.05),
--- a/tests/test_replay_generate.py
+++ b/tests/test_replay_generate.py
@@ -1,4 +1,4 @@
-"""Generated traces: the same from one seed, at the stated share of capacity."""
+"""Generated traces: reproducible by seed, at the stated share of capacity."""
 
 import pytest
 
@@ -37,17 +37,19 @@
 class TestGenerate:
     @pytest.mark.parametrize("deployment", sorted(WORKLOADS))
     @pytest.mark.parametrize("scenario", SCENARIOS)
-    def test_same_seed_same_trace(self, deployment: str, scenario: str) -> None:
+    def test_trace_is_reproducible_by_seed(
+        self, deployment: str, scenario: str
+    ) -> None:
         site = make_site(deployment)
         first = generate(site, scenario=scenario, seed=3)
         assert first == generate(site, scenario=scenario, seed=3)
         assert first.requests != generate(site, scenario=scenario, seed=4).requests
 
-    def test_offers_the_stated_share_of_capacity(self) -> None:
+    def test_offered_load_matches_the_scenario(self) -> None:
         trace = generate(make_site("garantia"), scenario="overload", seed=1)
         assert trace.head.offered_share == pytest.approx(1.5, rel=0.15)
 
-    def test_burst_raises_one_account_alone(self) -> None:
+    def test_burst_raises_the_rate_of_one_account_only(self) -> None:
         trace = generate(make_site("baird"), scenario="burst", seed=1)
         head = trace.head
         assert head.disturbed is not None
@@ -62,11 +64,11 @@
         assert others[1] / others[0] == pytest.approx(1.0, rel=0.3)
 
     @pytest.mark.parametrize("deployment", sorted(WORKLOADS))
-    def test_shares_add_up(self, deployment: str) -> None:
+    def test_shares_sum_to_one(self, deployment: str) -> None:
         workload = WORKLOADS[deployment]
         assert sum(mix.share for mix in workload.mixes) == pytest.approx(1.0)
         assert sum(each.share for each in workload.accounts) == pytest.approx(1.0)
 
-    def test_names_the_known_scenarios(self) -> None:
+    def test_unknown_scenario_error_lists_the_known_ones(self) -> None:
         with pytest.raises(ValueError, match="known: calm"):
             generate(make_site("baird"), scenario="storm", seed=1)
--- a/tests/test_replay_player.py
+++ b/tests/test_replay_player.py
@@ -1,4 +1,4 @@
-"""The player of traces: judges whole answers, and replays faults and changes."""
+"""The player of traces: classification of answers, and injection of faults."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -15,11 +15,11 @@
 
 
 class FakeSystem:
-    """A system of one fake gateway; remembers which faults were done."""
+    """A system with one fake gateway that records the injected faults."""
 
     def __init__(self, gateway: str) -> None:
         self.gateways = (gateway,)
-        self.done: list[str] = []
+        self.injected: list[str] = []
 
     def targets_of(self, service: str) -> list[str]:
         return [f"{service}-1"]
@@ -31,26 +31,26 @@
         return f"{target}-sidecar"
 
     async def set_fault(self, target: str, fault: dict[str, object]) -> None:
-        self.done.append(f"{fault['kind']} {target}")
+        self.injected.append(f"{fault['kind']} {target}")
 
     async def kill(self, name: str) -> None:
-        self.done.append(f"kill {name}")
+        self.injected.append(f"kill {name}")
 
     def freeze(self, name: str) -> None:
-        self.done.append(f"freeze {name}")
+        self.injected.append(f"freeze {name}")
 
     def thaw(self, name: str) -> None:
-        self.done.append(f"thaw {name}")
+        self.injected.append(f"thaw {name}")
 
     async def clear_records(self) -> None:
-        self.done.append("forget")
+        self.injected.append("forget")
 
     async def records(self) -> tuple[list[TargetRun], int]:
         return [], 0
 
 
 async def answer_by_input(request: web.Request) -> web.StreamResponse:
-    """Answer as the first word of the input after its marker asks."""
+    """Answer in the way that the class of work of the request names."""
     text = (await request.read()).decode()
     headers = {"X-Request-Id": request.headers.get("Idempotency-Key", "r")}
     match request.headers["X-Class-Of-Work"]:
@@ -105,9 +105,9 @@
         ),
     )
 
-    def judge(index: int, whole: bytes) -> Verdict:
+    def judge(index: int, content: bytes) -> Verdict:
         body, _ = body_of(trace.requests[index])
-        is_own = whole.split() == body.split()
+        is_own = content.split() == body.split()
         return Verdict.IN_TIME if is_own else Verdict.WRONG
 
     async with fake_gateway() as system:
@@ -117,8 +117,8 @@
 
 
 @pytest.fixture(autouse=True)
-def no_leases_to_wait_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A fake gateway leases nothing, so nothing has to settle."""
+def no_warm_up_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A fake gateway leases nothing, so the warm-up needs no wait."""
     monkeypatch.setattr(player, "PRELUDE_S", 0.0)
 
 
@@ -133,23 +133,25 @@
             ("crossed", Verdict.WRONG),
         ],
     )
-    async def test_judges_an_answer(self, class_of_work: str, verdict: Verdict) -> None:
+    async def test_answer_is_classified(
+        self, class_of_work: str, verdict: Verdict
+    ) -> None:
         replayed = await replay_classes(class_of_work)
         assert [answer.verdict for answer in replayed.answers] == [verdict]
 
-    async def test_a_gateway_that_is_gone_is_no_answer(self) -> None:
+    async def test_unreachable_gateway_gives_no_answer(self) -> None:
         trace = Trace(head=make_head(), requests=(make_request(),))
         system = FakeSystem("http://127.0.0.1:1")
         replayed = await play(
             trace,
             system=system,
-            judge=lambda index, whole: Verdict.IN_TIME,
+            judge=lambda index, content: Verdict.IN_TIME,
             label="x",
             on_answer=lambda _: None,
         )
         assert replayed.answers[0].verdict is Verdict.NO_ANSWER
 
-    async def test_does_each_fault_and_its_repair(self) -> None:
+    async def test_each_fault_is_injected_and_repaired(self) -> None:
         faults = (
             SlowService(at_s=0.0, duration_s=0.02, service="s", factor=5.0),
             KillTarget(at_s=0.0, target="k"),
@@ -160,11 +162,11 @@
         await play(
             trace,
             system=system,
-            judge=lambda index, whole: Verdict.IN_TIME,
+            judge=lambda index, content: Verdict.IN_TIME,
             label="x",
             on_answer=lambda _: None,
         )
-        assert sorted(system.done) == [
+        assert sorted(system.injected) == [
             "freeze f",
             "freeze f-sidecar",
             "heal s-1",
--- a/tests/test_replay_small.py
+++ b/tests/test_replay_small.py
@@ -1,4 +1,4 @@
-"""A tiny trace through real processes; what must always hold, never times."""
+"""A short trace through real processes; checks invariants, never durations."""
 
 from dataclasses import replace
 
@@ -23,19 +23,19 @@
 FOLDER = EXAMPLES / DEPLOYMENT
 
 
-def tiny_trace(*faults: Fault) -> Trace:
+def short_trace(*faults: Fault) -> Trace:
     site = site_of(DEPLOYMENT, time_scale=TIME_SCALE, folder=FOLDER)
-    whole = generate(site, scenario="calm", seed=1)
-    squeeze = DURATION_S / whole.requests[N_REQUESTS - 1].at_s
+    trace = generate(site, scenario="calm", seed=1)
+    time_factor = DURATION_S / trace.requests[N_REQUESTS - 1].at_s
     requests = tuple(
-        replace(request, at_s=request.at_s * squeeze)
-        for request in whole.requests[:N_REQUESTS]
+        replace(request, at_s=request.at_s * time_factor)
+        for request in trace.requests[:N_REQUESTS]
     )
-    head = replace(whole.head, duration_s=DURATION_S, faults=faults)
+    head = replace(trace.head, duration_s=DURATION_S, faults=faults)
     return Trace(head=head, requests=requests)
 
 
-async def played(trace: Trace) -> AuditedReplay:
+async def replay_audited(trace: Trace) -> AuditedReplay:
     described = load_deployment(FOLDER)
     setup = RoundSetup(
         site=site_of(DEPLOYMENT, time_scale=TIME_SCALE, folder=FOLDER),
@@ -47,21 +47,21 @@
     return await play_under(trace, "product", PolicySettings(), setup)
 
 
-class TestTinyTrace:
-    async def test_nothing_is_lost_doubled_or_crossed(
+class TestShortTrace:
+    async def test_faults_cause_no_invariant_violations(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """One of two engines dies and the other stands still for a moment, with
-        its sidecar. Callers see late, failed and refused answers; none is another
-        request's, none is called not run that ran, nothing runs twice that must
-        run once.
+        """One of two engines is killed and the other is suspended for 0.4 s together
+        with its sidecar. Callers receive late, failed and refused answers. No answer
+        may belong to another request, no request that ran may be reported as not
+        run, and no stage that must run once may run twice.
         """
         monkeypatch.setattr(player, "PRELUDE_S", 0.1)
-        trace = tiny_trace(
+        trace = short_trace(
             FreezeTarget(at_s=0.5, duration_s=0.4, target="draft-2"),
             KillTarget(at_s=1.2, target="draft-1"),
         )
-        result = await played(trace)
+        result = await replay_audited(trace)
         assert result.violations == ()
         assert len(result.replayed.answers) == N_REQUESTS
         assert result.replayed.runs
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,9 @@
 """Build ``dist/trefoilpaddle``, one file that runs as one process.
 
-A folder build of PyInstaller is packed behind a shell header. The header
-unpacks it once per version and user into memory-backed temporary space, then
-replaces itself by the program, so the process id stays and nothing else runs.
-docs/design/binary.md tells which other ways were weighed.
+A folder build of PyInstaller is appended to a shell header. The header unpacks it
+once per version and user into memory-backed temporary space, then executes the
+program in its own process, which keeps the process id and starts no other process.
+docs/design/binary.md compares the alternatives.
 """
 
 import gzip
@@ -21,7 +21,7 @@
 OUT: Final = ROOT / "dist" / "trefoilpaddle"
 HEADER: Final = ROOT / "tools" / "binary_header.sh"
 
-# Measuring tools and their libraries run from a checkout, not on hosts.
+# Measurement tools and their libraries run from a checkout, not on hosts.
 EXCLUDED: Final = (
     "hdrh",
     "hypothesis",
@@ -35,14 +35,14 @@
     "trefoilpaddle.replay",
     "trefoilpaddle.standins",
 )
-# Imported by name from thrift's C code, where PyInstaller does not see it;
-# without it every frame that holds a nested struct is refused as garbled.
+# Thrift's C code imports it by name, which PyInstaller does not detect. Without it
+# each frame with a nested struct is rejected as malformed.
 HIDDEN: Final = ("thrift.protocol.TBase",)
 GZIP_LEVEL: Final = 6
 
 
 def build_folder() -> Path:
-    """Return the folder with the program and all that it loads."""
+    """Build and return the folder with the program and its dependencies."""
     options = ["--onedir", "--noconfirm", "--name", "trefoilpaddle"]
     options += ["--distpath", str(BUILD / "dist"), "--workpath", str(BUILD / "work")]
     options += ["--specpath", str(BUILD), "--paths", str(ROOT / "src")]
@@ -56,16 +56,21 @@
     return BUILD / "dist" / "trefoilpaddle"
 
 
-def packed(folder: Path) -> bytes:
-    """Return the folder as a compressed archive, the same for the same files."""
-    plain = io.BytesIO()
-    with tarfile.open(fileobj=plain, mode="w") as archive:
+def pack(folder: Path) -> bytes:
+    """Return the folder as a reproducible compressed archive."""
+    uncompressed = io.BytesIO()
+    with tarfile.open(fileobj=uncompressed, mode="w") as archive:
         for path in sorted(folder.rglob("*")):
-            archive.add(path, path.relative_to(folder), recursive=False, filter=_bare)
-    return gzip.compress(plain.getvalue(), GZIP_LEVEL, mtime=0)
+            archive.add(
+                path,
+                path.relative_to(folder),
+                recursive=False,
+                filter=_without_metadata,
+            )
+    return gzip.compress(uncompressed.getvalue(), GZIP_LEVEL, mtime=0)
 
 
-def _bare(entry: tarfile.TarInfo) -> tarfile.TarInfo:
+def _without_metadata(entry: tarfile.TarInfo) -> tarfile.TarInfo:
     entry.mtime = 0
     entry.uid = entry.gid = 0
     entry.uname = entry.gname = ""
@@ -74,7 +79,7 @@
 
 def main() -> None:
     shutil.rmtree(BUILD, ignore_errors=True)
-    payload = packed(build_folder())
+    payload = pack(build_folder())
     digest = hashlib.sha256(payload).hexdigest()[:16]
     header = HEADER.read_text().replace("@DIGEST@", digest)
     header = header.replace("@N_LINES@", str(header.count("\n") + 1))
--- a/tools/compare_plays.py
+++ b/tools/compare_plays.py
@@ -1,8 +1,9 @@
-"""Compare two sets of plays of the same days and seeds, from journal entries.
+"""Compare two sets of simulation runs with the same days and seeds.
 
-``python -m tools.compare_plays SITE BEFORE AFTER``: plays whose reason begins with
-BEFORE against those whose reason begins with AFTER, in pairs of a day and a seed.
-Without AFTER, the mean of one set and how far its plays lie from one another.
+The runs are read from journal entries. ``python -m tools.compare_plays SITE BEFORE
+AFTER`` compares the runs whose reason begins with BEFORE with those whose reason
+begins with AFTER, in pairs of the same day and seed. Without AFTER, it prints the
+mean and the spread of the runs of one set.
 """
 
 import statistics
@@ -19,37 +20,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Play:
-    """One played day.
+    """One simulated day.
 
     Parameters
     ----------
-    worth : float
-        What it was worth, prices taken off.
+    value : float
+        Value of the day after deduction of prices.
     served : float
-        Share of the credit that was earned.
+        Share of the possible credit that was earned.
     """
 
     day: str
     seed: int
-    worth: float
+    value: float
     served: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pair:
-    """The same day and seed, played by two programs."""
+    """Runs of the same day and seed from the two sets."""
 
     before: Play
     after: Play
 
     @property
     def gain(self) -> float:
-        """How much more the second is worth."""
-        return self.after.worth - self.before.worth
+        """Value of the second run minus that of the first."""
+        return self.after.value - self.before.value
 
 
 def plays(journal: Path, site: str, reason: str) -> Iterator[Play]:
-    """Yield the plays of a site whose reason begins so, oldest first."""
+    """Yield the runs of a site whose reason begins with `reason`, oldest first."""
     for path in sorted(journal.glob("*.json")):
         entry = orjson.loads(path.read_bytes())
         if entry.get("site") != site or not entry.get("why", "").startswith(reason):
@@ -58,13 +59,13 @@
             yield Play(
                 day=day["name"],
                 seed=day["seed"],
-                worth=day["G"],
+                value=day["G"],
                 served=day["served"],
             )
 
 
 def pairs(before: Iterator[Play], after: Iterator[Play]) -> list[Pair]:
-    """Return the plays that both sets have; the newest of each counts."""
+    """Return pairs of runs in both sets; the newest run of a day and seed counts."""
     first = {(play.day, play.seed): play for play in before}
     second = {(play.day, play.seed): play for play in after}
     both = sorted(first.keys() & second.keys())
@@ -72,15 +73,15 @@
 
 
 def line(name: str, chosen: list[Pair]) -> str:
-    """Return one line of the table."""
+    """Return the line of the table for the pairs in `chosen`."""
     gains = [pair.gain for pair in chosen]
     spread = statistics.stdev(gains) if len(gains) > 1 else 0.0
     before = [pair.before for pair in chosen]
     after = [pair.after for pair in chosen]
     return (
         f"{name:12} {len(chosen):3}"
-        f" {statistics.mean(p.worth for p in before):7.3f}"
-        f" {statistics.mean(p.worth for p in after):7.3f}"
+        f" {statistics.mean(p.value for p in before):7.3f}"
+        f" {statistics.mean(p.value for p in after):7.3f}"
         f" {statistics.mean(gains):+7.3f} {spread / len(gains) ** 0.5:6.3f}"
         f" {statistics.mean(p.served for p in before):7.3f}"
         f" {statistics.mean(p.served for p in after):7.3f}"
@@ -88,7 +89,7 @@
 
 
 def table(chosen: list[Pair]) -> list[str]:
-    """Return the lines for each day, and for all together."""
+    """Return the header, a line for each day and one for all days."""
     by_day: dict[str, list[Pair]] = defaultdict(list)
     for pair in chosen:
         by_day[pair.before.day].append(pair)
@@ -98,25 +99,25 @@
 
 
 def spread_table(chosen: list[Play]) -> list[str]:
-    """Return the mean and the spread of each day's plays, and of all together."""
+    """Return mean and spread of the runs of each day and of all days, with a header."""
     by_day: dict[str, list[float]] = defaultdict(list)
     for play in chosen:
-        by_day[play.day].append(play.worth)
-        by_day["all"].append(play.worth)
+        by_day[play.day].append(play.value)
+        by_day["all"].append(play.value)
     days = sorted(by_day, key=lambda day: (day == "all", day))
     lines = ["day            n    mean  spread   least    most"]
     for day in days:
-        worths = by_day[day]
-        spread = statistics.stdev(worths) if len(worths) > 1 else 0.0
+        values = by_day[day]
+        spread = statistics.stdev(values) if len(values) > 1 else 0.0
         lines.append(
-            f"{day:12} {len(worths):3} {statistics.mean(worths):7.3f}"
-            f" {spread:7.3f} {min(worths):7.3f} {max(worths):7.3f}"
+            f"{day:12} {len(values):3} {statistics.mean(values):7.3f}"
+            f" {spread:7.3f} {min(values):7.3f} {max(values):7.3f}"
         )
     return lines
 
 
 def main(site: str, before: str, after: str = "", journal: str = str(JOURNAL)) -> None:
-    """Print how two sets of plays differ, or how one set is spread."""
+    """Print the difference of two sets of runs, or the spread of one set."""
     folder = Path(journal)
     if not after:
         print("\n".join(spread_table(list(plays(folder, site, before)))))
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,6 +1,7 @@
-"""Make the thrift code under ``protocol/gen`` and its typed stubs from ``idl``.
+"""Generate the thrift code in ``protocol/gen`` and its typed stubs from ``idl``.
 
-Needs the thrift compiler; the result is committed, so a build does not run this.
+Requires the thrift compiler. The result is committed, so a build does not need this
+script.
 """
 
 import importlib
@@ -28,10 +29,10 @@
         idl = ROOT / "idl" / f"{area}.thrift"
         command = ["thrift", "--gen", "py:slots", "-o", scratch, str(idl)]
         subprocess.run(command, check=True)
-        made = Path(scratch, "gen-py", "trefoilpaddle", "protocol", "gen", area)
+        generated = Path(scratch, "gen-py", "trefoilpaddle", "protocol", "gen", area)
         target = GEN / area
         target.mkdir(parents=True, exist_ok=True)
-        shutil.copy(made / "ttypes.py", target / "ttypes.py")
+        shutil.copy(generated / "ttypes.py", target / "ttypes.py")
         (target / "__init__.py").write_text("")
 
 
@@ -49,10 +50,10 @@
 
 
 def field_type(spec: Any) -> str:
-    """Return the type of a field; a list without a default may not be set."""
-    kind = type_name(spec[1], spec[3])
+    """Return the type of a field; a list without a default may be None."""
+    annotation = type_name(spec[1], spec[3])
     is_unset = spec[1] == TType.LIST and spec[4] is None
-    return f"{kind} | None" if is_unset else kind
+    return f"{annotation} | None" if is_unset else annotation
 
 
 def stub(area: str) -> str:
@@ -72,8 +73,10 @@
             continue
         fields = [spec for spec in cls.thrift_spec if spec]
         typed = [(spec[2], field_type(spec)) for spec in fields]
-        lines += [f"    {field}: {kind}" for field, kind in typed]
-        arguments = ", ".join(f"{field}: {kind} = ..." for field, kind in typed)
+        lines += [f"    {field}: {annotation}" for field, annotation in typed]
+        arguments = ", ".join(
+            f"{field}: {annotation} = ..." for field, annotation in typed
+        )
         star = "*, " if arguments else ""
         lines.append(f"    def __init__(self, {star}{arguments}) -> None: ...")
     return "\n".join(lines) + "\n"
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,6 +1,6 @@
-"""Pytest plugin: tests listed in KNOWN-RED.txt run, but do not fail the run.
+"""Pytest plugin: failures of tests listed in KNOWN-RED.txt do not fail the run.
 
-A line reads ``TEST | CAUSE | ISSUE``; lines that begin with ``#`` are comments.
+A line has the form ``TEST | CAUSE | ISSUE``; lines that begin with ``#`` are comments.
 """
 
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KnownRed:
-    """A test that fails for a real fault which is not mended yet."""
+    """A test that fails because of a known fault that is not fixed yet."""
 
     node_id: str
     cause: str
@@ -24,7 +24,13 @@
 
 
 def read(path: Path) -> Iterator[KnownRed]:
-    """Yield the listed tests; complain about a line that lacks a part."""
+    """Yield the listed tests.
+
+    Raises
+    ------
+    pytest.UsageError
+        If a line lacks one of its parts.
+    """
     if not path.exists():
         return
     for line in path.read_text().splitlines():
@@ -42,18 +48,18 @@
     path = config.rootpath / FILE_NAME
     listed = list(read(path))
     if len(listed) > MAX_LISTED:
-        raise pytest.UsageError(f"{path} lists over {MAX_LISTED} tests; mend some")
+        raise pytest.UsageError(f"{path} lists over {MAX_LISTED} tests; fix some")
     by_id = {item.nodeid: item for item in items}
     for known in listed:
         item = by_id.get(known.node_id)
         if item is None:
-            if _is_whole_run(config):
+            if _is_full_run(config):
                 raise pytest.UsageError(f"{path}: no test {known.node_id}; take it out")
             continue
         item.add_marker(pytest.mark.xfail(reason=known.cause, strict=False))
 
 
-def _is_whole_run(config: pytest.Config) -> bool:
+def _is_full_run(config: pytest.Config) -> bool:
     return config.args == config.getini("testpaths") and not config.option.keyword
 
 
--- a/tools/measure_codec.py
+++ b/tools/measure_codec.py
@@ -1,4 +1,4 @@
-"""Print what writing and reading one start frame costs.
+"""Print the time to encode and decode one start frame.
 
 Run it with ``python -m tools.measure_codec``.
 """
@@ -9,7 +9,7 @@
 from trefoilpaddle.protocol.gen.stage.ttypes import Start
 
 N_ROUNDS = 20_000
-N_TRIES = 5
+N_REPEATS = 5
 MICROSECONDS = 1_000_000
 
 
@@ -27,9 +27,13 @@
         body=b"x" * 100,
     )
     frame = encode(start)
-    rest = frame[LENGTH_BYTES:]
-    written = min(timeit.repeat(lambda: encode(start), number=N_ROUNDS, repeat=N_TRIES))
-    read = min(timeit.repeat(lambda: decode(rest), number=N_ROUNDS, repeat=N_TRIES))
+    payload = frame[LENGTH_BYTES:]
+    written = min(
+        timeit.repeat(lambda: encode(start), number=N_ROUNDS, repeat=N_REPEATS)
+    )
+    read = min(
+        timeit.repeat(lambda: decode(payload), number=N_ROUNDS, repeat=N_REPEATS)
+    )
     print(f"write {MICROSECONDS * written / N_ROUNDS:.1f} us")
     print(f"read {MICROSECONDS * read / N_ROUNDS:.1f} us, {len(frame)} bytes")
 
--- a/tools/measure_journal.py
+++ b/tools/measure_journal.py
@@ -1,6 +1,7 @@
-"""Print what one decision costs: record, index, line and write to /dev/null.
+"""Print the cost of one decision: record, index, log line, write to /dev/null.
 
-Run as ``python tools/measure_journal.py >/dev/null``; figures go to stderr.
+Run it with ``python tools/measure_journal.py >/dev/null``; it prints the figures to
+standard error.
 """
 
 import asyncio
@@ -16,16 +17,16 @@
 
 
 async def measure(settings: LogSettings) -> float:
-    """Return the microseconds that one decision takes."""
+    """Return the time of one decision in microseconds."""
     logs.set_up(
         format=settings.format, verbosity=settings.verbosity, process_id="h1-gateway"
     )
     journal = Journal(process_id="h1-gateway", n_records=20_000)
     begin_s = time.perf_counter()
-    for number in range(N_DECISIONS):
+    for index in range(N_DECISIONS):
         decision = Decision(
             event=Event.ROUTED,
-            request_id=f"h1-gateway.1f.{number // 8:x}",
+            request_id=f"h1-gateway.1f.{index // 8:x}",
             entry="drafting",
             owner="bank-a",
             config_revision=7,
--- a/tools/measure_limits.py
+++ b/tools/measure_limits.py
@@ -1,8 +1,8 @@
-"""Measure limits: cost of admission on the path, and messages for control.
+"""Measure limits: the cost of admission on the path, and the control messages.
 
 Usage: python tools/measure_limits.py [--n_gateways 2] [--n_entries 10] [--seconds 10]
-Gateways and homes run in this process; each question and answer is encoded, so
-that bytes count, and handed over directly.
+Gateways and homes run in this process. Each request and reply is encoded to count
+its bytes, and passed on directly.
 """
 
 import asyncio
@@ -32,8 +32,8 @@
 SEED = 7
 
 
-class Direct:
-    """Asks homes in this process and counts what a wire would carry."""
+class InProcessClient:
+    """Sends requests to homes in this process and counts messages and bytes."""
 
     def __init__(self) -> None:
         self.homes: dict[str, LeaseHome] = {}
@@ -82,27 +82,27 @@
     return Catalogue(revision=1, entries={f"e{i}": entry for i in range(n_entries)})
 
 
-class Bench:
+class LimitsBenchmark:
     def __init__(self, n_gateways: int, n_sidecars: int, n_entries: int) -> None:
-        self.direct = Direct()
-        self.listed = hosts(n_gateways, n_sidecars)
+        self.client = InProcessClient()
+        self.host_list = hosts(n_gateways, n_sidecars)
         self.catalogue = catalogue(n_entries)
         self.limiters: list[Limiter] = []
         self.n_refused = 0
         self._random = random.Random(SEED)
         self.admissions_s: list[float] = []
-        for host in self.listed.hosts:
+        for host in self.host_list.hosts:
             self.start(host)
 
     def start(self, host: Host) -> None:
         published = Published()
-        published.set_hosts(self.listed)
+        published.set_hosts(self.host_list)
         published.set_catalogue(self.catalogue)
         journal = Journal(
             process_id=host.process_id, n_records=1000, format=LogFormat.KEY_VALUE
         )
         if host.role == "sidecar":
-            self.direct.homes[host.peer_address] = LeaseHome(
+            self.client.homes[host.peer_address] = LeaseHome(
                 process_id=host.process_id,
                 incarnation=1,
                 published=published,
@@ -114,7 +114,7 @@
                 gateway=host.process_id,
                 incarnation=1,
                 published=published,
-                asker=self.direct,
+                asker=self.client,
                 journal=journal,
             )
         )
@@ -143,58 +143,60 @@
 async def measure(
     n_gateways: int, n_sidecars: int, n_entries: int, rate_per_s: float, seconds: float
 ) -> None:
-    bench = Bench(n_gateways, n_sidecars, n_entries)
+    benchmark = LimitsBenchmark(n_gateways, n_sidecars, n_entries)
     async with contextlib.AsyncExitStack() as stack:
-        for limiter in bench.limiters:
+        for limiter in benchmark.limiters:
             await stack.enter_async_context(limiter.running())
         await asyncio.sleep(2.0)
         async with asyncio.TaskGroup() as group:
             tasks = [
-                group.create_task(bench.load(limiter, name, rate_per_s / n_gateways))
-                for limiter in bench.limiters
-                for name in bench.catalogue.entries
+                group.create_task(
+                    benchmark.load(limiter, name, rate_per_s / n_gateways)
+                )
+                for limiter in benchmark.limiters
+                for name in benchmark.catalogue.entries
             ]
             await asyncio.sleep(1.0)
-            await watch(bench, seconds)
+            await report_load(benchmark, seconds)
             for task in tasks:
                 task.cancel()
-        cost(bench)
+        report_cost(benchmark)
 
 
-async def watch(bench: Bench, seconds: float) -> None:
-    """Print what happens in the next seconds."""
-    bench.admissions_s.clear()
-    bench.n_refused = 0
-    n_messages, n_bytes = bench.direct.n_messages, bench.direct.n_bytes
+async def report_load(benchmark: LimitsBenchmark, seconds: float) -> None:
+    """Print the figures of the next `seconds` seconds."""
+    benchmark.admissions_s.clear()
+    benchmark.n_refused = 0
+    n_messages, n_bytes = benchmark.client.n_messages, benchmark.client.n_bytes
     cpu_s = time.process_time()
     await asyncio.sleep(seconds)
     cpu_s = time.process_time() - cpu_s
-    per_s = (bench.direct.n_messages - n_messages) / seconds
-    bytes_per_s = (bench.direct.n_bytes - n_bytes) / seconds
-    admissions = bench.admissions_s
-    waited = sum(took_s > 1e-3 for took_s in admissions)
-    n_gateways, n_entries = len(bench.limiters), len(bench.catalogue.entries)
-    n_homes = len(bench.direct.homes)
+    per_s = (benchmark.client.n_messages - n_messages) / seconds
+    bytes_per_s = (benchmark.client.n_bytes - n_bytes) / seconds
+    admissions = benchmark.admissions_s
+    n_waited = sum(took_s > 1e-3 for took_s in admissions)
+    n_gateways, n_entries = len(benchmark.limiters), len(benchmark.catalogue.entries)
+    n_homes = len(benchmark.client.homes)
     print(f"{n_gateways} gateways, {n_homes} homes, {n_entries} entries")
     print(f"  admissions a second       {len(admissions) / seconds:10.1f}")
-    print(f"  refused                   {bench.n_refused:10d}")
+    print(f"  refused                   {benchmark.n_refused:10d}")
     print(f"  p50 of admit, us          {1e6 * quantile(admissions, 0.5):10.1f}")
     print(f"  p99 of admit, us          {1e6 * quantile(admissions, 0.99):10.1f}")
-    print(f"  waited over 1 ms          {waited:10d}")
+    print(f"  waited over 1 ms          {n_waited:10d}")
     print(f"  messages a second         {per_s:10.1f}")
     print(f"  per entry and gateway     {per_s / n_entries / n_gateways:10.2f}")
     print(f"  bytes/s for each gateway  {bytes_per_s / n_gateways:10.0f}")
     print(f"  CPU of all, load included {cpu_s / seconds:10.3f}")
 
 
-def cost(bench: Bench) -> None:
-    """Print the processor time of admit and release with budget in hand."""
-    limiter = bench.limiters[0]
-    entry = bench.catalogue.entries["e0"]
+def report_cost(benchmark: LimitsBenchmark) -> None:
+    """Print the processor time of admit and release with leased budget available."""
+    limiter = benchmark.limiters[0]
+    entry = benchmark.catalogue.entries["e0"]
     n_done, n = 0, 20_000
-    hands = limiter._allowances_of("e0", entry)
-    hands._rate.return_unused(2.0 * n)
-    hands._tokens.return_unused(2.0 * n)
+    allowances = limiter._allowances_of("e0", entry)
+    allowances._rate.return_unused(2.0 * n)
+    allowances._tokens.return_unused(2.0 * n)
     begin_s = time.process_time()
     for _ in range(n):
         admission = limiter.admit("e0", entry, 0)
--- a/tools/measure_queue.py
+++ b/tools/measure_queue.py
@@ -1,9 +1,10 @@
-"""Measure the queue's policy beside first come first served, on one target.
+"""Compare the queue's policy with first in, first out, on one target.
 
-``PYTHONPATH=src python -m tools.measure_queue``: prints, for overload and a
-burst, the calls met as a share of those that fit and the wasted share of the
-target's time, as medians over the seeds. It runs the bench of the tests, on a
-clock of its own, so a run gives the same figures everywhere.
+``PYTHONPATH=src python -m tools.measure_queue`` prints, for overload, the calls met
+in time as a share of those that fit and the wasted share of the target's time, and
+for a burst the attainment of each owner, as medians over the seeds. It runs the
+simulation of the tests, whose clock is simulated, so the figures do not depend on
+the machine.
 """
 
 import statistics
@@ -24,7 +25,7 @@
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the tables for overload and for a burst."""
     console = Console(width=100)
     console.print(_overload())
     console.print(_burst())
@@ -58,10 +59,10 @@
     met: dict[bool, list[float]] = {False: [], True: []}
     wasted: dict[bool, list[float]] = {False: [], True: []}
     for seed in SEEDS:
-        most = max_calls_that_fit(sources, seed=seed, span_s=SPAN_S)
+        n_fit = max_calls_that_fit(sources, seed=seed, span_s=SPAN_S)
         for is_product in (False, True):
             simulation = _run(sources, seed, is_product=is_product)
-            met[is_product].append(simulation.n_met / most)
+            met[is_product].append(simulation.n_met / n_fit)
             wasted[is_product].append(simulation.wasted_share)
     figures = [met[False], met[True], wasted[False], wasted[True]]
     medians = [f"{statistics.median(each):.3f}" for each in figures]
--- a/tools/measure_sidecar.py
+++ b/tools/measure_sidecar.py
@@ -1,9 +1,8 @@
-"""Measure what a sidecar adds to a call: processor time, rate and latency.
+"""Measure the cost of a sidecar: processor time, call rate and latency.
 
-``python tools/measure_sidecar.py [--n_calls N] [--profile FILE]``: starts a
-bare target, and a sidecar before it, as processes of their own on loopback,
-sends calls to both and prints the difference. ``--profile`` writes a cProfile
-of the sidecar.
+``python tools/measure_sidecar.py run [--n_calls N] [--profile FILE]`` starts a
+minimal target and its sidecar as separate processes on loopback, sends calls to
+both and prints the figures. ``--profile`` writes a cProfile of the sidecar.
 """
 
 import asyncio
@@ -43,17 +42,17 @@
 BODY: Final = b'{"input": "' + b"x" * 200 + b'"}'
 ANSWER: Final = b'{"result": "' + b"y" * 200 + b'"}'
 NS_PER_S: Final = 1_000_000_000
-WAIT_S: Final = 10.0
-N_AT_ONCE: Final = 32
-N_MORE: Final = 4
-"""Further rounds in which only memory is watched."""
+TIMEOUT_S: Final = 10.0
+N_CONCURRENT: Final = 32
+N_MEMORY_ROUNDS: Final = 4
+"""Further rounds in which only the resident memory is measured."""
 
 
 class Tool:
-    """Roles of the processes of one measurement; `run` is the whole."""
+    """Commands of the tool: `run` measures; the others run as its child processes."""
 
     def target(self, port: int) -> None:
-        """Serve a target that answers at once."""
+        """Serve a target that answers immediately."""
         uvloop.run(_serve_target(port))
 
     def sidecar(self, listen: int, target: int, lock: int, profile: str = "") -> None:
@@ -67,7 +66,7 @@
             profiler.dump_stats(profile)
 
     def run(self, n_calls: int = 20_000, profile: str = "") -> None:
-        """Measure and print."""
+        """Measure the sidecar and print the figures."""
         ports = _free_ports(3)
         program = [sys.executable, str(Path(__file__))]
         target = subprocess.Popen([*program, "target", f"--port={ports[0]}"])
@@ -87,9 +86,9 @@
         finally:
             assert sidecar.stdin is not None
             sidecar.stdin.close()
-            sidecar.wait(WAIT_S)
+            sidecar.wait(TIMEOUT_S)
             target.terminate()
-            target.wait(WAIT_S)
+            target.wait(TIMEOUT_S)
 
 
 def _free_ports(n: int) -> list[int]:
@@ -150,22 +149,22 @@
     gateway = await _connect(ports[1])
     reading = asyncio.create_task(gateway.read())
     try:
-        alone_s = [await gateway.call() for _ in range(1000)]
+        sequential_s = [await gateway.call() for _ in range(1000)]
         process = psutil.Process(sidecar_pid)
         used_s, rate = await _rate(gateway, process, n_calls)
         resident_mb = [_resident_mb(process)]
-        for _ in range(N_MORE):
+        for _ in range(N_MEMORY_ROUNDS):
             await _rate(gateway, process, n_calls)
             resident_mb.append(_resident_mb(process))
     finally:
         reading.cancel()
     print(f"direct, one at a time:   median {_ms(direct_s)} ms")
-    print(f"sidecar, one at a time:  median {_ms(alone_s)} ms")
-    print(f"{n_calls} calls, {N_AT_ONCE} at once: {rate:.0f} calls/s")
+    print(f"sidecar, one at a time:  median {_ms(sequential_s)} ms")
+    print(f"{n_calls} calls, {N_CONCURRENT} at once: {rate:.0f} calls/s")
     print(f"processor time of the sidecar: {1e6 * used_s / n_calls:.0f} us a call")
     print(f"calls a second per core: {n_calls / used_s:.0f}")
-    shown = ", ".join(f"{each:.0f}" for each in resident_mb)
-    print(f"resident memory after each {n_calls} calls: {shown} MB")
+    readings = ", ".join(f"{each:.0f}" for each in resident_mb)
+    print(f"resident memory after each {n_calls} calls: {readings} MB")
 
 
 def _resident_mb(process: psutil.Process) -> float:
@@ -179,7 +178,7 @@
 
 async def _direct(session: aiohttp.ClientSession, url: str) -> list[float]:
     samples_s = []
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             try:
                 async with session.post(url, data=BODY) as response:
@@ -198,15 +197,15 @@
 async def _rate(
     gateway: "GatewaySide", process: psutil.Process, n_calls: int
 ) -> tuple[float, float]:
-    numbers = itertools.count()
+    call_indices = itertools.count()
 
     async def work() -> None:
-        while next(numbers) < n_calls:
+        while next(call_indices) < n_calls:
             await gateway.call()
 
     before = process.cpu_times()
     begin_s = time.perf_counter()
-    await asyncio.gather(*(work() for _ in range(N_AT_ONCE)))
+    await asyncio.gather(*(work() for _ in range(N_CONCURRENT)))
     span_s = time.perf_counter() - begin_s
     after = process.cpu_times()
     used_s = after.user - before.user + after.system - before.system
@@ -214,7 +213,7 @@
 
 
 async def _connect(port: int) -> "GatewaySide":
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -229,29 +228,29 @@
 
 
 class GatewaySide:
-    """Makes calls over one connection, as a gateway does."""
+    """Sends calls over one connection, like a gateway."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
-        self._ends: dict[bytes, asyncio.Future[None]] = {}
+        self._outcomes: dict[bytes, asyncio.Future[None]] = {}
 
     async def read(self) -> None:
-        """Match ends to calls."""
+        """Acknowledge received outcomes and complete their calls."""
         async for frame in self._connection.frames():
             match frame.message:
                 case End(attempt_id=attempt_id):
                     self._connection.write(Ack(attempt_id=attempt_id))
-                    self._ends.pop(attempt_id).set_result(None)
+                    self._outcomes.pop(attempt_id).set_result(None)
                 case Failure() as failure:
                     raise RuntimeError(failure)
 
     async def call(self) -> float:
-        """Make one call and return its seconds."""
+        """Make one call and return its duration in seconds."""
         peer = self._connection.peer
         begin_s = time.perf_counter()
         attempt_id = new_attempt_id()
-        end = asyncio.get_running_loop().create_future()
-        self._ends[attempt_id] = end
+        outcome = asyncio.get_running_loop().create_future()
+        self._outcomes[attempt_id] = outcome
         self._connection.write(
             Start(
                 attempt_id=attempt_id,
@@ -271,7 +270,7 @@
                 incarnation=peer.incarnation,
             )
         )
-        await end
+        await outcome
         return time.perf_counter() - begin_s
 
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Reference pages made from the code: settings, catalogue, events, metrics."""
+"""Generates the reference pages: settings, catalogue, events and metrics."""
 
 import ast
 import dataclasses
@@ -18,13 +18,13 @@
 from trefoilpaddle.state.reason_words import REASON_CLAUSES
 
 ROOT: Final = Path(__file__).resolve().parent.parent
-MADE: Final = "<!-- Made by `make docs` from the code; change it there. -->"
+GENERATED_NOTICE: Final = "<!-- Made by `make docs` from the code; change it there. -->"
 
 PARAMETER: Final = re.compile(r"^(\w+(?:, \w+)*) : .*$")
 
 
 def parameters(cls: type) -> dict[str, str]:
-    """Return what the class's docstring says of each field."""
+    """Return the description of each field in the docstring of a class."""
     doc = inspect.getdoc(cls) or ""
     found: dict[str, str] = {}
     names: list[str] = []
@@ -42,13 +42,13 @@
 
 
 def summary(cls: type) -> str:
-    """Return the docstring's text before its sections."""
+    """Return the text of a docstring that precedes its sections."""
     doc = inspect.getdoc(cls) or ""
     return doc.partition("\nParameters\n")[0].strip()
 
 
 def type_text(annotation: Any) -> str:
-    """Return a field's type as a reader of TOML or JSON names it."""
+    """Return the type of a field in terms of TOML and JSON."""
     if get_origin(annotation) is Annotated:
         return type_text(get_args(annotation)[0])
     if isinstance(annotation, type):
@@ -67,7 +67,7 @@
 
 
 def default_text(field: dataclasses.Field[Any]) -> str:
-    """Return a field's default as TOML writes it, or that there is none."""
+    """Return the default of a field in TOML notation, or a word if it has none."""
     default = getattr(field.default, "default", field.default)
     if default is dataclasses.MISSING or repr(default) == "PydanticUndefined":
         return "required"
@@ -86,21 +86,21 @@
     Raises
     ------
     ValueError
-        If its docstring leaves a field out.
+        If its docstring omits a field.
     """
-    told = parameters(cls)
+    documented = parameters(cls)
     yield "| key | type | default | meaning |"
     yield "| --- | --- | --- | --- |"
     for field in dataclasses.fields(cls):
-        if not told.get(field.name):
+        if not documented.get(field.name):
             raise ValueError(f"{cls.__name__}.{field.name} is not documented")
         kind = type_text(field.type).replace("|", "\\|")
-        meaning = told[field.name].replace("``", "`")
+        meaning = documented[field.name].replace("``", "`")
         yield f"| `{field.name}` | {kind} | {default_text(field)} | {meaning} |"
 
 
 def settings_page() -> str:
-    lines = ["# Settings", "", MADE, ""]
+    lines = ["# Settings", "", GENERATED_NOTICE, ""]
     lines += [
         "A settings file is TOML, read once at the start and checked whole before",
         "anything opens. `trefoilpaddle check FILE` tells every fault in advance.",
@@ -124,7 +124,7 @@
 
 
 def catalogue_page() -> str:
-    lines = ["# Catalogue", "", MADE, ""]
+    lines = ["# Catalogue", "", GENERATED_NOTICE, ""]
     lines += [
         "Operators publish values under keys `KIND/NAME` at the platform's",
         "configuration service. `trefoilpaddle check FOLDER` reads them from files",
@@ -161,7 +161,7 @@
 
 def events_page() -> str:
     docs = member_docs(Event)
-    lines = ["# Events", "", MADE, ""]
+    lines = ["# Events", "", GENERATED_NOTICE, ""]
     lines += [
         "Each routing or placement decision is one line of the log on standard",
         "output: `time`, `level`, `process`, then `event` (the number), `name`, and",
@@ -190,7 +190,7 @@
 
 
 def metrics_page(registry: CollectorRegistry) -> str:
-    lines = ["# Metrics", "", MADE, ""]
+    lines = ["# Metrics", "", GENERATED_NOTICE, ""]
     lines += [
         "`GET /metrics` at `[process] operators_listen`. Labels are bounded: past",
         "200 owners, entries or stages the rest counts as `other`.",
--- a/tools/write_reference.py
+++ b/tools/write_reference.py
@@ -1,4 +1,4 @@
-"""Write the reference pages, or with ``--check`` tell which are out of date."""
+"""Write the reference pages, or with ``--check`` list those that are out of date."""
 
 import asyncio
 import sys
@@ -21,7 +21,7 @@
 
 
 async def _registry() -> CollectorRegistry:
-    """Return the metrics of a process that is not running."""
+    """Return the metrics registry of a process that is not started."""
     identity = Identity(
         process_id="h1-sidecar",
         incarnation=1,
@@ -38,7 +38,7 @@
 
 
 def pages() -> Iterator[tuple[Path, str]]:
-    """Yield each page's path and what it should hold."""
+    """Yield the path of each page and its generated content."""
     docs = ROOT / "docs"
     yield docs / "reference" / "settings.md", settings_page()
     yield docs / "reference" / "catalogue.md", catalogue_page()
