--- a/src/trefoilpaddle/replay/cache_rule.py
+++ b/src/trefoilpaddle/replay/cache_rule.py
@@ -100,7 +100,7 @@
     Parameters
     ----------
     capacity : float
-        Room of the cache.
+        Capacity of the cache, in the unit of the items' sizes.
     half_life_s : float
         Time after which a use counts half.
     """
--- a/src/trefoilpaddle/replay/path_cost.py
+++ b/src/trefoilpaddle/replay/path_cost.py
@@ -203,7 +203,7 @@
 def _growth_mb(usages: list[Usage]) -> tuple[float, float]:
     """Return the memory growth of both processes in the second half of the load.
 
-    The first half fills the stores of bounded size: records for ``explain``,
+    The first half fills what is retained by design: records for ``explain``,
     outcomes and estimates.
     """
     half, end = usages[len(usages) // 2], usages[-1]
--- a/src/trefoilpaddle/replay/plot.py
+++ b/src/trefoilpaddle/replay/plot.py
@@ -18,9 +18,9 @@
     from matplotlib import pyplot
 
     figure, (over_time, by_stage) = pyplot.subplots(1, 2, figsize=(12, 4))
-    for played in (round_.baseline, round_.product):
-        times, shares = _attainment_over_time(round_, played)
-        over_time.plot(times, shares, label=played.figures.label)
+    for audited in (round_.baseline, round_.product):
+        times, shares = _attainment_over_time(round_, audited)
+        over_time.plot(times, shares, label=audited.figures.label)
     window = round_.trace.head.disturbed
     if window is not None:
         over_time.axvspan(window.begin_s, window.end_s, alpha=0.15, color="red")
@@ -28,8 +28,8 @@
     over_time.set_ylabel("attainment")
     over_time.set_ylim(0.0, 1.05)
     over_time.legend()
-    for offset, played in ((-0.2, round_.baseline), (0.2, round_.product)):
-        stages = played.figures.stages
+    for offset, audited in ((-0.2, round_.baseline), (0.2, round_.product)):
+        stages = audited.figures.stages
         positions = [index + offset for index in range(len(stages))]
         by_stage.bar(positions, [stage.cost_s for stage in stages], 0.4, alpha=0.4)
         by_stage.bar(positions, [stage.wasted_s for stage in stages], 0.4, color="red")
@@ -44,7 +44,7 @@
 
 
 def _attainment_over_time(
-    round_: Round, played: AuditedReplay
+    round_: Round, audited: AuditedReplay
 ) -> tuple[list[float], list[float]]:
     requests = round_.trace.requests
     n_bins = int(round_.trace.head.duration_s / BIN_S) + 1
@@ -53,7 +53,7 @@
         attainment_of(
             [
                 answer
-                for answer in played.replayed.answers
+                for answer in audited.replayed.answers
                 if begin_s <= requests[answer.index].at_s < begin_s + BIN_S
             ]
         )
--- a/src/trefoilpaddle/replay/report.py
+++ b/src/trefoilpaddle/replay/report.py
@@ -23,16 +23,16 @@
     console.print(_group_table("owner", round_))
     console.print(_group_table("class of work", round_))
     console.print(_refusal_table(round_))
-    for played in (round_.baseline, round_.product):
-        print_violations(played, console)
+    for audited in (round_.baseline, round_.product):
+        print_violations(audited, console)
     print_outcomes(outcome_results(round_), console)
 
 
-def print_violations(played: AuditedReplay, console: Console) -> None:
+def print_violations(audited: AuditedReplay, console: Console) -> None:
     """Print the violations of invariants."""
-    for violation in played.violations:
+    for violation in audited.violations:
         console.print(
-            f"[red]{played.figures.label} violates[/] {violation.rule}: "
+            f"[red]{audited.figures.label} violates[/] {violation.rule}: "
             f"{violation.request_id} {violation.detail}"
         )
 
@@ -129,8 +129,8 @@
         f"by {kind}", kind, "sent", "baseline", "product", "ratio", "cost", "", "p95, s"
     )
     base, product = (
-        played.figures.owners if kind == "owner" else played.figures.classes
-        for played in (round_.baseline, round_.product)
+        audited.figures.owners if kind == "owner" else audited.figures.classes
+        for audited in (round_.baseline, round_.product)
     )
     before = {group.name: group for group in base}
     for group in product:
--- a/src/trefoilpaddle/replay/scenarios.py
+++ b/src/trefoilpaddle/replay/scenarios.py
@@ -89,7 +89,7 @@
         case "dead-paused":
             return _dead_paused(workload, time_scale)
         case "cut-domain":
-            return _cut_domain(workload, disturbed)
+            return _partitioned_domain(workload, disturbed)
         case "stale-load":
             return _stale_load(time_scale)
         case "overload":
@@ -136,13 +136,13 @@
     )
 
 
-def _cut_domain(workload: Workload, disturbed: Window) -> Scenario:
-    cut = CutDomain(
+def _partitioned_domain(workload: Workload, disturbed: Window) -> Scenario:
+    partition = CutDomain(
         at_s=disturbed.begin_s,
         duration_s=DISTURBANCE_S,
         failure_domain=workload.cut_domain,
     )
-    return _fault_scenario((cut,), disturbed)
+    return _fault_scenario((partition,), disturbed)
 
 
 def _fault_scenario(faults: tuple[Fault, ...], window: Window) -> Scenario:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -166,13 +166,13 @@
         trace = Trace(head=head, requests=requests)
         answers = [make_answer(i, verdict) for i, verdict in enumerate(verdicts)]
         replayed = Replayed(label="product", answers=answers)
-        played = AuditedReplay(
+        audited = AuditedReplay(
             replayed=replayed, figures=figures_of(trace, replayed), violations=()
         )
         return Round(
             trace=trace,
-            baseline=played,
-            product=played,
+            baseline=audited,
+            product=audited,
             fresh=None,
             allowed=[True] * len(verdicts),
         )
--- a/tools/binary_header.sh
+++ b/tools/binary_header.sh
@@ -5,7 +5,8 @@
 umask 077
 space="${TREFOILPADDLE_TMP:-${TMPDIR:-/tmp}}"
 base="$space/trefoilpaddle"
-# A folder of another user in the shared temporary folder is not trusted.
+# Another user's folder in the shared temporary folder could contain any program,
+# so it is not used.
 if [ -e "$base" ] && { [ ! -O "$base" ] || [ -h "$base" ]; }; then
     base="$space/trefoilpaddle-$(id -u)"
 fi
--- a/tools/compare_plays.py
+++ b/tools/compare_plays.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Play:
+class SimulatedDay:
     """One simulated day.
 
     Parameters
@@ -40,8 +40,8 @@
 class Pair:
     """Runs of the same day and seed from the two sets."""
 
-    before: Play
-    after: Play
+    before: SimulatedDay
+    after: SimulatedDay
 
     @property
     def gain(self) -> float:
@@ -49,14 +49,14 @@
         return self.after.value - self.before.value
 
 
-def plays(journal: Path, site: str, reason: str) -> Iterator[Play]:
+def plays(journal: Path, site: str, reason: str) -> Iterator[SimulatedDay]:
     """Yield the runs of a site whose reason begins with `reason`, oldest first."""
     for path in sorted(journal.glob("*.json")):
         entry = orjson.loads(path.read_bytes())
         if entry.get("site") != site or not entry.get("why", "").startswith(reason):
             continue
         for day in entry.get("days", ()):
-            yield Play(
+            yield SimulatedDay(
                 day=day["name"],
                 seed=day["seed"],
                 value=day["G"],
@@ -64,10 +64,10 @@
             )
 
 
-def pairs(before: Iterator[Play], after: Iterator[Play]) -> list[Pair]:
+def pairs(before: Iterator[SimulatedDay], after: Iterator[SimulatedDay]) -> list[Pair]:
     """Return pairs of runs in both sets; the newest run of a day and seed counts."""
-    first = {(play.day, play.seed): play for play in before}
-    second = {(play.day, play.seed): play for play in after}
+    first = {(run.day, run.seed): run for run in before}
+    second = {(run.day, run.seed): run for run in after}
     both = sorted(first.keys() & second.keys())
     return [Pair(before=first[key], after=second[key]) for key in both]
 
@@ -98,12 +98,12 @@
     return [*lines, line("all", chosen)] if chosen else lines
 
 
-def spread_table(chosen: list[Play]) -> list[str]:
+def spread_table(chosen: list[SimulatedDay]) -> list[str]:
     """Return mean and spread of the runs of each day and of all days, with a header."""
     by_day: dict[str, list[float]] = defaultdict(list)
-    for play in chosen:
-        by_day[play.day].append(play.value)
-        by_day["all"].append(play.value)
+    for run in chosen:
+        by_day[run.day].append(run.value)
+        by_day["all"].append(run.value)
     days = sorted(by_day, key=lambda day: (day == "all", day))
     lines = ["day            n    mean  spread   least    most"]
     for day in days:
