--- a/src/trefoilpaddle/replay/player.py
+++ b/src/trefoilpaddle/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a trace with open-loop load: a request is sent at its time, come what may."""
+"""Replays a trace as open-loop load: answers never delay the next requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,17 +7,17 @@
 import aiohttp
 
 from .balancer import Balancer
-from .client import Judge, ask
-from .faults import drive_faults
-from .plant import Plant
+from .client import Judge, send_request
+from .faults import inject_faults
 from .results import Answer, Replayed
+from .system_under_test import SystemUnderTest
 from .trace import Trace
 
-LEAD_S: Final = 0.2
+START_DELAY_S: Final = 0.2
 """Time between the start of the player and the start of the trace."""
 
 PRELUDE_S: Final = 4.0
-"""Time between the requests of the prelude and the trace."""
+"""Time between the warm-up requests and the trace."""
 
 MAX_CONNECTIONS: Final = 2000
 
@@ -27,43 +27,44 @@
 async def play(
     trace: Trace,
     *,
-    plant: Plant,
+    system: SystemUnderTest,
     judge: Judge,
     label: str,
     on_answer: OnAnswer,
-    names_deadline: bool = True,
+    sends_deadline: bool = True,
 ) -> Replayed:
-    """Send all requests of `trace` at their times and collect what came of them.
+    """Send all requests of `trace` at their times and collect their answers.
 
     Parameters
     ----------
     trace : Trace
-        What to send and what goes wrong.
-    plant : Plant
-        What to play against.
+        The requests to send and the faults to inject.
+    system : SystemUnderTest
+        The processes that receive the requests and the faults.
     judge : Judge
-        Tells a right answer from a wrong one.
+        Classifies the texts of answers.
     label : str
-        Names the run; idempotency keys carry it, so that runs don't mix.
+        Name of the replay. Idempotency keys contain it, so that keys of different
+        replays differ.
     on_answer : callable
-        Called with each answer; shows progress.
-    names_deadline : bool
-        False sends requests without their deadline.
+        Called with each answer, to show progress.
+    sends_deadline : bool
+        False to send requests without their deadlines.
     """
     connector = aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     async with aiohttp.ClientSession(connector=connector) as session:
         player = _Player(
             trace=trace,
             session=session,
-            balancer=Balancer(gateways=plant.gateways),
+            balancer=Balancer(gateways=system.gateways),
             judge=judge,
             label=label,
-            names_deadline=names_deadline,
+            sends_deadline=sends_deadline,
         )
-        await player.prelude(plant)
-        await player.run(plant, on_answer)
+        await player.warm_up(system)
+        await player.run(system, on_answer)
     replayed = player.replayed
-    replayed.runs, replayed.n_lost_records = await plant.records()
+    replayed.runs, replayed.n_lost_records = await system.records()
     replayed.answers.sort(key=lambda answer: answer.index)
     return replayed
 
@@ -74,7 +75,7 @@
     __slots__ = (
         "_balancer",
         "_judge",
-        "_names_deadline",
+        "_sends_deadline",
         "_session",
         "_trace",
         "replayed",
@@ -88,20 +89,20 @@
         balancer: Balancer,
         judge: Judge,
         label: str,
-        names_deadline: bool,
+        sends_deadline: bool,
     ) -> None:
         self._trace = trace
         self._session = session
         self._balancer = balancer
         self._judge = judge
-        self._names_deadline = names_deadline
+        self._sends_deadline = sends_deadline
         self.replayed = Replayed(label=label)
 
-    async def prelude(self, plant: Plant) -> None:
-        """Send one request of each entry to each gateway; none is counted.
+    async def warm_up(self, system: SystemUnderTest) -> None:
+        """Warm up: send one uncounted request of each entry to each gateway.
 
-        A gateway leases an entry's limits at its first request and refuses
-        some seconds of requests meanwhile, which is not what is measured here.
+        A gateway leases an entry's limits at its first request and refuses requests
+        for some seconds until it has the lease. The replay must not measure that.
         """
         first: dict[tuple[str, str], int] = {}
         for index, request in enumerate(self._trace.requests):
@@ -110,24 +111,26 @@
             return
         await asyncio.gather(
             *(
-                self._ask(index, gateway, key=f"prelude-{gateway}-{index}")
+                self._send_now(index, gateway, key=f"prelude-{gateway}-{index}")
                 for index in first.values()
-                for gateway in plant.gateways
+                for gateway in system.gateways
             )
         )
         await asyncio.sleep(PRELUDE_S)
-        await plant.forget()
+        await system.clear_records()
 
-    async def run(self, plant: Plant, on_answer: OnAnswer) -> None:
-        """Play the whole trace, faults included."""
+    async def run(self, system: SystemUnderTest, on_answer: OnAnswer) -> None:
+        """Send all requests of the trace and inject its faults."""
         async with self._balancer.checking(self._session):
-            begin = asyncio.get_running_loop().time() + LEAD_S
+            begin = asyncio.get_running_loop().time() + START_DELAY_S
             async with asyncio.TaskGroup() as group:
-                group.create_task(drive_faults(self._trace.head.faults, plant, begin))
+                group.create_task(inject_faults(self._trace.head.faults, system, begin))
                 for index in range(len(self._trace.requests)):
-                    group.create_task(self._send(index, begin, on_answer))
+                    group.create_task(self._send_at_its_time(index, begin, on_answer))
 
-    async def _send(self, index: int, begin: float, on_answer: OnAnswer) -> None:
+    async def _send_at_its_time(
+        self, index: int, begin: float, on_answer: OnAnswer
+    ) -> None:
         loop = asyncio.get_running_loop()
         request = self._trace.requests[index]
         head = self._trace.head
@@ -135,17 +138,17 @@
         await asyncio.sleep(max(0.0, due - loop.time()))
         self.replayed.late_starts_s.append(max(0.0, loop.time() - due))
         key = f"{self.replayed.label}-{head.name}-{head.seed}-{index}"
-        answer = await self._ask(index, self._balancer.pick(), key=key)
+        answer = await self._send_now(index, self._balancer.pick(), key=key)
         self.replayed.answers.append(answer)
         on_answer(answer)
 
-    async def _ask(self, index: int, gateway: str, *, key: str) -> Answer:
-        return await ask(
+    async def _send_now(self, index: int, gateway: str, *, key: str) -> Answer:
+        return await send_request(
             session=self._session,
             gateway=gateway,
             index=index,
             request=self._trace.requests[index],
             judge=self._judge,
             key=key,
-            names_deadline=self._names_deadline,
+            sends_deadline=self._sends_deadline,
         )
--- a/src/trefoilpaddle/replay/report.py
+++ b/src/trefoilpaddle/replay/report.py
@@ -1,12 +1,12 @@
-"""Prints a round: baseline and product side by side, with their ratio."""
+"""Prints a round: figures of baseline and product, with their ratio."""
 
 from collections.abc import Iterator, Sequence
 
 from rich.console import Console
 from rich.table import Table
 
-from .figures import Figures, GroupFigures, Spread
-from .outcomes import Played, Reached, Round, reached
+from .figures import Figures, GroupFigures, Quantiles
+from .outcomes import AuditedReplay, OutcomeResult, Round, outcome_results
 
 
 def print_round(round_: Round, console: Console) -> None:
@@ -23,22 +23,22 @@
     console.print(_group_table("owner", round_))
     console.print(_group_table("class of work", round_))
     console.print(_refusal_table(round_))
-    for played in (round_.baseline, round_.product):
-        print_violations(played, console)
-    print_reached(reached(round_), console)
+    for audited in (round_.baseline, round_.product):
+        print_violations(audited, console)
+    print_outcomes(outcome_results(round_), console)
 
 
-def print_violations(played: Played, console: Console) -> None:
-    """Print what must always hold and did not."""
-    for violation in played.violations:
+def print_violations(audited: AuditedReplay, console: Console) -> None:
+    """Print the violations of invariants."""
+    for violation in audited.violations:
         console.print(
-            f"[red]{played.figures.label} violates[/] {violation.rule}: "
+            f"[red]{audited.figures.label} violates[/] {violation.rule}: "
             f"{violation.request_id} {violation.detail}"
         )
 
 
-def print_reached(outcomes: Sequence[Reached], console: Console) -> None:
-    """Print each stated outcome with what was measured."""
+def print_outcomes(outcomes: Sequence[OutcomeResult], console: Console) -> None:
+    """Print each stated outcome with its measured value."""
     for outcome in outcomes:
         stated = outcome.stated
         word = "[green]holds[/]" if outcome.holds else "[red]not reached[/]"
@@ -50,8 +50,8 @@
 
 def _table(title: str, *columns: str) -> Table:
     table = Table(title=title, title_justify="left")
-    for number, column in enumerate(columns):
-        table.add_column(column, justify="left" if number == 0 else "right")
+    for index, column in enumerate(columns):
+        table.add_column(column, justify="left" if index == 0 else "right")
     return table
 
 
@@ -72,20 +72,20 @@
     yield "cost per met, s", base.cost_per_met_s, product.cost_per_met_s
     yield "wasted share of cost", base.wasted_share, product.wasted_share
     yield "extra calls share", base.extra_calls_share, product.extra_calls_share
-    yield from _spread_rows("latency", base.latency, product.latency)
-    yield from _spread_rows("first token", base.first_token, product.first_token)
-    yield from _spread_rows(
+    yield from _quantile_rows("latency", base.latency, product.latency)
+    yield from _quantile_rows("first token", base.first_token, product.first_token)
+    yield from _quantile_rows(
         "between tokens", base.between_tokens, product.between_tokens
     )
-    yield from _spread_rows(
+    yield from _quantile_rows(
         "given up after", base.given_up_latency, product.given_up_latency
     )
     yield "player late p99, s", base.late_start_p99_s, product.late_start_p99_s
     yield "records lost", base.n_lost_records, product.n_lost_records
 
 
-def _spread_rows(
-    name: str, base: Spread, product: Spread
+def _quantile_rows(
+    name: str, base: Quantiles, product: Quantiles
 ) -> Iterator[tuple[str, float, float]]:
     yield f"{name} p50, s", base.p50_s, product.p50_s
     yield f"{name} p95, s", base.p95_s, product.p95_s
@@ -129,8 +129,8 @@
         f"by {kind}", kind, "sent", "baseline", "product", "ratio", "cost", "", "p95, s"
     )
     base, product = (
-        played.figures.owners if kind == "owner" else played.figures.classes
-        for played in (round_.baseline, round_.product)
+        audited.figures.owners if kind == "owner" else audited.figures.classes
+        for audited in (round_.baseline, round_.product)
     )
     before = {group.name: group for group in base}
     for group in product:
--- a/src/trefoilpaddle/replay/summary.py
+++ b/src/trefoilpaddle/replay/summary.py
@@ -1,29 +1,29 @@
-"""A round as plain values, for JSON."""
+"""The summary of a round, for output as JSON."""
 
 from dataclasses import dataclass
 
 from .audit import Violation
 from .figures import Figures
-from .outcomes import Reached, Round, reached
+from .outcomes import OutcomeResult, Round, outcome_results
 from .trace import Head
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Summary:
-    """What a round showed.
+    """Figures, violations and outcomes of a round.
 
     Parameters
     ----------
     head : Head
         Head of the trace.
     n_allowed : int
-        Requests that capacity allows.
+        Number of requests that capacity allows to be answered in time.
     baseline, product, fresh : Figures
-        Of each play.
+        Figures of each replay.
     violations : tuple of Violation
-        What must always hold and did not, in any play.
-    outcomes : tuple of Reached
-        Each stated outcome, with what was measured.
+        Violations of invariants by the baseline and the product.
+    outcomes : tuple of OutcomeResult
+        Each stated outcome with its measured value.
     """
 
     head: Head
@@ -32,7 +32,7 @@
     product: Figures
     fresh: Figures | None
     violations: tuple[Violation, ...]
-    outcomes: tuple[Reached, ...]
+    outcomes: tuple[OutcomeResult, ...]
 
 
 def summary_of(round_: Round) -> Summary:
@@ -45,5 +45,5 @@
         product=round_.product.figures,
         fresh=fresh.figures if fresh else None,
         violations=round_.baseline.violations + round_.product.violations,
-        outcomes=reached(round_),
+        outcomes=outcome_results(round_),
     )
