--- a/src/trefoilpaddle/coordination/chain/admission.py
+++ b/src/trefoilpaddle/coordination/chain/admission.py
@@ -34,7 +34,7 @@
         self.pieces: Counter[str] = Counter()
 
     def n_pieces(self) -> int:
-        """Return the index of reserved pieces of all services."""
+        """Return the number of reserved pieces of all services."""
         return self.pieces.total()
 
     def add(self, service: str, n_pieces: int) -> None:
--- a/src/trefoilpaddle/coordination/chain/cell_dispatch.py
+++ b/src/trefoilpaddle/coordination/chain/cell_dispatch.py
@@ -244,7 +244,7 @@
 
         Parameters
         ----------
-        made : PieceMade
+        made : PieceResult
             The result.
         n_bytes : float
             Its expected size in bytes.
--- a/src/trefoilpaddle/coordination/chain/crash_relay.py
+++ b/src/trefoilpaddle/coordination/chain/crash_relay.py
@@ -50,8 +50,8 @@
     Attributes
     ----------
     on_crash, on_clear, on_run : callable
-        Called with the updates of peers. The first two announce what was not known
-        by themselves.
+        Called with the updates of peers. The first two themselves announce what was
+        not known here.
     """
 
     __slots__ = (
--- a/src/trefoilpaddle/coordination/chain/request_path.py
+++ b/src/trefoilpaddle/coordination/chain/request_path.py
@@ -205,8 +205,9 @@
             n_pieces=_pieces(job.request, job.route),
             piece_key=job.request.piece_key,
             due_s=job.request.received_s + job.route.target_latency_s - engine_s,
-            # A chain is refused now if it would complete too late to be sent to a
-            # worker, or too late for the caller to wait for the first event.
+            # A chain is refused now if its stages would complete too late for the
+            # request to be sent to a worker, or for its first event to arrive while
+            # the caller still waits.
             deadline_s=min(self._complete_by_s(job, engine_s), self._stop.send_until_s),
             preferred_domain=self._preferred_domain(job),
             priority=job.priority,
--- a/src/trefoilpaddle/coordination/chain/worker_caller.py
+++ b/src/trefoilpaddle/coordination/chain/worker_caller.py
@@ -262,10 +262,10 @@
         n_bytes = sum(work.result_bytes for work in batch)
         expected_s = self.known.times.call_s(len(batch))
         timeout_s = CALL_TIMEOUT_RATIO * expected_s + CALL_TIMEOUT_SLACK_S
-        # The time does not start now: on a busy host the call itself may be sent later
-        # than that, and results would be freed that its worker has still to fetch. The
-        # timer is cancelled when the call ends: a call that the worker rejects ends at
-        # once, without any input fetched.
+        # The time for fetching inputs starts when the call has been sent, not now: a
+        # busy host may send it much later, and results would be freed that the worker
+        # has still to fetch. The timer is cancelled when the call ends: a call that the
+        # worker rejects ends at once, without any input fetched.
         fetching: list[asyncio.TimerHandle] = []
 
         def schedule_free() -> None:
--- a/src/trefoilpaddle/coordination/chain/worker_exits.py
+++ b/src/trefoilpaddle/coordination/chain/worker_exits.py
@@ -191,7 +191,7 @@
             del self._checks[_start(worker)]
 
     def _record_alive(self, worker: Worker) -> None:
-        """Treat broken runs at a worker that still listens as unresponsive ones."""
+        """Change the outcome of broken runs to SILENT, as the worker still listens."""
         self._pending = deque(
             (
                 replace(run, outcome=RunOutcome.SILENT)
--- a/src/trefoilpaddle/coordination/limits/lease_contact.py
+++ b/src/trefoilpaddle/coordination/limits/lease_contact.py
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    home : Place
+    home : Replica
         The sidecar that is the home.
     asker : PeerClient
         Sends messages to the home.
--- a/src/trefoilpaddle/coordination/members/duty_rank.py
+++ b/src/trefoilpaddle/coordination/members/duty_rank.py
@@ -15,7 +15,8 @@
         Negative bit length of its processor capacity in millicores, so that the
         member with the largest capacity has the lowest rank.
     incarnation : int
-        Incarnation of the process; a later start has a greater one.
+        Incarnation of the process. Gateways with such duties use time-ordered ones, so
+        a later start has a greater one.
     """
 
     negative_bit_length: int
--- a/src/trefoilpaddle/coordination/members/membership.py
+++ b/src/trefoilpaddle/coordination/members/membership.py
@@ -373,7 +373,7 @@
                 return Err(error)
 
     def _refute_outdated(self, record: MemberRecord) -> None:
-        """Refute a record of this process that overrules the own one.
+        """Refute a record of this process that takes precedence over its own.
 
         After a restart or a pause the others may still hold a record of an earlier
         incarnation, or one that marks this process as suspected.
--- a/src/trefoilpaddle/coordination/requests/ejection.py
+++ b/src/trefoilpaddle/coordination/requests/ejection.py
@@ -21,7 +21,7 @@
 """Ratio to the median of its peers up to which a probed target is readmitted."""
 
 MIN_ACTIVE: Final = 2
-"""Targets of a service that always remain active."""
+"""Minimum number of targets of a service that are not ejected."""
 
 MAX_EJECTED_SHARE: Final = 1 / 3
 """Largest share of a service's targets that may be ejected."""
--- a/src/trefoilpaddle/coordination/requests/prediction.py
+++ b/src/trefoilpaddle/coordination/requests/prediction.py
@@ -32,7 +32,10 @@
 It is therefore refused earlier than the highest order, which needs no reserve.
 """
 MIN_AHEAD_SHARE: Final = 0.5
-"""Smallest share of queued work assumed to run first: it may be just as urgent."""
+"""Smallest share of the queued work that is assumed to run before a request.
+
+The queued work may be just as urgent.
+"""
 TIME_LEFT_WEIGHT: Final = 0.02
 """Weight of one request in the moving average of the time left."""
 
--- a/src/trefoilpaddle/coordination/targets/engine_events.py
+++ b/src/trefoilpaddle/coordination/targets/engine_events.py
@@ -20,7 +20,7 @@
 class EngineEvents:
     """Collects the text and the usage from the server-sent events of an engine.
 
-    Parameters
+    Attributes
     ----------
     n_tokens : int
         Tokens received so far, over all connections of the attempt.
--- a/src/trefoilpaddle/state/chain/call_sharing.py
+++ b/src/trefoilpaddle/state/chain/call_sharing.py
@@ -7,7 +7,7 @@
 from .piece_work import PieceWork
 
 MAX_WATCHED: Final = 8
-"""Requests with one known crash that may share a call.
+"""Maximum number of requests with one known crash that may share a call.
 
 A call that crashes its worker makes up to this many requests suspect, and suspects
 run alone: three crashes identify one request among sixty-four.
--- a/src/trefoilpaddle/state/chain/piece_times.py
+++ b/src/trefoilpaddle/state/chain/piece_times.py
@@ -102,7 +102,7 @@
         self._ended_s = now_s
 
     def learn_busy(self, n_pieces: int, *, began_s: float, now_s: float) -> None:
-        """Learn the pace from a call that ends now and behind which pieces waited.
+        """Learn the pace from a call that ends now, while more pieces were waiting.
 
         Parameters
         ----------
--- a/src/trefoilpaddle/state/fair_queue.py
+++ b/src/trefoilpaddle/state/fair_queue.py
@@ -173,7 +173,7 @@
         work.charged_s = 0.0
 
     def ahead(self, work: Work) -> WorkAhead:
-        """Return the work that would start before `work`, queued or not.
+        """Return the work that would start before `work`, which need not be queued.
 
         While the owner's own preceding work is served, the other owners get
         their shares as well. If the owner was served more than its share, the
--- a/src/trefoilpaddle/state/lease_times.py
+++ b/src/trefoilpaddle/state/lease_times.py
@@ -17,7 +17,7 @@
 
 
 def slot_hold_s(deadline_s: float) -> float:
-    """Return the time as in ``HOLD_S`` for slots, whose requests outlast the lease.
+    """Return what ``HOLD_S`` is for units, for slots: their requests outlast the lease.
 
     A slot leased to another gateway is free again only when that gateway has
     been notified, or its lease has expired, and the request in it has ended.
--- a/src/trefoilpaddle/state/prefix.py
+++ b/src/trefoilpaddle/state/prefix.py
@@ -27,7 +27,7 @@
 
 
 def prefix_hashes(prompt: str) -> tuple[int, ...]:
-    """Return one hash for each leading block of `prompt`, chained over the prefix.
+    """Return one hash for each leading block of `prompt` and all blocks before it.
 
     Two prompts have the same first n hashes exactly if their first n blocks of
     words are the same. An incomplete last block has no hash.
--- a/tests/chain/test_cell_handover.py
+++ b/tests/chain/test_cell_handover.py
@@ -194,9 +194,9 @@
     def test_a_chain_received_at_exit_is_returned_at_once(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # A gateway sends a chain of a cell to another that is about to exit and has not
-        # scheduled this cell before. A scheduler was started, whose calls end with the
-        # process; running the chain again would use the repeat budget.
+        # A gateway that is about to exit receives a chain of a cell that it has not
+        # scheduled before. It started a scheduler for the cell, whose calls end with
+        # the process, so that the chain had to be run again from the repeat budget.
         async def run() -> ChainOutcome:
             rig = Rig()
             rig.own.stopping.set()
