--- a/src/trefoilpaddle/coordination/configuration/config_peers.py
+++ b/src/trefoilpaddle/coordination/configuration/config_peers.py
@@ -45,7 +45,7 @@
 """Wait after a heartbeat with a newer revision, for a push that is in transit."""
 
 MAX_PAGES: Final = 1000
-"""Largest n_rounds of pages read from one peer, in case its list never ends."""
+"""Largest number of pages read from one peer, in case its list never ends."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/src/trefoilpaddle/transport/server.py
+++ b/src/trefoilpaddle/transport/server.py
@@ -15,7 +15,7 @@
 
 MAX_CONNECTIONS: Final = 2000
 SLOW_HEARTBEAT_CONNECTIONS: Final = 24
-"""Number of connections from which heartbeats are sent half as often."""
+"""With this many connections or more, heartbeats are sent half as often."""
 MAX_OPEN_QUERIES: Final = 256
 """Most requests of one connection that are handled at a time."""
 ANSWER_TIMEOUT_S: Final = 10.0
